--- a/packages/residency/src/adapter-orders.ts
+++ b/packages/residency/src/adapter-orders.ts
@@ -28,24 +28,24 @@
   readonly signal: AbortSignal;
   readonly announce: (target: ModelTarget, resident: boolean) => void;
   /** Something did not go as expected: what the worker holds must be learnt anew. */
-  readonly onDoubt: () => void;
+  readonly onUnknownOutcome: () => void;
 }
 
 /** First look after an order and the pause between looks, in milliseconds. */
 const FIRST_POLL_MS = 25;
 const POLL_MS = 40;
 /** Time that an adapter usually takes, and until one in use makes way, in milliseconds. */
-const EXPECTED_MS = 40;
-const SLOT_WAIT_MS = 400;
+const EXPECTED_ADAPTER_LOAD_MS = 40;
+const EXPECTED_SLOT_WAIT_MS = 400;
 /** Time that an adapter takes at most, in milliseconds. */
-const LIMIT_MS = 2000;
+const ADAPTER_LOAD_TIMEOUT_MS = 2000;
 /** Time that the runs which use an adapter take at most, in milliseconds. */
-const UNLOAD_LIMIT_MS = 12_000;
+const ADAPTER_UNLOAD_TIMEOUT_MS = 12_000;
 
 /** Adapters of one incarnation of a worker. */
 export class AdapterOrders {
   private readonly loading = new Map<string, Promise<boolean>>();
-  private lastTurn: Promise<unknown> = Promise.resolve();
+  private slotQueue: Promise<unknown> = Promise.resolve();
 
   constructor(private readonly options: AdapterOrdersOptions) {}
 
@@ -56,9 +56,9 @@
    */
   load(target: AdapterTarget, deadline: number): Promise<boolean> {
     const key = targetKey(target);
-    const known = this.loading.get(key);
-    if (known !== undefined) return known;
-    const loading = this.carryOut(target, deadline).finally(() => this.loading.delete(key));
+    const existing = this.loading.get(key);
+    if (existing !== undefined) return existing;
+    const loading = this.loadIntoSlot(target, deadline).finally(() => this.loading.delete(key));
     this.loading.set(key, loading);
     return loading;
   }
@@ -66,53 +66,53 @@
   /** Expected wait for an adapter that is asked for now, in milliseconds: those before it, and a slot. */
   waitMs(): number {
     const { residents, slots } = this.options;
-    const isFull = residents.adapterCount >= slots() && this.longestUnused() === undefined;
-    return (this.loading.size + 1) * EXPECTED_MS + (isFull ? SLOT_WAIT_MS : 0);
+    const isFull = residents.adapterCount >= slots() && this.leastRecentlyUsed() === undefined;
+    return (this.loading.size + 1) * EXPECTED_ADAPTER_LOAD_MS + (isFull ? EXPECTED_SLOT_WAIT_MS : 0);
   }
 
-  private async carryOut(target: AdapterTarget, deadline: number): Promise<boolean> {
+  private async loadIntoSlot(target: AdapterTarget, deadline: number): Promise<boolean> {
     const { residents, sender } = this.options;
     if (residents.isResident(target)) return true;
-    if (!(await this.takeSlot(target, deadline))) return residents.isResident(target);
+    if (!(await this.acquireSlot(target, deadline))) return residents.isResident(target);
     let isLoaded = false;
     try {
-      isLoaded = await this.order(target);
+      isLoaded = await this.orderLoad(target);
     } finally {
-      sender.loadEnded(target, isLoaded);
+      sender.recordLoadResult(target, isLoaded);
     }
     return isLoaded;
   }
 
-  private async order(target: AdapterTarget): Promise<boolean> {
+  private async orderLoad(target: AdapterTarget): Promise<boolean> {
     const { residents, sender } = this.options;
     const outcome = await sender.send('load', target);
-    if (outcome === 'done') return this.finish(target);
+    if (outcome === 'done') return this.markResident(target);
     if (outcome === 'accepted') return this.awaitLoaded(target);
     // After a refusal nothing is there; after anything else it may be, or may come: it stays counted.
     if (outcome === 'refused') residents.dropAdapter(target);
-    else this.options.onDoubt();
+    else this.options.onUnknownOutcome();
     return false;
   }
 
   /** Takes a slot for an adapter, in the order in which they were asked for. */
-  private takeSlot(target: AdapterTarget, deadline: number): Promise<boolean> {
-    const taken = this.lastTurn.then(() => this.takeSlotInTurn(target, deadline));
-    this.lastTurn = taken.catch(() => false);
+  private acquireSlot(target: AdapterTarget, deadline: number): Promise<boolean> {
+    const taken = this.slotQueue.then(() => this.waitForSlot(target, deadline));
+    this.slotQueue = taken.catch(() => false);
     return taken;
   }
 
-  private async takeSlotInTurn(target: AdapterTarget, deadline: number): Promise<boolean> {
+  private async waitForSlot(target: AdapterTarget, deadline: number): Promise<boolean> {
     const { clock, signal, residents, slots } = this.options;
     while (!signal.aborted) {
-      const isModelThere = residents.models.get(target.model)?.state === 'resident';
-      if (!isModelThere || residents.isResident(target)) return false;
-      const hasRoom = residents.adapterCount < slots() && residents.adapterOf(target) === undefined;
-      if (hasRoom) {
+      const isModelResident = residents.models.get(target.model)?.state === 'resident';
+      if (!isModelResident || residents.isResident(target)) return false;
+      const canAddAdapter = residents.adapterCount < slots() && residents.adapterOf(target) === undefined;
+      if (canAddAdapter) {
         residents.setAdapter(target, 'loading');
         return true;
       }
       if (clock.monotonic() >= deadline) return false;
-      if (!(await this.makeRoom())) await sleep(clock, POLL_MS, signal);
+      if (!(await this.freeSlot())) await sleep(clock, POLL_MS, signal);
     }
     return false;
   }
@@ -121,18 +121,19 @@
     const { clock, signal, sender } = this.options;
     const startedAt = clock.monotonic();
     let pauseMs = FIRST_POLL_MS;
-    while (!signal.aborted && clock.monotonic() - startedAt < LIMIT_MS) {
+    while (!signal.aborted && clock.monotonic() - startedAt < ADAPTER_LOAD_TIMEOUT_MS) {
       await sleep(clock, pauseMs, signal);
       pauseMs = POLL_MS;
       const report = await sender.report();
       const held = report?.models.find((model) => model.name === target.model);
-      if (held?.adapters.some((copy) => servesTarget(copy, target)) === true) return this.finish(target);
+      if (held?.adapters.some((copy) => servesTarget(copy, target)) === true)
+        return this.markResident(target);
     }
-    this.options.onDoubt();
+    this.options.onUnknownOutcome();
     return false;
   }
 
-  private finish(target: AdapterTarget): boolean {
+  private markResident(target: AdapterTarget): boolean {
     const { residents, announce } = this.options;
     if (residents.models.get(target.model)?.state !== 'resident') return false;
     residents.setAdapter(target, 'resident');
@@ -141,13 +142,13 @@
   }
 
   /** Unloads the adapter unused longest; false when those in use leave no room. */
-  private async makeRoom(): Promise<boolean> {
-    const victim = this.longestUnused();
+  private async freeSlot(): Promise<boolean> {
+    const victim = this.leastRecentlyUsed();
     return victim !== undefined && this.unload(victim);
   }
 
   private async unload(victim: AdapterTarget): Promise<boolean> {
-    const { residents, sender, announce, onDoubt } = this.options;
+    const { residents, sender, announce, onUnknownOutcome } = this.options;
     residents.setAdapter(victim, 'unloading');
     announce(victim, false);
     const outcome = await sender.send('unload', victim);
@@ -157,14 +158,14 @@
     }
     // Taken, but a run still uses it: it holds its slot until a report shows it gone.
     if (outcome === 'accepted') void this.awaitUnloaded(victim);
-    else onDoubt();
+    else onUnknownOutcome();
     return false;
   }
 
   private async awaitUnloaded(victim: AdapterTarget): Promise<void> {
-    const { clock, signal, sender, residents, onDoubt } = this.options;
+    const { clock, signal, sender, residents, onUnknownOutcome } = this.options;
     const startedAt = clock.monotonic();
-    while (!signal.aborted && clock.monotonic() - startedAt < UNLOAD_LIMIT_MS) {
+    while (!signal.aborted && clock.monotonic() - startedAt < ADAPTER_UNLOAD_TIMEOUT_MS) {
       await sleep(clock, REPORT_LAG_MS, signal);
       if (residents.adapterOf(victim)?.state !== 'unloading') return;
       const report = await this.tryReport(sender);
@@ -174,7 +175,7 @@
         return;
       }
     }
-    onDoubt();
+    onUnknownOutcome();
   }
 
   private async tryReport(sender: OrderSender): Promise<WorkerReport | undefined> {
@@ -186,7 +187,7 @@
     }
   }
 
-  private longestUnused(): AdapterTarget | undefined {
+  private leastRecentlyUsed(): AdapterTarget | undefined {
     const { residents } = this.options;
     let victim: AdapterTarget | undefined;
     let longestIdleMs = -1;
--- a/packages/residency/src/demand-router.ts
+++ b/packages/residency/src/demand-router.ts
@@ -12,10 +12,10 @@
   type ResidencyDemandMessage,
 } from '@woodbarrow/protocol';
 import { leastBy, settleWithin, sleep, type Clock } from '@woodbarrow/runtime';
-import { hasCopy } from './copies.js';
+import { hasLocalCopy } from './local-copies.js';
 import { OCCUPANCY_WEIGHT } from './placement-choice.js';
 import type { RefusedDemandReason } from './pending-demand.js';
-import { ZoneReach } from './zone-reach.js';
+import { ZoneReachability } from './zone-reachability.js';
 import { QUOTE_REASON } from './zone-residency.js';
 
 /** Options of {@link DemandRouter}. */
@@ -31,16 +31,16 @@
 
 const HELD_ELSEWHERE: RefusedDemandReason = 'held_elsewhere';
 const LOAD_QUARANTINED: RefusedDemandReason = 'load_quarantined';
-const NO_COORDINATOR_PAUSE_MS = 100;
+const ATTEMPT_PAUSE_MS = 100;
 const RETRY_AFTER_MS = 300;
 /** Pause between two looks at whether a coordinator still answers for its zone, in milliseconds. */
 const COORDINATOR_CHECK_MS = 300;
 /** Pause between two wishes for another replica of a model, in milliseconds. */
-const REPLICA_PAUSE_MS = 1200;
+const REPLICA_REQUEST_INTERVAL_MS = 1200;
 /** Time in which another replica is of use, in milliseconds. */
-const REPLICA_WITHIN_MS = 6000;
+const REPLICA_DEADLINE_MS = 6000;
 /** A demand under way that ends sooner than this is not joined by another request, in milliseconds. */
-const LEAST_SHARED_MS = 50;
+const MIN_SHARED_REMAINING_MS = 50;
 
 /**
  * Time kept for a coordinator's refusal to arrive before the asker gives up, in milliseconds: refusals came up to 6 ms
@@ -48,14 +48,14 @@
  */
 const ANSWER_MARGIN_MS = 80;
 /** Largest part of a demand's time that is kept for the refusal. */
-const ANSWER_MARGIN_SHARE = 0.2;
+const MAX_ANSWER_MARGIN_SHARE = 0.2;
 /** Time in which a coordinator tells how long a load would take; one that does not is passed over, in milliseconds. */
-const QUOTE_LIMIT_MS = 300;
+const QUOTE_TIMEOUT_MS = 300;
 /**
  * Time for further quotes after the first that can be used, in milliseconds: several round trips between zones and a
  * slow machine's turn. A coordinator that is lost does not hold up the demands of others.
  */
-const FURTHER_QUOTES_MS = 60;
+const FURTHER_QUOTES_TIMEOUT_MS = 60;
 
 /** A zone's word on how long it would take. */
 interface Quote {
@@ -70,7 +70,7 @@
   /** Quotes that promise a load, the cheapest first. */
   readonly usable: readonly Quote[];
   /** Whether any coordinator answered, if only that it has no place. */
-  readonly anyAnswered: boolean;
+  readonly hasAnswer: boolean;
 }
 
 interface SharedDemand {
@@ -81,15 +81,15 @@
 /** One daemon's demands. Requests for the same target share one demand. */
 export class DemandRouter implements ResidencyClient {
   private readonly shared = new Map<string, SharedDemand>();
-  private readonly replicaWishes = new Map<string, number>();
-  private readonly reach: ZoneReach;
+  private readonly replicaRequestedAt = new Map<string, number>();
+  private readonly reachability: ZoneReachability;
 
   constructor(private readonly options: DemandRouterOptions) {
-    this.reach = new ZoneReach(options.clock);
+    this.reachability = new ZoneReachability(options.clock);
   }
 
   async request(demand: ResidencyDemand, signal: AbortSignal): Promise<ResidencyOutcome> {
-    const shared = this.share(demand);
+    const shared = this.joinOrStart(demand);
     return Promise.race([shared, whenAborted(signal)]);
   }
 
@@ -97,18 +97,18 @@
     const { clock, directory } = this.options;
     const now = clock.monotonic();
     const key = `${service} ${model}`;
-    if (now - (this.replicaWishes.get(key) ?? -Infinity) < REPLICA_PAUSE_MS) return;
-    this.replicaWishes.set(key, now);
+    if (now - (this.replicaRequestedAt.get(key) ?? -Infinity) < REPLICA_REQUEST_INTERVAL_MS) return;
+    this.replicaRequestedAt.set(key, now);
     const holders = new Set(directory.holdersOf(service, { model }).map((holder) => holder.id));
     const copyZones = directory
       .ofService(service)
-      .filter((backEnd) => !backEnd.draining && !holders.has(backEnd.id) && hasCopy(backEnd, model))
+      .filter((backEnd) => !backEnd.draining && !holders.has(backEnd.id) && hasLocalCopy(backEnd, model))
       .map((backEnd) => backEnd.zone);
     const zones = this.zonesFor(service, { model });
-    const near = zones.filter((candidate) => copyZones.includes(candidate));
+    const zonesWithCopy = zones.filter((candidate) => copyZones.includes(candidate));
     const replicasIn = (zone: string): number =>
       [...holders].filter((id) => directory.get(id)?.zone === zone).length;
-    const zone = leastBy(near.length > 0 ? near : zones, replicasIn);
+    const zone = leastBy(zonesWithCopy.length > 0 ? zonesWithCopy : zones, replicasIn);
     if (zone === undefined) return;
     const message = {
       zone,
@@ -116,20 +116,23 @@
       model,
       priority,
       without: [],
-      withinMs: REPLICA_WITHIN_MS,
-      mayUseStore: near.length === 0,
+      withinMs: REPLICA_DEADLINE_MS,
+      mayUseStore: zonesWithCopy.length === 0,
       another: true,
     };
-    void this.ask(message, REPLICA_WITHIN_MS);
+    void this.sendDemand(message, REPLICA_DEADLINE_MS);
   }
 
-  private share(demand: ResidencyDemand): Promise<ResidencyOutcome> {
+  private joinOrStart(demand: ResidencyDemand): Promise<ResidencyOutcome> {
     const key = [demand.service, targetKey(demand.target), ...demand.without].join(' ');
     const now = this.options.clock.monotonic();
-    const known = this.shared.get(key);
-    if (known !== undefined && known.expiresAt >= now + Math.min(demand.withinMs, LEAST_SHARED_MS))
-      return known.outcome;
-    const outcome = this.pursue(demand).finally(() => {
+    const existing = this.shared.get(key);
+    if (
+      existing !== undefined &&
+      existing.expiresAt >= now + Math.min(demand.withinMs, MIN_SHARED_REMAINING_MS)
+    )
+      return existing.outcome;
+    const outcome = this.placeDemand(demand).finally(() => {
       if (this.shared.get(key)?.outcome === outcome) this.shared.delete(key);
     });
     this.shared.set(key, { outcome, expiresAt: now + demand.withinMs });
@@ -137,39 +140,39 @@
   }
 
   /** Asks every zone how long it would take, and the fastest for the model; the next one when it does not answer. */
-  private async pursue(demand: ResidencyDemand): Promise<ResidencyOutcome> {
+  private async placeDemand(demand: ResidencyDemand): Promise<ResidencyOutcome> {
     const { clock } = this.options;
     const deadline = clock.monotonic() + demand.withinMs;
     const targetAt = clock.monotonic() + demand.targetMs;
     let refusal: ResidencyOutcome = { held: false, retryAfterMs: RETRY_AFTER_MS, reason: 'no_coordinator' };
     while (clock.monotonic() < deadline) {
-      let isElsewhere = false;
-      const verdict = this.verdictOn(demand);
+      let isHeldElsewhere = false;
+      const verdict = this.quarantineVerdict(demand);
       if (verdict !== undefined) return this.refuseQuarantined(demand, verdict);
       const quotes = await this.bestQuotes(demand, deadline, targetAt);
-      if (quotes.anyAnswered) refusal = { ...refusal, reason: 'no_place' };
+      if (quotes.hasAnswer) refusal = { ...refusal, reason: 'no_place' };
       for (const { message } of quotes.usable) {
         const leftMs = deadline - clock.monotonic();
         const final = {
           ...message,
           quote: false,
-          withinMs: Math.floor(leftMs - Math.min(ANSWER_MARGIN_MS, leftMs * ANSWER_MARGIN_SHARE)),
+          withinMs: Math.floor(leftMs - Math.min(ANSWER_MARGIN_MS, leftMs * MAX_ANSWER_MARGIN_SHARE)),
         };
-        const answer = await this.ask(final, leftMs);
+        const answer = await this.sendDemand(final, leftMs);
         if (answer === undefined) continue;
         if (answer.held) return { held: true, backEndId: answer.backEndId };
         refusal = { held: false, retryAfterMs: answer.retryAfterMs, reason: answer.reason };
-        isElsewhere = answer.reason === HELD_ELSEWHERE;
-        if (isElsewhere) break;
+        isHeldElsewhere = answer.reason === HELD_ELSEWHERE;
+        if (isHeldElsewhere) break;
         if (answer.reason !== 'not_acting') return refusal;
       }
-      if (!isElsewhere) await sleep(clock, NO_COORDINATOR_PAUSE_MS);
+      if (!isHeldElsewhere) await sleep(clock, ATTEMPT_PAUSE_MS);
     }
     return refusal;
   }
 
   /** Why what a demand needs is not loaded by any coordinator; undefined where it may be. */
-  private verdictOn({ service, target, without }: ResidencyDemand): Verdict | undefined {
+  private quarantineVerdict({ service, target, without }: ResidencyDemand): Verdict | undefined {
     const { directory, quarantine } = this.options;
     const { model } = target;
     const isHeld = directory.holdersOf(service, { model }).some(({ id }) => !without.includes(id));
@@ -189,42 +192,46 @@
     targetAt: number,
   ): Promise<CollectedQuotes> {
     const now = this.options.clock.monotonic();
-    this.noteZonesWithoutCoordinator(demand.service);
+    this.recordZonesWithoutCoordinator(demand.service);
     const mayUseStore = !this.hasUsableCopy(demand);
     const asked = this.zonesFor(demand.service, demand.target).map((zone) =>
-      this.quote({ ...messageOf(zone, demand, deadline - now, targetAt - now), mayUseStore, quote: true }),
+      this.requestQuote({
+        ...messageOf(zone, demand, deadline - now, targetAt - now),
+        mayUseStore,
+        quote: true,
+      }),
     );
-    const { usable, anyAnswered } = await this.collectQuotes(asked);
-    return { usable: [...usable].sort((left, right) => left.costMs - right.costMs), anyAnswered };
+    const { usable, hasAnswer } = await this.collectQuotes(asked);
+    return { usable: [...usable].sort((left, right) => left.costMs - right.costMs), hasAnswer };
   }
 
   /** Quotes that promise a load: all of them, or those that came soon after the first. */
   private async collectQuotes(asked: readonly Promise<Quote | undefined>[]): Promise<CollectedQuotes> {
     const usable: Quote[] = [];
-    let anyAnswered = false;
-    let noteFirst: () => void = () => undefined;
+    let hasAnswer = false;
+    let resolveFirst: () => void = () => undefined;
     const first = new Promise<void>((resolve) => {
-      noteFirst = resolve;
+      resolveFirst = resolve;
     });
     const all = Promise.all(
       asked.map(async (pending) => {
         const quote = await pending;
         if (quote === undefined) return;
-        anyAnswered = true;
+        hasAnswer = true;
         if (!Number.isFinite(quote.costMs)) return;
         usable.push(quote);
-        noteFirst();
+        resolveFirst();
       }),
     );
     await Promise.race([first, all]);
-    if (usable.length > 0) await settleWithin(this.options.clock, FURTHER_QUOTES_MS, all);
-    return { usable: [...usable], anyAnswered };
+    if (usable.length > 0) await settleWithin(this.options.clock, FURTHER_QUOTES_TIMEOUT_MS, all);
+    return { usable: [...usable], hasAnswer };
   }
 
-  private noteZonesWithoutCoordinator(service: string): void {
+  private recordZonesWithoutCoordinator(service: string): void {
     const { directory, coordinators } = this.options;
     for (const zone of new Set(directory.ofService(service).map((backEnd) => backEnd.zone))) {
-      if (coordinators.of(zone) === undefined) this.reach.noteSilence(zone);
+      if (coordinators.of(zone) === undefined) this.reachability.recordFailure(zone);
     }
   }
 
@@ -236,15 +243,15 @@
         (backEnd) =>
           !backEnd.draining &&
           !without.includes(backEnd.id) &&
-          !this.reach.isOutOfReach(backEnd.zone) &&
-          hasCopy(backEnd, target.model),
+          !this.reachability.isUnreachable(backEnd.zone) &&
+          hasLocalCopy(backEnd, target.model),
       );
   }
 
-  private async quote(message: ResidencyDemandMessage): Promise<Quote | undefined> {
-    const answer = await this.ask(message, QUOTE_LIMIT_MS);
-    if (answer === undefined) this.reach.noteSilence(message.zone);
-    else this.reach.noteAnswer(message.zone);
+  private async requestQuote(message: ResidencyDemandMessage): Promise<Quote | undefined> {
+    const answer = await this.sendDemand(message, QUOTE_TIMEOUT_MS);
+    if (answer === undefined) this.reachability.recordFailure(message.zone);
+    else this.reachability.recordAnswer(message.zone);
     if (answer?.reason !== QUOTE_REASON) return undefined;
     const costMs = answer.retryAfterMs + (answer.occupiesMs ?? 0) * OCCUPANCY_WEIGHT;
     return { message, costMs };
@@ -257,7 +264,7 @@
     const nearby = new Map<string, number>();
     for (const backEnd of directory.ofService(service)) {
       if (backEnd.draining) continue;
-      nearby.set(backEnd.zone, (nearby.get(backEnd.zone) ?? 0) + (hasCopy(backEnd, model) ? 1 : 0));
+      nearby.set(backEnd.zone, (nearby.get(backEnd.zone) ?? 0) + (hasLocalCopy(backEnd, model) ? 1 : 0));
     }
     const zones = [...nearby.keys()]
       .filter((zone) => coordinators.of(zone) !== undefined)
@@ -268,17 +275,17 @@
   }
 
   /** Undefined when the coordinator does not answer. */
-  private async ask(
+  private async sendDemand(
     message: ResidencyDemandMessage,
-    limitMs: number,
+    timeoutMs: number,
   ): Promise<ResidencyDemandAnswer | undefined> {
     const { coordinators, peers, clock } = this.options;
     const { zone } = message;
     const coordinator = coordinators.of(zone);
-    if (coordinator === undefined || limitMs <= 0) return undefined;
+    if (coordinator === undefined || timeoutMs <= 0) return undefined;
     const askedAt = clock.monotonic();
     const answered = peers
-      .call(coordinator.address, residencyDemandMethod, message, { timeoutMs: limitMs })
+      .call(coordinator.address, residencyDemandMethod, message, { timeoutMs })
       .catch((error: unknown) => {
         // No answer: another zone is asked, or the same one again.
         this.options.failures.note(message.quote === true ? 'quote' : 'demand', coordinator.memberId, error);
@@ -286,8 +293,8 @@
       });
     for (;;) {
       const settled = await settleWithin(clock, COORDINATOR_CHECK_MS, answered);
-      const isStillThere = coordinators.of(zone)?.memberId === coordinator.memberId;
-      if (!settled.timedOut || !isStillThere) {
+      const isStillCoordinator = coordinators.of(zone)?.memberId === coordinator.memberId;
+      if (!settled.timedOut || !isStillCoordinator) {
         const answer = settled.timedOut ? undefined : settled.value;
         this.logAnswer(coordinator.memberId, message, clock.monotonic() - askedAt, answer);
         return answer;
--- a/packages/residency/src/index.ts
+++ b/packages/residency/src/index.ts
@@ -1,5 +1,5 @@
 /** Which model is resident on which worker. */
-export * from './copies.js';
+export * from './local-copies.js';
 export * from './demand-router.js';
 export * from './lease-contacts.js';
 export * from './load-admission.js';
@@ -16,9 +16,9 @@
 export * from './placement-choice.js';
 export * from './resident-set.js';
 export * from './residency-service.js';
-export * from './return-promises.js';
+export * from './retry-reservations.js';
 export * from './store-link.js';
 export * from './unserved-models.js';
 export * from './worker-orders.js';
-export * from './zone-reach.js';
+export * from './zone-reachability.js';
 export * from './zone-residency.js';
--- a/packages/residency/src/lease-contacts.ts
+++ b/packages/residency/src/lease-contacts.ts
@@ -54,13 +54,13 @@
 }
 
 /** Witnesses of a lease where there are enough daemons: one may be lost. */
-const WITNESSES = 3;
+const WITNESS_COUNT = 3;
 /** Milliseconds that a witness has to answer. */
-const ANSWER_LIMIT_MS = 300;
+const CALL_TIMEOUT_MS = 300;
 /** Rounds in which a candidate asks for a refusal before it looks at the record again. */
-const REFUSAL_ROUNDS = 3;
+const MAX_REFUSAL_ROUNDS = 3;
 /** Least pause between two such rounds, in milliseconds. */
-const LEAST_ROUND_PAUSE_MS = 100;
+const MIN_ROUND_PAUSE_MS = 100;
 
 /** Contacts of one daemon. */
 export class LeaseContacts {
@@ -74,7 +74,7 @@
   start(): void {
     const { peers, instance, onResume } = this.options;
     peers.handle(leaseContactMethod, (message) => ({ accepted: this.witness.contact(message), instance }));
-    peers.handle(leaseRefusalMethod, (message) => this.refuseHere(message));
+    peers.handle(leaseRefusalMethod, (message) => this.answerRefusalRequest(message));
     peers.handle(leaseResumeMethod, ({ zone }) => {
       onResume(zone);
       return {};
@@ -86,10 +86,15 @@
    *
    * @param zone Zone that the lease is for: its daemons share the fate of its workers' links.
    */
-  choose(zone: string, named: readonly WitnessId[], silent: readonly WitnessId[]): readonly WitnessId[] {
+  chooseWitnesses(
+    zone: string,
+    named: readonly WitnessId[],
+    unresponsive: readonly WitnessId[],
+  ): readonly WitnessId[] {
     const { self, members } = this.options;
-    const isSilent = ({ id }: RunningMember): boolean => silent.some((witness) => witness.id === id);
-    const usable = members().filter((member) => member.id !== self.id && !isSilent(member));
+    const isUnresponsive = ({ id }: RunningMember): boolean =>
+      unresponsive.some((witness) => witness.id === id);
+    const usable = members().filter((member) => member.id !== self.id && !isUnresponsive(member));
     const isNamed = (member: RunningMember): boolean =>
       named.some(({ id, instance }) => id === member.id && instance === member.instance);
     const rank = (member: RunningMember): number =>
@@ -97,7 +102,7 @@
     const ranked = rankByRendezvous(`witness ${zone}`, usable).sort(
       (left, right) => rank(right) - rank(left),
     );
-    const count = ranked.length >= WITNESSES ? WITNESSES : Math.min(1, ranked.length);
+    const count = ranked.length >= WITNESS_COUNT ? WITNESS_COUNT : Math.min(1, ranked.length);
     return ranked.slice(0, count).map(({ id, instance }) => ({ id, instance }));
   }
 
@@ -106,13 +111,13 @@
    * have long been silent: coordinators whose witnesses had been restarted did not act for 1.9 s (84 demands turned away, a play with
    * all logs), and 0.25 s since (22).
    */
-  mayReachMajority({ witnesses }: StoreLease): boolean {
+  canReachMajority({ witnesses }: StoreLease): boolean {
     const running = witnesses.filter((witness) => this.runningMember(witness) !== undefined);
     return witnesses.length === 0 || running.length >= majorityOf(witnesses);
   }
 
   /** Asks the witnesses of a lease held here to let it go on. */
-  async touch(name: string, lease: StoreLease): Promise<void> {
+  async contactWitnesses(name: string, lease: StoreLease): Promise<void> {
     const { clock, peers, failures } = this.options;
     const { era, revision } = lease.position;
     await Promise.all(
@@ -122,7 +127,7 @@
         const askedAt = clock.elapsed();
         const message = { lease: name, era, revision };
         const answer = await peers
-          .call(member.address, leaseContactMethod, message, { timeoutMs: ANSWER_LIMIT_MS })
+          .call(member.address, leaseContactMethod, message, { timeoutMs: CALL_TIMEOUT_MS })
           .catch((error: unknown) => {
             // Noticed by the time since it last answered.
             failures.note('lease contact', witness.id, error);
@@ -135,7 +140,7 @@
   }
 
   /** Has the holder of a record refused by most of its witnesses; undefined when they do not agree in time. */
-  async refuse(
+  async requestRefusal(
     name: string,
     { record, era, revision }: StoredLease,
     signal: AbortSignal,
@@ -143,14 +148,14 @@
     const position = { era, revision };
     const needed = majorityOf(record.witnesses);
     if (record.witnesses.length === 0) return undefined;
-    for (let round = 0; round < REFUSAL_ROUNDS && !signal.aborted; round += 1) {
+    for (let round = 0; round < MAX_REFUSAL_ROUNDS && !signal.aborted; round += 1) {
       const answers = await Promise.all(
-        record.witnesses.map((witness) => this.askRefusal(name, position, witness)),
+        record.witnesses.map((witness) => this.requestWitnessRefusal(name, position, witness)),
       );
-      const known = answers.filter((answer) => answer !== undefined);
-      if (known.length < needed) return undefined;
-      const agreed = known.filter((answer) => answer.agreed);
-      const lastContactAgoMs = Math.min(...known.map((answer) => answer.lastContactAgoMs));
+      const received = answers.filter((answer) => answer !== undefined);
+      if (received.length < needed) return undefined;
+      const agreed = received.filter((answer) => answer.agreed);
+      const lastContactAgoMs = Math.min(...received.map((answer) => answer.lastContactAgoMs));
       if (agreed.length >= needed) {
         return {
           ...position,
@@ -158,7 +163,7 @@
           lastContactAgoMs: Math.min(...agreed.map((answer) => answer.lastContactAgoMs)),
         };
       }
-      const pauseMs = Math.max(LEAST_ROUND_PAUSE_MS, CONTACT_LIFETIME_MS - lastContactAgoMs);
+      const pauseMs = Math.max(MIN_ROUND_PAUSE_MS, CONTACT_LIFETIME_MS - lastContactAgoMs);
       await sleep(this.options.clock, pauseMs, signal);
     }
     return undefined;
@@ -168,11 +173,13 @@
    * Has whoever holds a lease refused by every daemon that is known, as the store was restored and does not tell which are its witnesses; undefined
    * unless all agree.
    */
-  async refuseEverywhere(name: string, position: StorePosition): Promise<RefusedHolder | undefined> {
+  async requestRefusalFromAll(name: string, position: StorePosition): Promise<RefusedHolder | undefined> {
     const known = this.options.knownMembers();
     // One that is lost may only be out of reach, and be a witness, or the holder.
     if (!known.every(({ isPresent }) => isPresent)) return undefined;
-    const answers = await Promise.all(known.map((member) => this.askMember(name, position, member)));
+    const answers = await Promise.all(
+      known.map((member) => this.requestMemberRefusal(name, position, member)),
+    );
     const agreed = answers.filter((answer) => answer?.agreed === true);
     if (agreed.length < known.length) return undefined;
     return {
@@ -183,12 +190,12 @@
   }
 
   /** Tells the holder of a record to take its lease back, if it has been started again since. */
-  resumeRestarted(zone: string, { record }: StoredLease): boolean {
+  notifyRestartedHolder(zone: string, { record }: StoredLease): boolean {
     const { members, peers, failures } = this.options;
     const holder = members().find(({ id }) => id === record.holder);
     if (holder === undefined || holder.instance === record.instance) return false;
     peers
-      .call(holder.address, leaseResumeMethod, { zone }, { timeoutMs: ANSWER_LIMIT_MS })
+      .call(holder.address, leaseResumeMethod, { zone }, { timeoutMs: CALL_TIMEOUT_MS })
       .catch((error: unknown) => {
         // It is told again with the next look at the lease.
         failures.note('lease resume', holder.id, error);
@@ -196,7 +203,7 @@
     return true;
   }
 
-  private async askRefusal(
+  private async requestWitnessRefusal(
     name: string,
     position: StorePosition,
     witness: WitnessId,
@@ -204,19 +211,19 @@
     const { self, instance } = this.options;
     if (witness.id === self.id && witness.instance !== instance) return undefined;
     const member = this.runningMember(witness);
-    return member === undefined ? undefined : this.askMember(name, position, member);
+    return member === undefined ? undefined : this.requestMemberRefusal(name, position, member);
   }
 
-  private async askMember(
+  private async requestMemberRefusal(
     name: string,
     position: StorePosition,
     { id, address, instance }: RunningMember,
   ): Promise<LeaseRefusalAnswer | undefined> {
     const { peers, self, failures } = this.options;
     const message = { lease: name, ...position };
-    if (id === self.id) return this.refuseHere(message);
+    if (id === self.id) return this.answerRefusalRequest(message);
     const answer = await peers
-      .call(address, leaseRefusalMethod, message, { timeoutMs: ANSWER_LIMIT_MS })
+      .call(address, leaseRefusalMethod, message, { timeoutMs: CALL_TIMEOUT_MS })
       .catch((error: unknown) => {
         // A daemon that does not answer has not agreed.
         failures.note('lease refusal', id, error);
@@ -226,7 +233,7 @@
   }
 
   /** A holder that may still act agrees to no refusal, its own included. */
-  private refuseHere(message: LeaseRefusalMessage): LeaseRefusalAnswer {
+  private answerRefusalRequest(message: LeaseRefusalMessage): LeaseRefusalAnswer {
     const { instance, mayStillAct } = this.options;
     if (mayStillAct(message.lease)) return { agreed: false, lastContactAgoMs: 0, instance };
     return { ...this.witness.refuse(message), instance };
--- a/packages/residency/src/load-admission.ts
+++ b/packages/residency/src/load-admission.ts
@@ -13,7 +13,7 @@
   /** Zones with workers that run models. */
   readonly zones: () => readonly string[];
   /** Milliseconds until a model that another zone loads now is expected there; Infinity when none does. */
-  readonly comesElsewhereInMs: (model: string) => number;
+  readonly expectedElsewhereInMs: (model: string) => number;
   readonly quarantine: LoadQuarantine;
   readonly clock: Clock;
 }
@@ -22,7 +22,7 @@
  * Time by which each further zone waits longer before it tries a suspect, in milliseconds, so that it hears of the zones before
  * it: an end is found out up to 300 ms after it was noticed, and coordinators tell every 300 ms what they load.
  */
-const ZONE_TURN_MS = 600;
+const ZONE_STAGGER_MS = 600;
 
 /** Admission of one zone's loads. */
 export class LoadAdmission {
@@ -39,20 +39,20 @@
    * @param isLoadingHere Whether another load of the same model is under way in this zone.
    */
   mayBegin({ service, model, demands }: DemandGroup, isLoadingHere: boolean): boolean {
-    const { quarantine, comesElsewhereInMs, clock } = this.options;
-    const endedAt = quarantine.lastEndOf(service, { model });
-    if (endedAt === undefined) return true;
+    const { quarantine, expectedElsewhereInMs, clock } = this.options;
+    const lastCrashAt = quarantine.lastEndOf(service, { model });
+    if (lastCrashAt === undefined) return true;
     if (isLoadingHere || quarantine.isUnderWay(service, { model })) return false;
-    if (comesElsewhereInMs(model) !== Infinity) return false;
+    if (expectedElsewhereInMs(model) !== Infinity) return false;
     const wantedSince = Math.min(...demands.map(({ arrivedAt }) => arrivedAt));
-    return clock.monotonic() - Math.max(endedAt, wantedSince) >= this.turnMs(model);
+    return clock.monotonic() - Math.max(lastCrashAt, wantedSince) >= this.staggerMs(model);
   }
 
   /** Time for which this zone leaves a suspect to the zones before it, in an order that all daemons agree on. */
-  private turnMs(model: string): number {
+  private staggerMs(model: string): number {
     const { zone, zones } = this.options;
     const candidates = zones().map((id) => ({ id }));
     const rank = rankByRendezvous(model, candidates).findIndex(({ id }) => id === zone);
-    return Math.max(0, rank) * ZONE_TURN_MS;
+    return Math.max(0, rank) * ZONE_STAGGER_MS;
   }
 }
--- a/packages/residency/src/load-plan.ts
+++ b/packages/residency/src/load-plan.ts
@@ -40,46 +40,46 @@
  * Loads that a plan works out one by one, the most urgent first: a bound on the work of planning. Further groups are taken to
  * occupy the workers evenly, for the mean time of these.
  */
-const LARGEST_PLAN = 48;
+const MAX_PLANNED_LOADS = 48;
 /** Time that a load from a disk usually takes, what makes way included, in milliseconds. */
-const USUAL_LOAD_MS = 1000;
+const TYPICAL_LOAD_MS = 1000;
 /** Targets that lie further ahead than this hardly count yet, in milliseconds. */
-const LOOK_AHEAD_MS = 1500;
+const URGENCY_DECAY_MS = 1500;
 /** What an answer is worth that comes too late for its target, as a part of one in time. */
-const LATE_WEIGHT = 0.2;
+const LATE_DEMAND_WEIGHT = 0.2;
 
 /** Loads of a zone in the order of urgency, and where one more group would come in. */
 export class LoadPlan {
   /**
    * @param loads Groups for which no worker can make room are left out and take nothing of the bound.
    * @param steps By falling urgency.
-   * @param passedOver Urgencies of the groups beyond the bound, falling.
+   * @param unplannedUrgencies Urgencies of the groups beyond the bound, falling.
    */
   constructor(
     readonly loads: readonly PlannedLoad[],
     private readonly steps: readonly PlanStep[],
-    private readonly last: readonly PlacementCandidate[],
-    private readonly passedOver: readonly number[],
+    private readonly finalCandidates: readonly PlacementCandidate[],
+    private readonly unplannedUrgencies: readonly number[],
   ) {}
 
   /** Workers as a group of some urgency finds them: occupied by the loads of the groups before it. */
   candidatesFor(urgency: number): readonly PlacementCandidate[] {
     const step = this.steps.find((candidate) => candidate.urgency < urgency);
     if (step !== undefined) return step.candidates;
-    const before = this.passedOver.filter((passed) => passed >= urgency).length;
-    return before === 0 ? this.last : occupiedBy(before, this.loads, this.last);
+    const before = this.unplannedUrgencies.filter((passed) => passed >= urgency).length;
+    return before === 0 ? this.finalCandidates : occupyEvenly(before, this.loads, this.finalCandidates);
   }
 }
 
 /** Plans the loads of groups that wait. */
-export function planLoads({ groups, candidates: free, choose, now }: LoadPlanInputs): LoadPlan {
-  let candidates = free;
+export function planLoads({ groups, candidates: initialCandidates, choose, now }: LoadPlanInputs): LoadPlan {
+  let candidates = initialCandidates;
   const loads: PlannedLoad[] = [];
   const steps: PlanStep[] = [];
-  const passedOver: number[] = [];
-  for (const { group, urgency } of ranked(groups, now)) {
-    if (loads.length >= LARGEST_PLAN) {
-      passedOver.push(urgency);
+  const unplannedUrgencies: number[] = [];
+  for (const { group, urgency } of rankByUrgency(groups, now)) {
+    if (loads.length >= MAX_PLANNED_LOADS) {
+      unplannedUrgencies.push(urgency);
       continue;
     }
     steps.push({ urgency, candidates });
@@ -93,45 +93,45 @@
       candidate.backEnd.id === id ? { ...candidate, busyMs: choice.readyMs } : candidate,
     );
   }
-  return new LoadPlan(loads, steps, candidates, passedOver);
+  return new LoadPlan(loads, steps, candidates, unplannedUrgencies);
 }
 
 /** Candidates as they are once they have taken a number of loads more, each of the mean time of those planned. */
-function occupiedBy(
+function occupyEvenly(
   count: number,
   planned: readonly PlannedLoad[],
   candidates: readonly PlacementCandidate[],
 ): readonly PlacementCandidate[] {
   const totalMs = planned.reduce((sum, { choice }) => sum + choice.unloadMs + choice.loadMs, 0);
-  const moreMs = (count * totalMs) / planned.length / Math.max(1, candidates.length);
-  return candidates.map((candidate) => ({ ...candidate, busyMs: candidate.busyMs + moreMs }));
+  const addedMs = (count * totalMs) / planned.length / Math.max(1, candidates.length);
+  return candidates.map((candidate) => ({ ...candidate, busyMs: candidate.busyMs + addedMs }));
 }
 
 /** Time that word of a model which makes way takes to all daemons, in milliseconds: two reports of relays. */
-const TELLING_MS = 500;
+const RETIREMENT_PROPAGATION_MS = 500;
 
 /**
  * Models that make way for the load that is planned next on each occupied worker, by worker. Left out are workers that
  * are not free by the time at which the runs of these models should have ended, and models that are still needed when
  * the worker is free.
  */
-export function victimsAhead(plan: readonly PlannedLoad[]): ReadonlyMap<string, readonly string[]> {
+export function victimsToRetire(plan: readonly PlannedLoad[]): ReadonlyMap<string, readonly string[]> {
   const victims = new Map<string, readonly string[]>();
   for (const { choice, startsNow } of plan) {
     const { backEnd, busyMs } = choice.candidate;
     if (victims.has(backEnd.id)) continue;
-    const isSoon = !startsNow && busyMs > 0 && busyMs <= choice.unloadMs + TELLING_MS;
+    const isSoon = !startsNow && busyMs > 0 && busyMs <= choice.unloadMs + RETIREMENT_PROPAGATION_MS;
     victims.set(backEnd.id, isSoon && choice.notBeforeMs <= busyMs ? choice.victims : []);
   }
   return victims;
 }
 
 /** Groups by urgency, the most urgent first. */
-export function byUrgency(groups: readonly DemandGroup[], now: number): DemandGroup[] {
-  return ranked(groups, now).map(({ group }) => group);
+export function sortByUrgency(groups: readonly DemandGroup[], now: number): DemandGroup[] {
+  return rankByUrgency(groups, now).map(({ group }) => group);
 }
 
-function ranked(
+function rankByUrgency(
   groups: readonly DemandGroup[],
   now: number,
 ): { readonly group: DemandGroup; readonly urgency: number }[] {
@@ -148,14 +148,16 @@
 export function urgencyOf({ demands }: Pick<DemandGroup, 'demands'>, now: number): number {
   let urgency = 0;
   for (const { targetAt, deadline } of demands) {
-    const slackMs = targetAt - now - USUAL_LOAD_MS;
+    const slackMs = targetAt - now - TYPICAL_LOAD_MS;
     urgency +=
-      slackMs >= 0 ? nearness(slackMs) : LATE_WEIGHT * (1 + nearness(deadline - now - USUAL_LOAD_MS));
+      slackMs >= 0
+        ? proximity(slackMs)
+        : LATE_DEMAND_WEIGHT * (1 + proximity(deadline - now - TYPICAL_LOAD_MS));
   }
   return urgency;
 }
 
 /** From 0 for a moment far away to 1 for one that has come. */
-function nearness(leftMs: number): number {
-  return Math.exp(-Math.max(0, leftMs) / LOOK_AHEAD_MS);
+function proximity(remainingMs: number): number {
+  return Math.exp(-Math.max(0, remainingMs) / URGENCY_DECAY_MS);
 }
--- a/packages/residency/src/load-planner.ts
+++ b/packages/residency/src/load-planner.ts
@@ -7,7 +7,7 @@
 import type { Clock } from '@woodbarrow/runtime';
 import { planLoads, urgencyOf, type LoadPlan, type PlannedLoad } from './load-plan.js';
 import type { LoadTimes } from './load-times.js';
-import { RememberedLoads, remembered, type LoadView } from './load-view.js';
+import { MemoizedLoads, memoize, type LoadView } from './load-view.js';
 import { LoadWindow } from './load-window.js';
 import type { DemandGroup, NoPlaceCause } from './pending-demand.js';
 import {
@@ -19,7 +19,7 @@
   type RankedVictim,
 } from './placement-choice.js';
 import type { ResidentSet } from './resident-set.js';
-import type { ReturnPromises } from './return-promises.js';
+import type { RetryReservations } from './retry-reservations.js';
 import type { StoreLink, StoreLoad } from './store-link.js';
 import type { UnservedModels } from './unserved-models.js';
 import type { WorkerOrders } from './worker-orders.js';
@@ -59,60 +59,60 @@
 }
 
 /** A plan with all that it was made from, for groups that come a moment later. */
-export interface Outlook {
+export interface PlanSnapshot {
   readonly plan: LoadPlan;
   /** Monotonic time at which it was made. */
   readonly madeAt: number;
   /** Places a group with what the groups before it leave; undefined when no worker can make room. */
   readonly place: (group: DemandGroup) => PlacementChoice | undefined;
   /** Why there is no place for a group. */
-  readonly whyNoPlace: (group: DemandGroup) => NoPlaceCause;
+  readonly noPlaceCause: (group: DemandGroup) => NoPlaceCause;
 }
 
 /** Limits of a placement that are set otherwise than usual. */
-type PlacementLimits = Partial<Pick<PlacementInputs, 'maximumVictimValue' | 'storeWaitMs'>>;
+type PlacementOverrides = Partial<Pick<PlacementInputs, 'maximumVictimValue' | 'storeWaitMs'>>;
 
 /** Loads allowed in a window beside the rate. */
 const WINDOW_EXTRA_LOADS = 3;
 /** Part of the allowed loads that is used; what other zones do at a change of hands is not known. */
-const WINDOW_SAFETY = 0.85;
+const WINDOW_SAFETY_FACTOR = 0.85;
 /** Another replica takes the place only of models that are asked for clearly less, by this factor. */
-const ANOTHER_REPLICA_SHARE = 0.5;
+const REPLICA_VICTIM_VALUE_SHARE = 0.5;
 /** Models that are asked for less than this make way for any request. */
-const LEAST_VICTIM_VALUE = 3;
+const MIN_VICTIM_VALUE_LIMIT = 3;
 /**
  * Time in which a model that is asked for in vain may displace twice as much, in milliseconds. Recent demand counts hundreds at
  * most, which is reached in seven seconds: less than clients of rarely used models wait, and more than a usual swap takes.
  */
-const AGE_DOUBLING_MS = 1000;
+const VICTIM_LIMIT_DOUBLING_MS = 1000;
 /** Part of the weight store's link that second replicas may use; the rest is for models that nobody has. */
-const ANOTHER_REPLICA_LINK_SHARE = 0.5;
+const REPLICA_LINK_SHARE = 0.5;
 
 /** Planner of one zone's loads. */
 export class LoadPlanner {
   private readonly window: LoadWindow;
-  private storeLimit = 1;
+  private storeWindowLimit = 1;
 
   constructor(
     private readonly options: LoadPlannerOptions,
-    private readonly promises: ReturnPromises,
+    private readonly reservations: RetryReservations,
     private readonly unserved: Pick<UnservedModels, 'waitedMs'>,
   ) {
     const { storeWindow, clock, zones } = options;
     this.window = new LoadWindow(
-      { windowMs: storeWindow.windowMs, limit: () => this.storeLimit, sharers: () => zones().length },
+      { windowMs: storeWindow.windowMs, limit: () => this.storeWindowLimit, zoneCount: () => zones().length },
       clock,
     );
   }
 
   /** Plans the loads of groups of demands, the most urgent first; undefined for a service whose workers hold no models. */
-  plan(service: string, groups: readonly DemandGroup[]): Outlook | undefined {
+  plan(service: string, groups: readonly DemandGroup[]): PlanSnapshot | undefined {
     const { clock, serviceOf, link } = this.options;
     const engine = serviceOf(service)?.engine;
     if (engine === undefined) return undefined;
-    link.account();
-    this.storeLimit = this.storeLimitOf(engine);
-    const view = this.viewOf(service, engine);
+    link.accumulateConcurrency();
+    this.storeWindowLimit = this.storeWindowLimitOf(engine);
+    const view = this.createView(service, engine);
     const candidates = this.candidates(service);
     const madeAt = clock.monotonic();
     const plan = planLoads({
@@ -125,11 +125,11 @@
       plan,
       madeAt,
       place: (group) => this.choose(group, plan.candidatesFor(urgencyOf(group, clock.monotonic())), view),
-      whyNoPlace: (group) => this.whyNoPlace(group, candidates, view),
+      noPlaceCause: (group) => this.noPlaceCause(group, candidates, view),
     };
   }
 
-  private whyNoPlace(
+  private noPlaceCause(
     group: DemandGroup,
     candidates: readonly PlacementCandidate[],
     view: PlanView,
@@ -141,17 +141,17 @@
     return this.choose(group, candidates, view, withStore) === undefined ? 'no_memory' : 'store_barred';
   }
 
-  private viewOf(service: string, engine: EngineDefinition): PlanView {
+  private createView(service: string, engine: EngineDefinition): PlanView {
     const { clock, times } = this.options;
-    const loads = new RememberedLoads(this.options.loads);
+    const loads = new MemoizedLoads(this.options.loads);
     const replicasOf = this.countReplicas(service);
     const now = clock.monotonic();
-    const promisedUntil = (name: string): number => this.promises.until(name);
+    const reservedUntil = (name: string): number => this.reservations.reservedUntil(name);
     const victims = new Map<ResidentSet, readonly RankedVictim[]>();
     const victimsOf = (candidate: PlacementCandidate): readonly RankedVictim[] => {
       let ranked = victims.get(candidate.residents);
       if (ranked === undefined) {
-        ranked = rankVictims(candidate, { loads, times, now, promisedUntil, replicasOf });
+        ranked = rankVictims(candidate, { loads, times, now, reservedUntil, replicasOf });
         victims.set(candidate.residents, ranked);
       }
       return ranked;
@@ -165,12 +165,12 @@
   }
 
   /** Whether the weight store bears a load now; loads that begin in one pass count as well. */
-  storeAllows({ group, choice }: PlannedLoad): boolean {
+  canUseStore({ group, choice }: PlannedLoad): boolean {
     return choice.source !== 'store' || this.storeWaitMs(group, choice.loadMs) <= 0;
   }
 
   /** Counts a load from the weight store that begins; undefined for any other. */
-  noteStart({ group, choice }: PlannedLoad): StoreLoad | undefined {
+  recordStart({ group, choice }: PlannedLoad): StoreLoad | undefined {
     if (choice.source !== 'store') return undefined;
     this.window.record();
     const { link, serviceOf } = this.options;
@@ -182,26 +182,27 @@
   private storeWaitMs(group: DemandGroup, loadMs: number): number {
     const { link } = this.options;
     if (!group.demands.some((demand) => demand.mayUseStore)) return Infinity;
-    if (group.another && link.atOnce >= link.limit * ANOTHER_REPLICA_LINK_SHARE) return Infinity;
+    if (group.isAdditionalReplica && link.concurrentLoads >= link.loadLimit * REPLICA_LINK_SHARE)
+      return Infinity;
     return Math.max(this.window.waitMs(), link.waitMs(loadMs));
   }
 
-  private storeLimitOf(engine: EngineDefinition): number {
+  private storeWindowLimitOf(engine: EngineDefinition): number {
     const { windowMs, overshoot } = this.options.storeWindow;
     const allowed = (engine.storeLoadsPerSecond * windowMs * overshoot) / 1000;
-    return Math.floor((allowed + WINDOW_EXTRA_LOADS) * WINDOW_SAFETY);
+    return Math.floor((allowed + WINDOW_EXTRA_LOADS) * WINDOW_SAFETY_FACTOR);
   }
 
   private choose(
     group: DemandGroup,
     available: readonly PlacementCandidate[],
     { engine, loads, replicasOf, victimsOf }: PlanView,
-    limits: PlacementLimits = {},
+    limits: PlacementOverrides = {},
   ): PlacementChoice | undefined {
     const model = engine.models.get(group.model);
     if (model === undefined) return undefined;
     const isUsable = (candidate: PlacementCandidate): boolean =>
-      mayHold(candidate, model.name) &&
+      canLoad(candidate, model.name) &&
       group.demands.some((demand) => !demand.without.includes(candidate.backEnd.id));
     const wanted = loads.demandFor(model.name) + group.demands.length;
     const share = wanted / (replicasOf(model.name) + 1);
@@ -213,22 +214,22 @@
       times: this.options.times,
       storeWaitMs: this.storeWaitMs(group, model.storeLoadMs),
       storeSlowdown: this.options.link.slowdown(),
-      maximumVictimValue: group.another
-        ? share * ANOTHER_REPLICA_SHARE
-        : Math.max(LEAST_VICTIM_VALUE * this.ageFactor(group), share),
+      maximumVictimValue: group.isAdditionalReplica
+        ? share * REPLICA_VICTIM_VALUE_SHARE
+        : Math.max(MIN_VICTIM_VALUE_LIMIT * this.waitFactor(group), share),
       ...limits,
     });
   }
 
   /** How much more a model may displace that has been asked for in vain for a while. */
-  private ageFactor({ service, model }: DemandGroup): number {
-    return 2 ** (this.unserved.waitedMs(service, model) / AGE_DOUBLING_MS);
+  private waitFactor({ service, model }: DemandGroup): number {
+    return 2 ** (this.unserved.waitedMs(service, model) / VICTIM_LIMIT_DOUBLING_MS);
   }
 
   private candidates(service: string): PlacementCandidate[] {
     const { directory, workersOf } = this.options;
     return workersOf(service)
-      .filter((worker) => worker.isKnown && worker.isResponsive)
+      .filter((worker) => worker.isSynchronized && worker.isResponsive)
       .flatMap((worker) => {
         const backEnd = directory.get(worker.backEndId);
         return backEnd === undefined ? [] : [{ backEnd, residents: worker.residents, busyMs: worker.busyMs }];
@@ -238,12 +239,12 @@
   private countReplicas(service: string): (model: string) => number {
     const counts = new Map<string, number>();
     const { directory } = this.options;
-    return (model) => remembered(counts, model, () => directory.holdersOf(service, { model }).length);
+    return (model) => memoize(counts, model, () => directory.holdersOf(service, { model }).length);
   }
 }
 
 /** Whether a worker can load a model now, or once it is free: one that unloads it is soon without it. */
-function mayHold({ residents, busyMs }: PlacementCandidate, model: string): boolean {
+function canLoad({ residents, busyMs }: PlacementCandidate, model: string): boolean {
   const state = residents.models.get(model)?.state;
   return state === undefined || (state === 'unloading' && busyMs > 0);
 }
--- a/packages/residency/src/load-scheduler.ts
+++ b/packages/residency/src/load-scheduler.ts
@@ -6,9 +6,9 @@
 import type { EventLog } from '@woodbarrow/observability';
 import type { LoadUnderWay } from '@woodbarrow/protocol';
 import type { LoadAdmission } from './load-admission.js';
-import { victimsAhead, type PlannedLoad } from './load-plan.js';
-import { CurrentPlans } from './current-plans.js';
-import { LoadPlanner, type LoadPlannerOptions, type Outlook } from './load-planner.js';
+import { victimsToRetire, type PlannedLoad } from './load-plan.js';
+import { PlanCache } from './plan-cache.js';
+import { LoadPlanner, type LoadPlannerOptions, type PlanSnapshot } from './load-planner.js';
 import {
   DemandQueue,
   groupKey,
@@ -23,7 +23,7 @@
   type WantedModel,
 } from './pending-demand.js';
 import type { PlacementChoice } from './placement-choice.js';
-import { ReturnPromises } from './return-promises.js';
+import { RetryReservations } from './retry-reservations.js';
 import { UnservedModels } from './unserved-models.js';
 
 /** Options of {@link LoadScheduler}. */
@@ -32,7 +32,7 @@
   /** Whether orders may be given now. */
   readonly mayAct: () => boolean;
   /** Milliseconds until a model that another zone loads now is expected there; Infinity when none does. */
-  readonly comesElsewhereInMs: (model: string) => number;
+  readonly expectedElsewhereInMs: (model: string) => number;
   readonly admission: LoadAdmission;
   readonly log: EventLog;
   readonly signal: AbortSignal;
@@ -49,7 +49,7 @@
 }
 
 /** A load under way, with the demands that it will serve. */
-interface Loading {
+interface ActiveLoad {
   readonly model: string;
   readonly beganAt: number;
   /** Milliseconds after which the model was expected to be resident, when it began. */
@@ -61,45 +61,45 @@
 /** Pause between two plans while demands wait and nothing else causes one, in milliseconds. */
 const PLAN_INTERVAL_MS = 100;
 /** Demands that come within this time are planned together, in milliseconds: little against the 440 ms of the shortest load. */
-const PLAN_PAUSE_MS = 20;
+const PLAN_BATCH_MS = 20;
 /** A load of another zone that takes longer still is not waited for, in milliseconds: one from a disk takes a second. */
-const LONGEST_WAIT_ELSEWHERE_MS = 1200;
+const MAX_WAIT_ELSEWHERE_MS = 1200;
 /** Time after which to come back where no worker can make room, in milliseconds. */
 const NO_PLACE_RETRY_MS = 500;
 /** Recent requests for a model that make a load worth it which is too late for the one that asks. */
-const DEMAND_WORTH_A_LATE_LOAD = 1.8;
+const MIN_DEMAND_FOR_LATE_LOAD = 1.8;
 /** Those who are told to come back later than this are not counted on, in milliseconds. */
-const LONGEST_RETURN_MS = 8000;
+const MAX_EXPECTED_RETRY_MS = 8000;
 /** Added to the time after which to come back, in milliseconds. */
-const RETURN_MARGIN_MS = 50;
+const RETRY_MARGIN_MS = 50;
 /** Time for which a load is still wanted after those who were told to come back should have, in milliseconds. */
-const RETURN_SLACK_MS = 500;
+const RETRY_SLACK_MS = 500;
 
 /** Scheduler of one zone's loads. */
 export class LoadScheduler {
   private readonly queue: DemandQueue;
-  private readonly loading = new Map<string, Loading>();
-  private readonly promises: ReturnPromises;
+  private readonly loading = new Map<string, ActiveLoad>();
+  private readonly reservations: RetryReservations;
   private readonly planner: LoadPlanner;
-  private readonly plans: CurrentPlans;
+  private readonly plans: PlanCache;
   /** Models that were asked for in vain. */
   readonly unserved: UnservedModels;
   private readonly refusals = new Map<RefusedDemandReason, number>();
   /** Services on whose workers models may have been retired. */
-  private readonly retiring = new Set<string>();
-  private ticking = false;
+  private readonly servicesWithRetirements = new Set<string>();
+  private isTicking = false;
   /** Monotonic time of the last {@link schedule}, and whether the next one has been put off. */
-  private scheduledAt = -Infinity;
-  private isPutOff = false;
+  private lastScheduledAt = -Infinity;
+  private isBatchPending = false;
 
   constructor(private readonly options: LoadSchedulerOptions) {
     this.queue = new DemandQueue(options.clock);
-    this.promises = new ReturnPromises(options.clock);
+    this.reservations = new RetryReservations(options.clock);
     this.unserved = new UnservedModels(options.zone, options.clock, options.log);
-    this.planner = new LoadPlanner(options, this.promises, this.unserved);
+    this.planner = new LoadPlanner(options, this.reservations, this.unserved);
     const groupsOf = (service: string): DemandGroup[] =>
       this.queue.all().filter((group) => group.service === service && this.mayBegin(group));
-    this.plans = new CurrentPlans(this.planner, groupsOf, options.clock);
+    this.plans = new PlanCache(this.planner, groupsOf, options.clock);
   }
 
   /**
@@ -111,12 +111,12 @@
     const now = this.options.clock.monotonic();
     const key = groupKey(wanted);
     const loading = this.loading.get(key);
-    if (loading !== undefined) return { readyMs: this.leftOf(loading), occupiesMs: 0 };
-    const outlook = this.plans.of(wanted.service);
-    if (outlook === undefined) return { readyMs: Infinity, occupiesMs: 0, cause: 'no_worker' };
-    const planned = outlook.plan.loads.find(({ group }) => group.key === key)?.choice;
+    if (loading !== undefined) return { readyMs: this.remainingLoadMs(loading), occupiesMs: 0 };
+    const snapshot = this.plans.get(wanted.service);
+    if (snapshot === undefined) return { readyMs: Infinity, occupiesMs: 0, cause: 'no_worker' };
+    const planned = snapshot.plan.loads.find(({ group }) => group.key === key)?.choice;
     if (planned !== undefined && isAllowed(planned, { without, mayUseStore })) {
-      const readyMs = Math.max(0, planned.readyMs - (now - outlook.madeAt));
+      const readyMs = Math.max(0, planned.readyMs - (now - snapshot.madeAt));
       return { readyMs, occupiesMs: planned.loadMs };
     }
     const demand = {
@@ -129,14 +129,14 @@
       settle: () => undefined,
     };
     const asked = { ...wanted, key, demands: [...this.queue.demandsOf(key), demand] };
-    const choice = outlook.place(asked);
-    if (choice === undefined) return this.noPlace(asked, outlook);
+    const choice = snapshot.place(asked);
+    if (choice === undefined) return this.noPlaceQuote(asked, snapshot);
     return { readyMs: choice.readyMs, occupiesMs: choice.loadMs };
   }
 
-  private noPlace(asked: DemandGroup, outlook: Outlook): LoadQuote {
-    const cause = outlook.whyNoPlace(asked);
-    if (!asked.another) this.unserved.note(asked, cause);
+  private noPlaceQuote(asked: DemandGroup, snapshot: PlanSnapshot): LoadQuote {
+    const cause = snapshot.noPlaceCause(asked);
+    if (!asked.isAdditionalReplica) this.unserved.recordRefusal(asked, cause);
     return { readyMs: Infinity, occupiesMs: 0, cause };
   }
 
@@ -170,34 +170,34 @@
   loadsUnderWay(): LoadUnderWay[] {
     return [...this.loading.values()].map((loading) => ({
       model: loading.model,
-      readyInMs: Math.round(this.leftOf(loading)),
+      readyInMs: Math.round(this.remainingLoadMs(loading)),
     }));
   }
 
   /** Something has changed: loads may begin. */
   schedule(): void {
     if (!this.options.mayAct()) return;
-    this.scheduledAt = this.options.clock.monotonic();
-    this.promises.forgetPast();
-    this.unserved.forget((name, model) => this.options.directory.holdersOf(name, { model }).length > 0);
-    for (const { wanted, demand } of this.queue.takeExpired()) this.settleLate(wanted, demand);
+    this.lastScheduledAt = this.options.clock.monotonic();
+    this.reservations.removeExpired();
+    this.unserved.removeServed((name, model) => this.options.directory.holdersOf(name, { model }).length > 0);
+    for (const { wanted, demand } of this.queue.takeExpired()) this.settleExpired(wanted, demand);
     this.settleHeldElsewhere();
     this.settleQuarantined();
     const services = new Set(this.queue.all().map((group) => group.service));
     for (const service of services) this.startLoads(service);
-    for (const service of this.retiring) if (!services.has(service)) this.retire(service, []);
+    for (const service of this.servicesWithRetirements) if (!services.has(service)) this.retire(service, []);
     this.tickWhileWaiting();
   }
 
   /** Demands that come one after the other are planned together. */
-  private scheduleSoon(): void {
+  private scheduleBatched(): void {
     const { clock } = this.options;
-    const pauseMs = PLAN_PAUSE_MS - (clock.monotonic() - this.scheduledAt);
+    const pauseMs = PLAN_BATCH_MS - (clock.monotonic() - this.lastScheduledAt);
     if (pauseMs <= 0) this.schedule();
-    if (pauseMs <= 0 || this.isPutOff) return;
-    this.isPutOff = true;
+    if (pauseMs <= 0 || this.isBatchPending) return;
+    this.isBatchPending = true;
     clock.schedule(pauseMs, () => {
-      this.isPutOff = false;
+      this.isBatchPending = false;
       this.schedule();
     });
   }
@@ -212,7 +212,7 @@
     } else if (loading !== undefined) {
       this.attach(wanted, loading, demand);
     } else if (this.queue.add(wanted, demand)) {
-      this.scheduleSoon();
+      this.scheduleBatched();
     } else {
       this.settleRefused(wanted, demand, { kind: 'refused', reason: 'queue_full', retryAfterMs: readyMs });
     }
@@ -225,26 +225,30 @@
     reason: RefusedDemandReason,
     { readyMs, cause }: LoadQuote,
   ): void {
-    const retryAfterMs = reason === 'no_place' ? NO_PLACE_RETRY_MS : readyMs + RETURN_MARGIN_MS;
+    const retryAfterMs = reason === 'no_place' ? NO_PLACE_RETRY_MS : readyMs + RETRY_MARGIN_MS;
     this.settleRefused(wanted, demand, { kind: 'refused', reason, retryAfterMs }, cause);
-    const isAskedFor = this.options.loads.demandFor(wanted.model) >= DEMAND_WORTH_A_LATE_LOAD;
-    if (reason === 'no_place' || (reason === 'loading' && readyMs > LONGEST_RETURN_MS && !isAskedFor)) return;
-    const returnAt = demand.arrivedAt + retryAfterMs;
-    const deadline = returnAt + RETURN_SLACK_MS;
-    this.promises.keep(wanted.model, deadline);
+    const hasRecentDemand = this.options.loads.demandFor(wanted.model) >= MIN_DEMAND_FOR_LATE_LOAD;
+    if (
+      reason === 'no_place' ||
+      (reason === 'loading' && readyMs > MAX_EXPECTED_RETRY_MS && !hasRecentDemand)
+    )
+      return;
+    const retryAt = demand.arrivedAt + retryAfterMs;
+    const deadline = retryAt + RETRY_SLACK_MS;
+    this.reservations.reserve(wanted.model, deadline);
     if (this.loading.has(groupKey(wanted))) return;
     this.queue.add(wanted, {
       ...demand,
-      targetAt: returnAt,
+      targetAt: retryAt,
       deadline,
       isWaiting: () => false,
       settle: () => undefined,
     });
-    this.scheduleSoon();
+    this.scheduleBatched();
   }
 
   /** Its time has passed while it waited: its group may be loaded for others soon. */
-  private settleLate(wanted: WantedModel, demand: PendingDemand): void {
+  private settleExpired(wanted: WantedModel, demand: PendingDemand): void {
     if (!demand.isWaiting()) return;
     const { readyMs } = this.quote(wanted, 0, demand);
     const retryAfterMs = Number.isFinite(readyMs) ? readyMs : NO_PLACE_RETRY_MS;
@@ -255,7 +259,7 @@
   private settleHeldElsewhere(): void {
     const { directory } = this.options;
     for (const group of this.queue.all()) {
-      if (group.another) continue;
+      if (group.isAdditionalReplica) continue;
       const holders = directory.holdersOf(group.service, { model: group.model });
       const isServed = ({ without }: PendingDemand): boolean =>
         holders.some(({ id }) => !without.includes(id));
@@ -281,13 +285,17 @@
 
   /** Whether a load of a group may begin here, as far as other loads of the same model go. */
   private mayBegin(group: DemandGroup): boolean {
-    const isLoadingHere = this.loading.has(groupKey({ ...group, another: !group.another }));
-    return !this.comesElsewhere(group) && this.options.admission.mayBegin(group, isLoadingHere);
+    const isLoadingHere = this.loading.has(
+      groupKey({ ...group, isAdditionalReplica: !group.isAdditionalReplica }),
+    );
+    return !this.isExpectedElsewhere(group) && this.options.admission.mayBegin(group, isLoadingHere);
   }
 
   /** Whether another zone has a group's model before it could be loaded here. */
-  private comesElsewhere(group: DemandGroup): boolean {
-    return !group.another && this.options.comesElsewhereInMs(group.model) <= LONGEST_WAIT_ELSEWHERE_MS;
+  private isExpectedElsewhere(group: DemandGroup): boolean {
+    return (
+      !group.isAdditionalReplica && this.options.expectedElsewhereInMs(group.model) <= MAX_WAIT_ELSEWHERE_MS
+    );
   }
 
   private settleRefused(
@@ -303,7 +311,7 @@
     log.changed('demand_refused', {
       zone,
       model: wanted.model,
-      another: wanted.another,
+      another: wanted.isAdditionalReplica,
       reason: refusal.reason,
       cause,
       leftMs: Math.round(demand.deadline - clock.monotonic()),
@@ -313,43 +321,43 @@
   }
 
   /** A demand that joins a load under way leaves it when its time has passed. */
-  private attach(wanted: WantedModel, loading: Loading, demand: PendingDemand): void {
+  private attach(wanted: WantedModel, loading: ActiveLoad, demand: PendingDemand): void {
     const { clock } = this.options;
     loading.demands.push(demand);
     const leftMs = demand.deadline - clock.monotonic();
     if (!Number.isFinite(leftMs)) return;
     clock.schedule(leftMs, () => {
-      this.settleLate(wanted, demand);
+      this.settleExpired(wanted, demand);
     });
   }
 
   /** Milliseconds that a load is expected to take still. */
-  private leftOf({ beganAt, expectedMs }: Loading): number {
+  private remainingLoadMs({ beganAt, expectedMs }: ActiveLoad): number {
     return remainingMs(expectedMs, this.options.clock.monotonic() - beganAt);
   }
 
   private startLoads(service: string): void {
     // While all workers are occupied a plan only looks ahead, which need not follow each change.
-    if (!this.planner.hasFreeWorker(service) && this.plans.ageOf(service) < PLAN_INTERVAL_MS) return;
-    const loads = this.plans.renew(service)?.plan.loads ?? [];
+    if (!this.planner.hasFreeWorker(service) && this.plans.lastPlanAgeMs(service) < PLAN_INTERVAL_MS) return;
+    const loads = this.plans.rebuild(service)?.plan.loads ?? [];
     // A load that waits for the weight store leaves its worker to the next one, so that a plan may name the same memory for both. Where the store
     // gets room before they begin, both would: workers were ordered beyond their memory by it (one soak of two; 1 seed of 20 at every second question).
-    const taken = new Set<string>();
+    const startedOn = new Set<string>();
     for (const planned of loads) {
       const { id } = planned.choice.candidate.backEnd;
-      if (!planned.startsNow || taken.has(id) || !this.planner.storeAllows(planned)) continue;
+      if (!planned.startsNow || startedOn.has(id) || !this.planner.canUseStore(planned)) continue;
       this.start(planned);
-      taken.add(id);
+      startedOn.add(id);
     }
     this.retire(service, loads);
   }
 
   /** Models that make way next take no new requests, so that their runs end while the load before goes on. */
   private retire(service: string, plan: readonly PlannedLoad[]): void {
-    const victims = victimsAhead(plan);
+    const victims = victimsToRetire(plan);
     for (const worker of this.options.workersOf(service)) worker.retire(victims.get(worker.backEndId) ?? []);
-    if (plan.length > 0) this.retiring.add(service);
-    else this.retiring.delete(service);
+    if (plan.length > 0) this.servicesWithRetirements.add(service);
+    else this.servicesWithRetirements.delete(service);
   }
 
   private start(planned: PlannedLoad): void {
@@ -359,19 +367,19 @@
     const worker = workersOf(group.service).find((candidate) => candidate.backEndId === id);
     if (worker === undefined) return;
     this.logDecision(group, choice);
-    const storeLoad = this.planner.noteStart(planned);
+    const storeLoad = this.planner.recordStart(planned);
     const expectedMs = choice.unloadMs + choice.loadMs;
     const { model } = group;
-    const loading: Loading = { model, beganAt: clock.monotonic(), expectedMs, backEndId: id, demands: [] };
+    const loading: ActiveLoad = { model, beganAt: clock.monotonic(), expectedMs, backEndId: id, demands: [] };
     this.loading.set(group.key, loading);
-    this.plans.drop();
+    this.plans.invalidate();
     for (const demand of this.queue.take(group.key)) this.attach(group, loading, demand);
     const finish = (loaded: boolean): void => {
-      storeLoad?.ended(loaded);
+      storeLoad?.noteEnded(loaded);
       this.finish(group, loading, loaded);
     };
     const { victims, unloadMs, loadMs, source } = choice;
-    const onLoadTaken = storeLoad?.began;
+    const onLoadTaken = storeLoad?.noteAccepted;
     const swap = { model: group.model, victims, unloadMs, loadMs, source };
     worker.swap(onLoadTaken === undefined ? swap : { ...swap, onLoadTaken }).then(finish, () => {
       finish(false);
@@ -379,11 +387,11 @@
   }
 
   /** Demands of a load that did not come about wait for another one. */
-  private finish(group: DemandGroup, loading: Loading, loaded: boolean): void {
+  private finish(group: DemandGroup, loading: ActiveLoad, isLoaded: boolean): void {
     this.loading.delete(group.key);
-    this.plans.drop();
+    this.plans.invalidate();
     for (const demand of loading.demands) {
-      if (loaded) demand.settle({ kind: 'resident', backEndId: loading.backEndId });
+      if (isLoaded) demand.settle({ kind: 'resident', backEndId: loading.backEndId });
       else this.queue.add(group, demand);
     }
     this.schedule();
@@ -391,10 +399,10 @@
 
   /** Time alone can make a load possible: a worker answers again, the weight store bears more. */
   private tickWhileWaiting(): void {
-    if (this.ticking || this.queue.length === 0 || this.options.signal.aborted) return;
-    this.ticking = true;
+    if (this.isTicking || this.queue.length === 0 || this.options.signal.aborted) return;
+    this.isTicking = true;
     this.options.clock.schedule(PLAN_INTERVAL_MS, () => {
-      this.ticking = false;
+      this.isTicking = false;
       this.schedule();
       this.tickWhileWaiting();
     });
@@ -406,7 +414,7 @@
     log.changed('load_decided', {
       zone,
       model: group.model,
-      another: group.another,
+      another: group.isAdditionalReplica,
       waiting: group.demands.length,
       waitedMs: Math.round(clock.monotonic() - oldest),
       queued: this.queue.length,
--- a/packages/residency/src/load-times.ts
+++ b/packages/residency/src/load-times.ts
@@ -5,20 +5,20 @@
 export type WeightSource = 'memory' | 'disk' | 'store';
 
 /** Weight of the newest measurement: a handful of loads outweighs what was believed before. */
-const SMOOTHING = 0.25;
+const SMOOTHING_FACTOR = 0.25;
 /** Loads take no less than this part of the configured time: rounding of the figures, and clocks that drift. */
-const SHORTEST_SHARE = 0.98;
+const MIN_LOAD_TIME_RATIO = 0.98;
 /** Time to unload a model without runs, in milliseconds, until it is measured. */
-const FIRST_UNLOAD_MS = 70;
+const INITIAL_UNLOAD_MS = 70;
 /** Measured over foretold time until runs end is believed within these bounds: single runs say little. */
-const LEAST_END_RATIO = 0.5;
-const LARGEST_END_RATIO = 2;
+const MIN_END_RATIO = 0.5;
+const MAX_END_RATIO = 2;
 
 /** Measured times of one zone's loads and unloads. */
 export class LoadTimes {
   /** Measured over configured time, by source. */
   private readonly ratios = new Map<WeightSource, number>();
-  private idleUnloadMs = FIRST_UNLOAD_MS;
+  private idleUnloadMs = INITIAL_UNLOAD_MS;
   /** Measured over foretold time until the runs of what makes way have ended. */
   private endRatio = 1;
 
@@ -29,7 +29,7 @@
 
   /** Milliseconds before which no load has ended: it is not looked after earlier. */
   shortestLoadMs(model: ModelDefinition, source: WeightSource): number {
-    return configuredMs(model, source) * SHORTEST_SHARE;
+    return configuredMs(model, source) * MIN_LOAD_TIME_RATIO;
   }
 
   /** Expected milliseconds until a model has made way. @param endsInMs Foretold end of its runs; 0 without any. */
@@ -38,19 +38,19 @@
   }
 
   /** Notes a load that has ended. */
-  noteLoad(model: ModelDefinition, source: WeightSource, tookMs: number): void {
+  recordLoad(model: ModelDefinition, source: WeightSource, tookMs: number): void {
     const ratio = tookMs / Math.max(1, configuredMs(model, source));
     this.ratios.set(source, smoothed(this.ratios.get(source) ?? 1, ratio));
   }
 
   /** Notes that a model has made way. @param endsInMs Foretold end of its runs when the unload began. */
-  noteUnload(endsInMs: number, tookMs: number): void {
+  recordUnload(endsInMs: number, tookMs: number): void {
     if (endsInMs <= 0) {
       this.idleUnloadMs = smoothed(this.idleUnloadMs, tookMs);
       return;
     }
     const ratio = Math.max(0, tookMs - this.idleUnloadMs) / endsInMs;
-    this.endRatio = smoothed(this.endRatio, Math.min(LARGEST_END_RATIO, Math.max(LEAST_END_RATIO, ratio)));
+    this.endRatio = smoothed(this.endRatio, Math.min(MAX_END_RATIO, Math.max(MIN_END_RATIO, ratio)));
   }
 }
 
@@ -60,5 +60,5 @@
 }
 
 function smoothed(before: number, measured: number): number {
-  return before + SMOOTHING * (measured - before);
+  return before + SMOOTHING_FACTOR * (measured - before);
 }
--- a/packages/residency/src/load-window.ts
+++ b/packages/residency/src/load-window.ts
@@ -7,28 +7,28 @@
   /** Loads that may begin in a window over all zones; read when needed. */
   readonly limit: () => number;
   /** Number of zones that share the limit. */
-  readonly sharers: () => number;
+  readonly zoneCount: () => number;
 }
 
 /** One zone's loads. */
 export class LoadWindow {
-  private readonly begun: SlidingWindow;
+  private readonly starts: SlidingWindow;
 
   constructor(
     private readonly options: LoadWindowOptions,
     clock: Clock,
   ) {
-    this.begun = new SlidingWindow(options.windowMs, clock);
+    this.starts = new SlidingWindow(options.windowMs, clock);
   }
 
   /** Milliseconds until another load may begin. */
   waitMs(): number {
-    const { limit, sharers } = this.options;
-    return this.begun.waitMs(Math.max(1, Math.floor(limit() / Math.max(1, sharers()))));
+    const { limit, zoneCount } = this.options;
+    return this.starts.waitMs(Math.max(1, Math.floor(limit() / Math.max(1, zoneCount()))));
   }
 
   /** Counts a load that begins now. */
   record(): void {
-    this.begun.add();
+    this.starts.add();
   }
 }
--- a/packages/residency/src/copies.ts
+++ b/packages/residency/src/local-copies.ts
@@ -2,6 +2,6 @@
 import type { BackEnd } from '@woodbarrow/backends';
 
 /** Whether a worker has a copy of a model at hand, which loads in much less time than from the weight store. */
-export function hasCopy({ nearby }: BackEnd, model: string): boolean {
+export function hasLocalCopy({ nearby }: BackEnd, model: string): boolean {
   return nearby.onDisk.includes(model) || nearby.inMemory.includes(model);
 }
--- a/packages/residency/src/order-sender.ts
+++ b/packages/residency/src/order-sender.ts
@@ -38,18 +38,18 @@
 
 /** Reports show a worker as it was up to this long before, in milliseconds. */
 export const REPORT_LAG_MS = 350;
-const SENDS_PER_ORDER = 10;
+const MAX_SEND_ATTEMPTS = 10;
 const CONFLICT_PAUSE_MS = 120;
 const UNKNOWN_PAUSE_MS = 30;
 /** Shortest pause after a conflict with an order that the worker is expected to be carrying out still, in milliseconds. */
-const LEAST_BUSY_PAUSE_MS = 25;
+const MIN_BUSY_PAUSE_MS = 25;
 /** Further pauses, as a part of the time for which it has been busy: what is noticed late is late by this part at most. */
 const BUSY_PAUSE_SHARE = 0.25;
 /** Calls without an answer in a row after which nothing new is asked of a worker for a while. */
-const SILENCES_BEFORE_DOUBT = 2;
-const SILENCE_PAUSE_MS = 2000;
+const MAX_UNANSWERED_CALLS = 2;
+const UNRESPONSIVE_PAUSE_MS = 2000;
 /** Conflicts after which a lower number of orders in a report is believed. */
-const CONFLICTS_BEFORE_DOUBT = 3;
+const CONFLICTS_BEFORE_SEQUENCE_RESET = 3;
 
 /** Sender for one incarnation of a worker. */
 export class OrderSender {
@@ -58,8 +58,8 @@
   private sending: Promise<unknown> = Promise.resolve();
   private queued = 0;
   /** Calls without an answer in a row, and when the last was given up. */
-  private silences = 0;
-  private silentAt = -Infinity;
+  private unansweredCalls = 0;
+  private lastCallAt = -Infinity;
   /** Largest sequence under which an order was sent whose fate is unknown. */
   private uncertainSequence = -1;
 
@@ -72,8 +72,8 @@
 
   /** Whether it has answered of late; one that has not is asked again after a while. */
   get isResponsive(): boolean {
-    if (this.silences < SILENCES_BEFORE_DOUBT) return true;
-    return this.options.clock.monotonic() - this.silentAt > SILENCE_PAUSE_MS;
+    if (this.unansweredCalls < MAX_UNANSWERED_CALLS) return true;
+    return this.options.clock.monotonic() - this.lastCallAt > UNRESPONSIVE_PAUSE_MS;
   }
 
   /** The worker's record. @throws WoodbarrowError when it is gone. */
@@ -90,7 +90,7 @@
       this.options.directory.remove(this.options.backEndId);
       return undefined;
     }
-    this.noteAnswer(report !== undefined);
+    this.recordAnswer(report !== undefined);
     if (report === undefined) this.options.quarantine.unanswered(this.options.backEndId);
     else this.sequence ??= report.sequence;
     return report;
@@ -98,13 +98,13 @@
 
   /** Whether a report shows all that came of the orders sent so far. */
   isSettled(report: WorkerReport): boolean {
-    const isLate = this.options.clock.monotonic() - this.lastSentAt <= REPORT_LAG_MS;
-    const isQuiet = !report.busy && report.incoming.length === 0 && this.queued === 0;
-    return isQuiet && !isLate && report.sequence > this.uncertainSequence;
+    const mayLag = this.options.clock.monotonic() - this.lastSentAt <= REPORT_LAG_MS;
+    const isIdle = !report.busy && report.incoming.length === 0 && this.queued === 0;
+    return isIdle && !mayLag && report.sequence > this.uncertainSequence;
   }
 
   /** Tells what came of a load that was sent. */
-  loadEnded(target: ModelTarget, isLoaded: boolean): void {
+  recordLoadResult(target: ModelTarget, isLoaded: boolean): void {
     const { directory, backEndId, quarantine } = this.options;
     const backEnd = directory.get(backEndId);
     // Of one that is gone the quarantine has been told.
@@ -114,7 +114,7 @@
   }
 
   /** Believes a report about the number of orders taken. */
-  adopt(report: WorkerReport): void {
+  adoptSequence(report: WorkerReport): void {
     this.sequence = report.sequence;
   }
 
@@ -125,7 +125,7 @@
    */
   send(operation: 'load' | 'unload', target: ModelTarget, busyMs = 0): Promise<FinalOutcome> {
     this.queued += 1;
-    const result = this.sending.then(() => this.sendUntilKnown(operation, target, busyMs));
+    const result = this.sending.then(() => this.sendUntilSettled(operation, target, busyMs));
     this.sending = result
       .catch(() => undefined)
       .finally(() => {
@@ -155,26 +155,26 @@
   private async repeatUntilDone(target: ModelTarget, withinMs: number): Promise<FinalOutcome> {
     const { clock, signal } = this.options;
     const startedAt = clock.monotonic();
-    let lookedAt = startedAt;
+    let reportedAt = startedAt;
     while (!signal.aborted && clock.monotonic() - startedAt < withinMs) {
       const outcome = await this.sendOnce('load', target, this.sequence ?? 0);
       if (outcome === 'done') return 'done';
       if (outcome !== 'accepted' && outcome !== 'conflict' && outcome !== 'unknown')
-        return this.noteRefusal(outcome);
+        return this.handleRefusal(outcome);
       await sleep(clock, busyPauseMs(clock.monotonic() - startedAt), signal);
-      if (clock.monotonic() - lookedAt <= REPORT_LAG_MS) continue;
-      lookedAt = clock.monotonic();
-      if (await this.isSurprised(0)) return 'surprised';
+      if (clock.monotonic() - reportedAt <= REPORT_LAG_MS) continue;
+      reportedAt = clock.monotonic();
+      if (await this.hasForeignOrder(0)) return 'surprised';
     }
     return 'unknown';
   }
 
-  private noteRefusal(outcome: OrderOutcome): FinalOutcome {
+  private handleRefusal(outcome: OrderOutcome): FinalOutcome {
     if (outcome === 'gone') this.options.directory.remove(this.options.backEndId);
     return 'refused';
   }
 
-  private async sendUntilKnown(
+  private async sendUntilSettled(
     operation: 'load' | 'unload',
     target: ModelTarget,
     busyMs: number,
@@ -183,8 +183,8 @@
     const startedAt = clock.monotonic();
     let isUncertain = false;
     let conflicts = 0;
-    let lookedAt = startedAt;
-    for (let attempt = 0; attempt < SENDS_PER_ORDER && !signal.aborted; attempt += 1) {
+    let reportedAt = startedAt;
+    for (let attempt = 0; attempt < MAX_SEND_ATTEMPTS && !signal.aborted; attempt += 1) {
       if (this.sequence === undefined && (await this.report()) === undefined) {
         await sleep(clock, CONFLICT_PAUSE_MS, signal);
         continue;
@@ -201,15 +201,15 @@
       } else if (outcome === 'conflict' && !isUncertain && clock.monotonic() - startedAt < busyMs) {
         attempt -= 1;
         await sleep(clock, busyPauseMs(clock.monotonic() - startedAt), signal);
-        if (clock.monotonic() - lookedAt <= REPORT_LAG_MS) continue;
-        lookedAt = clock.monotonic();
-        if (await this.isSurprised(0)) return 'surprised';
+        if (clock.monotonic() - reportedAt <= REPORT_LAG_MS) continue;
+        reportedAt = clock.monotonic();
+        if (await this.hasForeignOrder(0)) return 'surprised';
       } else if (outcome === 'conflict') {
         conflicts += 1;
         await sleep(clock, CONFLICT_PAUSE_MS, signal);
-        if (await this.isSurprised(conflicts)) return isUncertain ? 'unknown' : 'surprised';
+        if (await this.hasForeignOrder(conflicts)) return isUncertain ? 'unknown' : 'surprised';
       } else {
-        return this.noteRefusal(outcome);
+        return this.handleRefusal(outcome);
       }
     }
     return isUncertain ? 'unknown' : 'refused';
@@ -234,7 +234,7 @@
     });
     this.lastSentAt = clock.monotonic();
     const isAnswered = outcome !== 'unknown' && outcome !== 'unreachable';
-    this.noteAnswer(isAnswered);
+    this.recordAnswer(isAnswered);
     if (operation === 'load' && (outcome === 'accepted' || outcome === 'unknown'))
       this.options.quarantine.ordered(backEnd, target, sentAt);
     if (!isAnswered) this.options.quarantine.unanswered(backEndId);
@@ -250,21 +250,21 @@
     return isAnswered ? outcome : 'unknown';
   }
 
-  private noteAnswer(answered: boolean): void {
-    this.silences = answered ? 0 : this.silences + 1;
-    this.silentAt = this.options.clock.monotonic();
+  private recordAnswer(isAnswered: boolean): void {
+    this.unansweredCalls = isAnswered ? 0 : this.unansweredCalls + 1;
+    this.lastCallAt = this.options.clock.monotonic();
   }
 
   /** Whether the worker has taken an order that was not sent from here. */
-  private async isSurprised(conflicts: number): Promise<boolean> {
+  private async hasForeignOrder(conflicts: number): Promise<boolean> {
     const report = await this.report();
     const sequence = this.sequence ?? 0;
     if (report === undefined || report.sequence === sequence) return false;
     if (report.sequence > sequence) return true;
-    return conflicts >= CONFLICTS_BEFORE_DOUBT;
+    return conflicts >= CONFLICTS_BEFORE_SEQUENCE_RESET;
   }
 }
 
 function busyPauseMs(busyForMs: number): number {
-  return Math.max(LEAST_BUSY_PAUSE_MS, busyForMs * BUSY_PAUSE_SHARE);
+  return Math.max(MIN_BUSY_PAUSE_MS, busyForMs * BUSY_PAUSE_SHARE);
 }
--- a/packages/residency/src/pending-demand.ts
+++ b/packages/residency/src/pending-demand.ts
@@ -71,7 +71,7 @@
   readonly service: string;
   readonly model: string;
   /** Wants one more replica beside those there are. */
-  readonly another: boolean;
+  readonly isAdditionalReplica: boolean;
 }
 
 /** All demands that wait for the same. One load serves them together. */
@@ -87,7 +87,7 @@
 }
 
 /** Demands that one coordinator keeps at most. */
-export const MAXIMUM_PENDING_DEMANDS = 2000;
+export const MAX_PENDING_DEMANDS = 2000;
 
 /** Demands that wait, by what they want. */
 export class DemandQueue {
@@ -113,7 +113,7 @@
 
   /** Adds a demand. @returns Whether there was room. */
   add(wanted: WantedModel, demand: PendingDemand): boolean {
-    if (this.size >= MAXIMUM_PENDING_DEMANDS) return false;
+    if (this.size >= MAX_PENDING_DEMANDS) return false;
     const key = groupKey(wanted);
     const group = this.groups.get(key);
     if (group === undefined) this.groups.set(key, { ...wanted, key, demands: [demand] });
@@ -147,6 +147,6 @@
 }
 
 /** Key of what is wanted. */
-export function groupKey({ service, model, another }: WantedModel): string {
-  return `${service} ${model}${another ? ' another' : ''}`;
+export function groupKey({ service, model, isAdditionalReplica }: WantedModel): string {
+  return `${service} ${model}${isAdditionalReplica ? ' another' : ''}`;
 }
--- a/packages/residency/src/placement-choice.ts
+++ b/packages/residency/src/placement-choice.ts
@@ -51,7 +51,7 @@
   readonly times: Pick<LoadTimes, 'unloadMs'>;
   readonly now: number;
   /** Monotonic time until which a model is kept for requests that were told to come back for it. */
-  readonly promisedUntil: (model: string) => number;
+  readonly reservedUntil: (model: string) => number;
   /** Number of workers in all zones that hold a model. */
   readonly replicasOf: (model: string) => number;
 }
@@ -73,15 +73,15 @@
 }
 
 /** Cost of one recent request, per replica, for a model that makes way, in milliseconds. */
-const MS_PER_REQUEST = 300;
+const REQUEST_COST_MS = 300;
 /** Cost of a worker whose adapters are in use: none can be loaded there meanwhile, in milliseconds. */
-const ADAPTERS_HELD_UP_MS = 400;
+const ADAPTER_DELAY_COST_MS = 400;
 /** A worker takes no other load meanwhile: each millisecond of a load costs this many of others' waits. */
 export const OCCUPANCY_WEIGHT = 2;
 /** Time in which the requests that have waited for a model are sent to its worker, in milliseconds. */
-const DISPATCH_MS = 300;
+const DISPATCH_PERIOD_MS = 300;
 /** A model is hardly ever taken away this soon after its load, in milliseconds. */
-const SETTLING_MS = 1500;
+const SETTLING_PERIOD_MS = 1500;
 const SETTLING_COST_MS = 3000;
 
 interface PlacementOption {
@@ -112,11 +112,14 @@
   const loadMs = inputs.times.loadMs(inputs.model, source) * (source === 'store' ? inputs.storeSlowdown : 1);
   const beginMs = Math.max(candidate.busyMs, victims.notBeforeMs) + victims.waitMs;
   const readyMs = Math.max(beginMs, storeWaitMs) + loadMs;
-  const heldUpMs = candidate.residents.adapterCount > 0 ? ADAPTERS_HELD_UP_MS : 0;
+  const adapterDelayMs = candidate.residents.adapterCount > 0 ? ADAPTER_DELAY_COST_MS : 0;
   const { names, notBeforeMs, waitMs: unloadMs } = victims;
   const choice = { candidate, victims: names, readyMs, notBeforeMs, unloadMs, loadMs, source, storeWaitMs };
   return [
-    { choice, costMs: readyMs + victims.costMs + heldUpMs + (victims.waitMs + loadMs) * OCCUPANCY_WEIGHT },
+    {
+      choice,
+      costMs: readyMs + victims.costMs + adapterDelayMs + (victims.waitMs + loadMs) * OCCUPANCY_WEIGHT,
+    },
   ];
 }
 
@@ -136,13 +139,13 @@
   const { loads, times, now } = inputs;
   const { name, weightsMb } = model.definition;
   const value = loads.demandFor(name) / Math.max(1, inputs.replicasOf(name));
-  const settlingMs = now - model.since < SETTLING_MS ? SETTLING_COST_MS : 0;
-  const neededMs = Math.max(0, Math.max(model.since + DISPATCH_MS, inputs.promisedUntil(name)) - now);
+  const settlingCostMs = now - model.since < SETTLING_PERIOD_MS ? SETTLING_COST_MS : 0;
+  const neededMs = Math.max(0, Math.max(model.since + DISPATCH_PERIOD_MS, inputs.reservedUntil(name)) - now);
   return {
     name,
     weightsMb,
     value,
-    costMs: settlingMs + value * MS_PER_REQUEST + neededMs,
+    costMs: settlingCostMs + value * REQUEST_COST_MS + neededMs,
     unloadMs: times.unloadMs(loads.endsInMs(backEnd.id, name)),
     neededMs,
   };
@@ -156,7 +159,7 @@
 function chooseVictims(candidate: PlacementCandidate, inputs: PlacementInputs): VictimSet | undefined {
   const { model, engine, maximumVictimValue } = inputs;
   let missingMb =
-    candidate.residents.committedMb + reserveForAdapters(engine) + model.weightsMb - engine.weightsMb;
+    candidate.residents.committedMb + adapterReserveMb(engine) + model.weightsMb - engine.weightsMb;
   const names: string[] = [];
   let costMs = 0;
   let waitMs = 0;
@@ -176,7 +179,7 @@
 const adapterReserves = new WeakMap<EngineDefinition, number>();
 
 /** Memory that all adapter slots may take, in MB; worked out once for a configuration, which may hold hundreds of models. */
-function reserveForAdapters(engine: EngineDefinition): number {
+function adapterReserveMb(engine: EngineDefinition): number {
   let reserveMb = adapterReserves.get(engine);
   if (reserveMb === undefined) {
     const sizes = [...engine.models.values()].map(({ adapterMb }) => adapterMb);
--- a/packages/residency/src/current-plans.ts
+++ b/packages/residency/src/plan-cache.ts
@@ -3,23 +3,23 @@
  * plan for each quote: with a hundred groups that wait, each worked out up to 48 loads on all workers of the zone to place one more group.
  */
 import type { Clock } from '@woodbarrow/runtime';
-import type { LoadPlanner, Outlook } from './load-planner.js';
+import type { LoadPlanner, PlanSnapshot } from './load-planner.js';
 import type { DemandGroup } from './pending-demand.js';
 
 /** A plan is not looked up after this long, in milliseconds: loads from memory and disk take 440 to 1,200 ms. */
 const PLAN_LIFETIME_MS = 100;
 /** Groups that may have come since, as a part of those that waited: quotes grow by no more than this part unnoticed. */
-const LARGEST_GROWTH = 0.1;
+const MAX_QUEUE_GROWTH = 0.1;
 
-interface KeptPlan {
-  readonly outlook: Outlook;
+interface CachedPlan {
+  readonly snapshot: PlanSnapshot;
   /** Groups that waited when it was made. */
-  readonly waiting: number;
+  readonly groupCount: number;
 }
 
 /** Plans by service. */
-export class CurrentPlans {
-  private readonly kept = new Map<string, KeptPlan>();
+export class PlanCache {
+  private readonly cachedPlans = new Map<string, CachedPlan>();
 
   constructor(
     private readonly planner: LoadPlanner,
@@ -29,34 +29,34 @@
   ) {}
 
   /** A plan that says how things are now, a new one where needed; undefined for a service whose workers hold no models. */
-  of(service: string): Outlook | undefined {
-    const kept = this.kept.get(service);
-    if (kept === undefined || this.ageMs(kept) > PLAN_LIFETIME_MS) return this.renew(service);
-    const waiting = this.groupsOf(service).length;
-    return waiting > kept.waiting * (1 + LARGEST_GROWTH) ? this.renew(service) : kept.outlook;
+  get(service: string): PlanSnapshot | undefined {
+    const cached = this.cachedPlans.get(service);
+    if (cached === undefined || this.ageMs(cached) > PLAN_LIFETIME_MS) return this.rebuild(service);
+    const groupCount = this.groupsOf(service).length;
+    return groupCount > cached.groupCount * (1 + MAX_QUEUE_GROWTH) ? this.rebuild(service) : cached.snapshot;
   }
 
   /** Plans anew. */
-  renew(service: string): Outlook | undefined {
+  rebuild(service: string): PlanSnapshot | undefined {
     const groups = this.groupsOf(service);
-    const outlook = this.planner.plan(service, groups);
-    if (outlook === undefined) this.kept.delete(service);
-    else this.kept.set(service, { outlook, waiting: groups.length });
-    return outlook;
+    const snapshot = this.planner.plan(service, groups);
+    if (snapshot === undefined) this.cachedPlans.delete(service);
+    else this.cachedPlans.set(service, { snapshot, groupCount: groups.length });
+    return snapshot;
   }
 
   /** Milliseconds since the last plan of a service; Infinity when there is none. */
-  ageOf(service: string): number {
-    const kept = this.kept.get(service);
-    return kept === undefined ? Infinity : this.ageMs(kept);
+  lastPlanAgeMs(service: string): number {
+    const cached = this.cachedPlans.get(service);
+    return cached === undefined ? Infinity : this.ageMs(cached);
   }
 
   /** A load has begun or ended: no plan says any more how things are. */
-  drop(): void {
-    this.kept.clear();
+  invalidate(): void {
+    this.cachedPlans.clear();
   }
 
-  private ageMs({ outlook }: KeptPlan): number {
-    return this.clock.monotonic() - outlook.madeAt;
+  private ageMs({ snapshot }: CachedPlan): number {
+    return this.clock.monotonic() - snapshot.madeAt;
   }
 }
--- a/packages/residency/src/residency-service.ts
+++ b/packages/residency/src/residency-service.ts
@@ -61,18 +61,18 @@
   readonly log: EventLog;
 }
 
-const CANDIDATE_PAUSE_MS = 250;
+const CANDIDACY_INTERVAL_MS = 250;
 /** Pause between two looks at what can be done without being asked, in milliseconds. */
-const TEND_PAUSE_MS = 500;
+const MAINTENANCE_INTERVAL_MS = 500;
 /** Pause between two renewals of a lease, in milliseconds: a fifth of its lifetime. */
 const RENEW_INTERVAL_MS = 2000;
-const RENEW_RETRY_MS = 600;
+const RENEW_RETRY_INTERVAL_MS = 600;
 /** Pause between two words of a holder to its witnesses, in milliseconds: three fit into the life of an answer. */
-const CONTACT_PAUSE_MS = 400;
+const CONTACT_INTERVAL_MS = 400;
 /** The same while the holder must not act for want of an answer, in milliseconds: each of it is lost to all demands of the zone. */
-const LOST_CONTACT_PAUSE_MS = 100;
+const LOST_CONTACT_INTERVAL_MS = 100;
 /** Time without contact with most witnesses after which others are named, in milliseconds. */
-const CONTACT_LOST_MS = 1000;
+const CONTACT_LOST_AFTER_MS = 1000;
 interface HeldZone {
   readonly lease: StoreLease;
   readonly residency: ZoneResidency;
@@ -83,10 +83,10 @@
   private readonly leases = new Map<string, StoreLease>();
   private readonly held = new Map<string, HeldZone>();
   /** Zones whose lease is being asked for. */
-  private readonly taking = new Set<string>();
+  private readonly acquiring = new Set<string>();
   /** Monotonic time before which a zone's lease is not asked for again. */
-  private readonly askAgainAt = new Map<string, number>();
-  private leaving = false;
+  private readonly retryAt = new Map<string, number>();
+  private isLeaving = false;
   private readonly contacts: LeaseContacts;
 
   constructor(private readonly options: ResidencyServiceOptions) {
@@ -119,14 +119,14 @@
     });
     this.tasks.loop(
       'residency.candidate',
-      () => CANDIDATE_PAUSE_MS,
-      () => this.stand(),
+      () => CANDIDACY_INTERVAL_MS,
+      () => this.acquireFreeZones(),
     );
     this.tasks.loop(
       'residency.tend',
-      () => TEND_PAUSE_MS,
+      () => MAINTENANCE_INTERVAL_MS,
       () => {
-        this.tend();
+        this.maintain();
         return Promise.resolve();
       },
     );
@@ -162,7 +162,7 @@
 
   /** Gives all leases back: a planned stop. */
   async leave(): Promise<void> {
-    this.leaving = true;
+    this.isLeaving = true;
     const held = [...this.held.entries()];
     this.held.clear();
     for (const [zone, { lease }] of held) {
@@ -186,10 +186,10 @@
     }
   }
 
-  private tend(): void {
+  private maintain(): void {
     if (this.held.size === 0) return;
     for (const service of this.engineServices()) {
-      for (const { residency } of this.held.values()) residency.tend(service);
+      for (const { residency } of this.held.values()) residency.maintain(service);
     }
   }
 
@@ -199,44 +199,44 @@
   }
 
   /** Takes free zones that this daemon is next in line for. */
-  private stand(): Promise<void> {
-    if (this.leaving || !this.options.isGroupKnown()) return Promise.resolve();
+  private acquireFreeZones(): Promise<void> {
+    if (this.isLeaving || !this.options.isGroupKnown()) return Promise.resolve();
     for (const zone of this.coordinatedZones()) {
       if (this.held.has(zone) || this.options.coordinators.of(zone) !== undefined) continue;
-      if (this.options.clock.monotonic() < (this.askAgainAt.get(zone) ?? 0)) continue;
-      if (this.firstInLine(zone) !== this.options.self.id || this.taking.has(zone)) continue;
+      if (this.options.clock.monotonic() < (this.retryAt.get(zone) ?? 0)) continue;
+      if (this.preferredHolder(zone) !== this.options.self.id || this.acquiring.has(zone)) continue;
       // One zone that must be waited for does not hold up the others.
-      this.tasks.spawn(`residency.take ${zone}`, () => this.tryTake(zone));
+      this.tasks.spawn(`residency.take ${zone}`, () => this.acquireOnce(zone));
     }
     return Promise.resolve();
   }
 
   /** Another daemon says that this machine's former run holds a zone. */
   private resume(zone: string): void {
-    if (this.leaving || this.held.has(zone)) return;
-    this.tasks.spawn(`residency.resume ${zone}`, () => this.tryTake(zone));
+    if (this.isLeaving || this.held.has(zone)) return;
+    this.tasks.spawn(`residency.resume ${zone}`, () => this.acquireOnce(zone));
   }
 
-  private async tryTake(zone: string): Promise<void> {
-    if (this.taking.has(zone)) return;
-    this.taking.add(zone);
+  private async acquireOnce(zone: string): Promise<void> {
+    if (this.acquiring.has(zone)) return;
+    this.acquiring.add(zone);
     try {
-      await this.takeOrWait(zone);
+      await this.acquireOrWait(zone);
     } finally {
-      this.taking.delete(zone);
+      this.acquiring.delete(zone);
     }
   }
 
-  private async takeOrWait(zone: string): Promise<void> {
+  private async acquireOrWait(zone: string): Promise<void> {
     const lease = this.leaseOf(zone);
     let result = await lease.tryAcquire(this.options.coordinators.lastConfirmation(zone));
     if (result.kind === 'waiting' && result.stored !== undefined)
-      result = await this.replaceLost(zone, lease, result.stored, result);
+      result = await this.replaceLostHolder(zone, lease, result.stored, result);
     else if (result.kind === 'waiting' && result.unknownHolderAt !== undefined)
-      result = await this.replaceUnknown(zone, lease, result.unknownHolderAt, result);
+      result = await this.replaceUnknownHolder(zone, lease, result.unknownHolderAt, result);
     if (result.kind === 'waiting') {
       const pauseMs = Math.min(result.retryAfterMs, RENEW_INTERVAL_MS);
-      this.askAgainAt.set(zone, this.options.clock.monotonic() + pauseMs);
+      this.retryAt.set(zone, this.options.clock.monotonic() + pauseMs);
       return;
     }
     this.options.log.changed('lease_gained', {
@@ -244,21 +244,21 @@
       fence: lease.fence,
       actsInMs: Math.round(lease.actsInMs()),
     });
-    this.held.set(zone, { lease, residency: this.coordinate(zone, lease) });
-    this.tasks.spawn(`residency.renew ${zone}`, (signal) => this.keep(zone, lease, signal));
-    this.tasks.spawn(`residency.contact ${zone}`, (signal) => this.keepContact(zone, lease, signal));
+    this.held.set(zone, { lease, residency: this.createCoordinator(zone, lease) });
+    this.tasks.spawn(`residency.renew ${zone}`, (signal) => this.renewUntilLost(zone, lease, signal));
+    this.tasks.spawn(`residency.contact ${zone}`, (signal) => this.maintainContact(zone, lease, signal));
     this.options.onClaimsChanged();
   }
 
   /** Takes the lease of a holder that its witnesses refuse; one that was started again takes it back itself. */
-  private async replaceLost(
+  private async replaceLostHolder(
     zone: string,
     lease: StoreLease,
     stored: StoredLease,
     waiting: AcquireResult,
   ): Promise<AcquireResult> {
-    if (this.contacts.resumeRestarted(zone, stored)) return waiting;
-    const refused = await this.contacts.refuse(leaseName(zone), stored, this.tasks.signal);
+    if (this.contacts.notifyRestartedHolder(zone, stored)) return waiting;
+    const refused = await this.contacts.requestRefusal(leaseName(zone), stored, this.tasks.signal);
     if (refused === undefined) return waiting;
     this.options.log.changed('lease_holder_refused', {
       zone,
@@ -269,13 +269,13 @@
   }
 
   /** Takes a lease of which a restored store does not tell who held it last, once every daemon refuses whoever it was. */
-  private async replaceUnknown(
+  private async replaceUnknownHolder(
     zone: string,
     lease: StoreLease,
     position: StorePosition,
     waiting: AcquireResult,
   ): Promise<AcquireResult> {
-    const refused = await this.contacts.refuseEverywhere(leaseName(zone), position);
+    const refused = await this.contacts.requestRefusalFromAll(leaseName(zone), position);
     if (refused === undefined) return waiting;
     const lastContactAgoMs = Math.round(refused.lastContactAgoMs);
     this.options.log.changed('lease_holder_refused', { zone, lastContactAgoMs });
@@ -283,13 +283,13 @@
   }
 
   /** Keeps in contact with the witnesses of a lease, and names others where most of them do not answer. */
-  private async keepContact(zone: string, lease: StoreLease, signal: AbortSignal): Promise<void> {
+  private async maintainContact(zone: string, lease: StoreLease, signal: AbortSignal): Promise<void> {
     let namedAt = -Infinity;
     while (!signal.aborted && this.held.get(zone)?.lease === lease) {
-      await this.contacts.touch(leaseName(zone), lease);
+      await this.contacts.contactWitnesses(leaseName(zone), lease);
       const now = this.options.clock.monotonic();
-      const isLost = lease.contact.lostMs() > CONTACT_LOST_MS || !this.contacts.mayReachMajority(lease);
-      if (isLost && now - namedAt > CONTACT_LOST_MS) {
+      const isLost = lease.contact.lostMs() > CONTACT_LOST_AFTER_MS || !this.contacts.canReachMajority(lease);
+      if (isLost && now - namedAt > CONTACT_LOST_AFTER_MS) {
         namedAt = now;
         this.options.log.warned('lease_out_of_contact', { zone, lostMs: Math.round(lease.contact.lostMs()) });
         // The loop that renews finds out whether it is lost.
@@ -300,17 +300,17 @@
             cause: messageOf(error),
           });
         });
-        await this.contacts.touch(leaseName(zone), lease);
+        await this.contacts.contactWitnesses(leaseName(zone), lease);
       }
       await sleep(
         this.options.clock,
-        lease.contact.isFresh ? CONTACT_PAUSE_MS : LOST_CONTACT_PAUSE_MS,
+        lease.contact.isFresh ? CONTACT_INTERVAL_MS : LOST_CONTACT_INTERVAL_MS,
         signal,
       );
     }
   }
 
-  private async keep(zone: string, lease: StoreLease, signal: AbortSignal): Promise<void> {
+  private async renewUntilLost(zone: string, lease: StoreLease, signal: AbortSignal): Promise<void> {
     let pauseMs = RENEW_INTERVAL_MS;
     while (!signal.aborted) {
       await sleep(this.options.clock, pauseMs, signal);
@@ -319,7 +319,7 @@
         if (!(await lease.renew())) break;
         pauseMs = RENEW_INTERVAL_MS;
       } catch (error) {
-        pauseMs = RENEW_RETRY_MS;
+        pauseMs = RENEW_RETRY_INTERVAL_MS;
         this.options.log.warned('lease_unconfirmed', {
           zone,
           confirmedAgoMs: Math.floor(lease.confirmedAgoMs()),
@@ -331,7 +331,7 @@
     this.options.log.changed('lease_lost', { zone, fence: lease.fence });
   }
 
-  private coordinate(zone: string, lease: StoreLease): ZoneResidency {
+  private createCoordinator(zone: string, lease: StoreLease): ZoneResidency {
     const { self, directory, loads, orders, serviceOf, announce, clock, random, log } = this.options;
     const { storeWindow, quarantine } = this.options;
     return new ZoneResidency({
@@ -349,14 +349,14 @@
       quarantine,
       signal: this.tasks.signal,
       zones: () => this.zones(),
-      storeLoadsElsewhere: () => this.storeLoadsBeside(zone),
-      comesElsewhereInMs: (model) => this.comesBesideInMs(zone, model),
+      storeLoadsInOtherZones: () => this.storeLoadsInOtherZones(zone),
+      expectedElsewhereInMs: (model) => this.expectedElsewhereInMs(zone, model),
       announce,
     });
   }
 
   /** Loads from the weight store that the coordinators of all zones but one have under way, as they last told. */
-  private storeLoadsBeside(zone: string): number {
+  private storeLoadsInOtherZones(zone: string): number {
     let loads = 0;
     for (const other of this.zones()) {
       if (other === zone) continue;
@@ -367,7 +367,7 @@
   }
 
   /** Milliseconds until a model that another zone loads now is expected there; Infinity when none does. */
-  private comesBesideInMs(zone: string, model: string): number {
+  private expectedElsewhereInMs(zone: string, model: string): number {
     let soonestMs = Infinity;
     for (const other of this.zones()) {
       if (other === zone) continue;
@@ -401,7 +401,7 @@
   }
 
   /** Who takes a free zone: a daemon of the zone before others, always the same one. */
-  private firstInLine(zone: string): string | undefined {
+  private preferredHolder(zone: string): string | undefined {
     const members = this.options.members();
     const ofZone = members.filter((member) => member.zone === zone);
     return rankByCapacity(zone, ofZone.length > 0 ? ofZone : members)[0]?.id;
@@ -413,7 +413,7 @@
       const { self, instance, leases, clock, handoverPauseMs } = this.options;
       lease = new StoreLease({
         name: leaseName(zone),
-        chooseWitnesses: (named, silent) => this.contacts.choose(zone, named, silent),
+        chooseWitnesses: (named, silent) => this.contacts.chooseWitnesses(zone, named, silent),
         holder: self.id,
         instance,
         store: leases,
--- a/packages/residency/src/unserved-models.ts
+++ b/packages/residency/src/unserved-models.ts
@@ -7,19 +7,19 @@
 import type { NoPlaceCause, WantedModel } from './pending-demand.js';
 
 /** A model that is not asked for during this time is not waited for any more, in milliseconds: longer than clients wait. */
-const FORGET_MS = 30_000;
+const FORGET_AFTER_MS = 30_000;
 /** Wait after which a line tells of a model, in milliseconds: longer than any load takes at full speed. */
-const TELL_AFTER_MS = 8000;
+const WARN_AFTER_MS = 8000;
 
 /** One model that is waited for. */
 interface UnservedModel {
   readonly service: string;
   readonly model: string;
   /** Monotonic time at which it was first asked for in vain. */
-  readonly since: number;
-  askedAt: number;
+  readonly firstAskedAt: number;
+  lastAskedAt: number;
   timesAsked: number;
-  isTold: boolean;
+  isReported: boolean;
 }
 
 /** Models of one zone's coordinator that are asked for in vain. */
@@ -41,7 +41,7 @@
   /** Milliseconds since the model that is waited for longest was first asked for in vain; 0 without any. */
   get longestMs(): number {
     const now = this.clock.monotonic();
-    return Math.max(0, ...[...this.models.values()].map(({ since }) => now - since));
+    return Math.max(0, ...[...this.models.values()].map(({ firstAskedAt }) => now - firstAskedAt));
   }
 
   /** Answers without a place since the start, by cause. */
@@ -50,18 +50,25 @@
   }
 
   /** A model was asked for, and no worker could make room for it. */
-  note({ service, model }: WantedModel, cause: NoPlaceCause): void {
+  recordRefusal({ service, model }: WantedModel, cause: NoPlaceCause): void {
     const now = this.clock.monotonic();
     this.causes.set(cause, (this.causes.get(cause) ?? 0) + 1);
     const key = keyOf(service, model);
-    const known = this.models.get(key);
-    const unserved = known ?? { service, model, since: now, askedAt: now, timesAsked: 0, isTold: false };
+    const existing = this.models.get(key);
+    const unserved = existing ?? {
+      service,
+      model,
+      firstAskedAt: now,
+      lastAskedAt: now,
+      timesAsked: 0,
+      isReported: false,
+    };
     this.models.set(key, unserved);
-    unserved.askedAt = now;
+    unserved.lastAskedAt = now;
     unserved.timesAsked += 1;
-    const waitedMs = Math.round(now - unserved.since);
-    if (unserved.isTold || waitedMs < TELL_AFTER_MS) return;
-    unserved.isTold = true;
+    const waitedMs = Math.round(now - unserved.firstAskedAt);
+    if (unserved.isReported || waitedMs < WARN_AFTER_MS) return;
+    unserved.isReported = true;
     const { timesAsked } = unserved;
     this.log.warned('model_unserved', { zone: this.zone, model, cause, timesAsked, waitedMs });
   }
@@ -69,14 +76,14 @@
   /** Milliseconds since a model was first asked for in vain; 0 when it is not waited for. */
   waitedMs(service: string, model: string): number {
     const unserved = this.models.get(keyOf(service, model));
-    return unserved === undefined ? 0 : this.clock.monotonic() - unserved.since;
+    return unserved === undefined ? 0 : this.clock.monotonic() - unserved.firstAskedAt;
   }
 
   /** Drops the models that are resident by now, and those that nobody asks for any more. */
-  forget(isResident: (service: string, model: string) => boolean): void {
+  removeServed(isResident: (service: string, model: string) => boolean): void {
     const now = this.clock.monotonic();
-    for (const [key, { service, model, askedAt }] of this.models) {
-      if (now - askedAt > FORGET_MS || isResident(service, model)) this.models.delete(key);
+    for (const [key, { service, model, lastAskedAt }] of this.models) {
+      if (now - lastAskedAt > FORGET_AFTER_MS || isResident(service, model)) this.models.delete(key);
     }
   }
 }
--- a/packages/residency/src/worker-orders.ts
+++ b/packages/residency/src/worker-orders.ts
@@ -53,7 +53,7 @@
 }
 
 /** How the models of a swap made way. */
-interface UnloadFacts {
+interface UnloadStatistics {
   /** Foretold end of the last run of any of them, in milliseconds; 0 without runs. */
   readonly endsInMs: number;
   /** Longest time for which one of them had taken no requests before. */
@@ -61,30 +61,30 @@
 }
 
 /** Pause between two reports while a model is unloaded, in milliseconds. */
-const MODEL_POLL_MS = 60;
+const UNLOAD_POLL_MS = 60;
 /** Time that an unload takes at most: runs must end first, in milliseconds. */
-const UNLOAD_LIMIT_MS = 12_000;
+const UNLOAD_TIMEOUT_MS = 12_000;
 /** A load that takes this many times its expected time is given up, in addition to a fixed time. */
-const LOAD_LIMIT_FACTOR = 4;
-const LOAD_LIMIT_MS = 3000;
+const LOAD_TIMEOUT_FACTOR = 4;
+const LOAD_TIMEOUT_EXTRA_MS = 3000;
 /** Time that a worker is left to adapters after a load that they waited for, in milliseconds. */
-const ADAPTERS_TURN_MS = 60;
+const ADAPTER_WINDOW_MS = 60;
 /** Pause between two attempts to learn what a worker holds, in milliseconds. */
-const LEARN_PAUSE_MS = 400;
+const RESYNC_INTERVAL_MS = 400;
 
 /** One incarnation of a worker under orders. */
 export class WorkerOrders {
   readonly residents = new ResidentSet();
   private readonly sender: OrderSender;
   private readonly adapters: AdapterOrders;
-  private known = false;
-  private learning: Promise<void> | undefined;
-  private preparing: Promise<void> | undefined;
+  private synchronized = false;
+  private resynchronizing: Promise<void> | undefined;
+  private synchronizing: Promise<void> | undefined;
   private swapping: Promise<unknown> = Promise.resolve();
   private queuedSwaps = 0;
   /** Monotonic time until which adapters have their turn. */
-  private adaptersUntil = 0;
-  private current: SwapUnderWay | undefined;
+  private adapterWindowUntil = 0;
+  private currentSwap: SwapUnderWay | undefined;
   /** Adapters wanted that wait for the end of a load or unload. */
   private adaptersWaiting = 0;
 
@@ -95,7 +95,7 @@
       sender: this.sender,
       residents: this.residents,
       slots: () => options.engine()?.adapterSlots ?? 0,
-      onDoubt: () => void this.learn(),
+      onUnknownOutcome: () => void this.resynchronize(),
     });
   }
 
@@ -104,8 +104,8 @@
   }
 
   /** Whether what it holds is known well enough to order anything. */
-  get isKnown(): boolean {
-    return this.known;
+  get isSynchronized(): boolean {
+    return this.synchronized;
   }
 
   /** Whether it has answered of late. */
@@ -116,8 +116,9 @@
   /** Milliseconds until all loads and unloads decided so far are expected to be done. */
   get busyMs(): number {
     const now = this.options.clock.monotonic();
-    if (this.current !== undefined) return remainingMs(this.current.expectedMs, now - this.current.beganAt);
-    return Math.max(0, this.adaptersUntil - now);
+    if (this.currentSwap !== undefined)
+      return remainingMs(this.currentSwap.expectedMs, now - this.currentSwap.beganAt);
+    return Math.max(0, this.adapterWindowUntil - now);
   }
 
   /** Milliseconds until an adapter of a model that it holds is expected to be resident. */
@@ -131,31 +132,31 @@
   }
 
   /** Learns what the worker holds, if that is not known. Resolves when it has been tried once. */
-  prepare(): Promise<void> {
-    if (this.known || this.learning !== undefined) return Promise.resolve();
-    this.preparing ??= this.prepareOnce().finally(() => {
-      this.preparing = undefined;
+  synchronize(): Promise<void> {
+    if (this.synchronized || this.resynchronizing !== undefined) return Promise.resolve();
+    this.synchronizing ??= this.synchronizeOnce().finally(() => {
+      this.synchronizing = undefined;
     });
-    return this.preparing;
+    return this.synchronizing;
   }
 
   /** Unloads the victims and loads the model. Resolves with whether it is resident. */
   swap(order: SwapOrder): Promise<boolean> {
     const { clock, loads, backEndId } = this.options;
     const now = clock.monotonic();
-    this.current ??= { beganAt: now, expectedMs: order.unloadMs + order.loadMs };
+    this.currentSwap ??= { beganAt: now, expectedMs: order.unloadMs + order.loadMs };
     const unloads = {
       endsInMs: Math.max(0, ...order.victims.map((victim) => loads.endsInMs(backEndId, victim))),
       retiredMs: Math.max(0, ...order.victims.map((victim) => this.retiredMs(victim))),
     };
-    this.reserve(order.model, order.victims);
+    this.markSwapStarted(order.model, order.victims);
     this.queuedSwaps += 1;
     const result = this.swapping.then(() => this.carryOutSwap(order, unloads));
     this.swapping = result
       .catch(() => undefined)
       .finally(() => {
         this.queuedSwaps -= 1;
-        this.letAdaptersIn();
+        this.openAdapterWindow();
       });
     return result;
   }
@@ -168,10 +169,10 @@
     const now = this.options.clock.monotonic();
     for (const [name, held] of this.residents.models) {
       if (held.state !== 'resident') continue;
-      const retires = models.includes(name);
-      if ((held.retiredAt !== undefined) === retires) continue;
-      held.retiredAt = retires ? now : undefined;
-      this.options.announce({ model: name }, !retires);
+      const shouldRetire = models.includes(name);
+      if ((held.retiredAt !== undefined) === shouldRetire) continue;
+      held.retiredAt = shouldRetire ? now : undefined;
+      this.options.announce({ model: name }, !shouldRetire);
     }
   }
 
@@ -182,7 +183,7 @@
   }
 
   /** Lets requests for a model in again, which is asked for after all. */
-  keep(model: string): void {
+  cancelRetirement(model: string): void {
     const held = this.residents.models.get(model);
     if (held?.state !== 'resident' || held.retiredAt === undefined) return;
     held.retiredAt = undefined;
@@ -196,7 +197,7 @@
   async loadAdapter(target: AdapterTarget, withinMs: number): Promise<boolean> {
     const { clock } = this.options;
     const deadline = clock.monotonic() + withinMs;
-    if (!this.known) await this.prepare();
+    if (!this.synchronized) await this.synchronize();
     if (this.residents.isResident(target)) return true;
     this.adaptersWaiting += 1;
     try {
@@ -206,26 +207,27 @@
     } finally {
       this.adaptersWaiting -= 1;
     }
-    if (!this.known || this.queuedSwaps > 0) return this.residents.isResident(target);
+    if (!this.synchronized || this.queuedSwaps > 0) return this.residents.isResident(target);
     return this.adapters.load(target, deadline);
   }
 
   /** Adapters that have waited for a load go before the next one. */
-  private letAdaptersIn(): void {
+  private openAdapterWindow(): void {
     if (this.queuedSwaps > 0) return;
-    this.current = undefined;
-    if (this.adaptersWaiting > 0) this.adaptersUntil = this.options.clock.monotonic() + ADAPTERS_TURN_MS;
+    this.currentSwap = undefined;
+    if (this.adaptersWaiting > 0)
+      this.adapterWindowUntil = this.options.clock.monotonic() + ADAPTER_WINDOW_MS;
   }
 
   /** One report is enough for a worker that nothing was ordered of. */
-  private async prepareOnce(): Promise<void> {
+  private async synchronizeOnce(): Promise<void> {
     const report = await this.tryReport();
     if (report === undefined) return;
-    if (this.sender.isSettled(report)) this.adopt(report);
-    else void this.learn();
+    if (this.sender.isSettled(report)) this.adoptReport(report);
+    else void this.resynchronize();
   }
 
-  private reserve(model: string, victims: readonly string[]): void {
+  private markSwapStarted(model: string, victims: readonly string[]): void {
     const { clock, engine, announce } = this.options;
     const now = clock.monotonic();
     const definition = engine()?.models.get(model);
@@ -239,7 +241,7 @@
     if (definition !== undefined) this.residents.setModel(definition, 'loading', now);
   }
 
-  private async carryOutSwap(order: SwapOrder, unloads: UnloadFacts): Promise<boolean> {
+  private async carryOutSwap(order: SwapOrder, unloads: UnloadStatistics): Promise<boolean> {
     const { clock, log, backEndId, times, engine } = this.options;
     const { model, victims, source } = order;
     const startedAt = clock.monotonic();
@@ -248,12 +250,12 @@
         await this.unload(victim, index === victims.length - 1);
       }
       const orderedAt = await this.load(order);
-      this.sender.loadEnded({ model }, true);
+      this.sender.recordLoadResult({ model }, true);
       const unloadMs = orderedAt - startedAt;
       const loadMs = clock.monotonic() - orderedAt;
-      if (victims.length > 0) times.noteUnload(unloads.endsInMs, unloadMs);
+      if (victims.length > 0) times.recordUnload(unloads.endsInMs, unloadMs);
       const definition = engine()?.models.get(model);
-      if (definition !== undefined) times.noteLoad(definition, source, loadMs);
+      if (definition !== undefined) times.recordLoad(definition, source, loadMs);
       log.changed('load_finished', {
         backEnd: backEndId,
         model,
@@ -268,8 +270,8 @@
       return true;
     } catch (error) {
       log.warned('load_failed', { backEnd: backEndId, model, cause: messageOf(error) });
-      this.sender.loadEnded({ model }, false);
-      void this.learn();
+      this.sender.recordLoadResult({ model }, false);
+      void this.resynchronize();
       return false;
     }
   }
@@ -288,7 +290,7 @@
   private async load(order: SwapOrder): Promise<number> {
     const { clock } = this.options;
     const { model, victims } = order;
-    const outcome = await this.sender.send('load', { model }, victims.length > 0 ? UNLOAD_LIMIT_MS : 0);
+    const outcome = await this.sender.send('load', { model }, victims.length > 0 ? UNLOAD_TIMEOUT_MS : 0);
     if (outcome !== 'accepted' && outcome !== 'done') throw failedOrder(`load of ${model}`, outcome);
     const orderedAt = clock.monotonic();
     order.onLoadTaken?.();
@@ -311,7 +313,7 @@
     const definition = engine()?.models.get(model);
     const shortestMs = definition === undefined ? 0 : times.shortestLoadMs(definition, source);
     await sleep(clock, shortestMs, signal);
-    const limitMs = Math.max(shortestMs, loadMs) * LOAD_LIMIT_FACTOR + LOAD_LIMIT_MS;
+    const limitMs = Math.max(shortestMs, loadMs) * LOAD_TIMEOUT_FACTOR + LOAD_TIMEOUT_EXTRA_MS;
     const outcome = await this.sender.awaitLoaded({ model }, limitMs);
     if (outcome !== 'done') throw failedOrder(`end of the load of ${model}`, outcome);
   }
@@ -320,8 +322,8 @@
   private async awaitUnload(model: string): Promise<void> {
     const { clock, signal } = this.options;
     const startedAt = clock.monotonic();
-    while (!signal.aborted && clock.monotonic() - startedAt < UNLOAD_LIMIT_MS) {
-      await sleep(clock, MODEL_POLL_MS, signal);
+    while (!signal.aborted && clock.monotonic() - startedAt < UNLOAD_TIMEOUT_MS) {
+      await sleep(clock, UNLOAD_POLL_MS, signal);
       const report = await this.sender.report();
       if (report === undefined || report.sequence < (this.sender.expectedSequence ?? 0)) continue;
       const isListed = report.models.some((held) => held.name === model);
@@ -334,35 +336,35 @@
    * Learns what the worker holds from a report that shows the outcome of every order sent. Until then nothing
    * more is ordered, and all that may be there stays counted.
    */
-  private learn(): Promise<void> {
-    this.known = false;
-    this.learning ??= this.learnUntilSettled().finally(() => {
-      this.learning = undefined;
+  private resynchronize(): Promise<void> {
+    this.synchronized = false;
+    this.resynchronizing ??= this.resynchronizeUntilSettled().finally(() => {
+      this.resynchronizing = undefined;
     });
-    return this.learning;
+    return this.resynchronizing;
   }
 
-  private async learnUntilSettled(): Promise<void> {
+  private async resynchronizeUntilSettled(): Promise<void> {
     const { signal, clock, directory, backEndId } = this.options;
     await sleep(clock, REPORT_LAG_MS, signal);
     while (!signal.aborted && directory.get(backEndId) !== undefined) {
       const report = this.queuedSwaps > 0 ? undefined : await this.tryReport();
       if (report !== undefined && this.sender.isSettled(report)) {
-        this.adopt(report);
+        this.adoptReport(report);
         return;
       }
-      await sleep(clock, LEARN_PAUSE_MS, signal);
+      await sleep(clock, RESYNC_INTERVAL_MS, signal);
     }
   }
 
-  private adopt(report: WorkerReport): void {
+  private adoptReport(report: WorkerReport): void {
     const { clock, engine, announce, log, backEndId } = this.options;
     const definitions = engine()?.models;
     if (definitions === undefined) return;
     const before = [...this.residents.models.keys()];
-    this.sender.adopt(report);
+    this.sender.adoptSequence(report);
     this.residents.replace(report.models, definitions, clock.monotonic());
-    this.known = true;
+    this.synchronized = true;
     const names = report.models.map((held) => held.name);
     for (const gone of before.filter((name) => !names.includes(name))) announce({ model: gone }, false);
     for (const held of report.models) announce({ model: held.name }, true);
--- a/packages/residency/src/zone-residency.ts
+++ b/packages/residency/src/zone-residency.ts
@@ -46,9 +46,9 @@
   readonly zones: () => readonly string[];
   readonly storeWindow: StoreWindowOptions;
   /** Loads from the weight store that the coordinators of other zones have under way. */
-  readonly storeLoadsElsewhere: () => number;
+  readonly storeLoadsInOtherZones: () => number;
   /** Milliseconds until a model that another zone loads now is expected there; Infinity when none does. */
-  readonly comesElsewhereInMs: (model: string) => number;
+  readonly expectedElsewhereInMs: (model: string) => number;
   readonly quarantine: LoadQuarantine;
   /** Tells all daemons. */
   readonly announce: (change: ResidencyChange) => void;
@@ -83,22 +83,22 @@
     this.link = new StoreLink({
       clock: options.clock,
       random: options.random,
-      elsewhere: options.storeLoadsElsewhere,
-      sharers: () => options.zones().length,
+      loadsInOtherZones: options.storeLoadsInOtherZones,
+      zoneCount: () => options.zones().length,
     });
     this.scheduler = new LoadScheduler({
       ...options,
       times: this.times,
       link: this.link,
       admission: new LoadAdmission(options),
-      workersOf: (service) => this.openWorkers(service).map((backEnd) => this.workerOf(backEnd.id)),
+      workersOf: (service) => this.availableWorkers(service).map((backEnd) => this.workerOf(backEnd.id)),
       mayAct: () => options.lease.mayAct(),
     });
   }
 
   /** Loads from the weight store that this coordinator has under way. */
   get storeLoads(): number {
-    return this.link.own;
+    return this.link.ownLoads;
   }
 
   /** Loads under way, for other zones to know. */
@@ -121,8 +121,8 @@
     if (this.options.serviceOf(message.service)?.engine === undefined)
       return refused('no_engine', RETRY_AFTER_BUSY_MS);
     if (!(await this.waitUntilActing(leftMs()))) return refused('not_acting', RETRY_AFTER_BUSY_MS);
-    await this.prepareWorkers(message.service);
-    const verdict = this.verdictOn(message);
+    await this.synchronizeWorkers(message.service);
+    const verdict = this.quarantineVerdict(message);
     if (verdict !== undefined) return refused(LOAD_QUARANTINED, verdict.retryAfterMs);
     if (message.quote === true) return this.quote(message);
     const placed = await this.placeModel(message, leftMs());
@@ -131,7 +131,7 @@
   }
 
   /** Why what a demand needs is not loaded; undefined where nothing has to be loaded, or it may be. */
-  private verdictOn(message: ResidencyDemandMessage): Verdict | undefined {
+  private quarantineVerdict(message: ResidencyDemandMessage): Verdict | undefined {
     const { quarantine } = this.options;
     const { service, model } = message;
     const target = targetOf(message);
@@ -145,16 +145,16 @@
   }
 
   /** What is done without being asked: learns of workers, begins what time alone has made possible. */
-  tend(service: string): void {
-    void this.prepareWorkers(service);
+  maintain(service: string): void {
+    void this.synchronizeWorkers(service);
     this.scheduler.schedule();
   }
 
   /** Learns what the workers hold; waits for it only while none is known. */
-  private async prepareWorkers(service: string): Promise<void> {
-    const workers = this.openWorkers(service).map((worker) => this.workerOf(worker.id));
-    const prepared = Promise.all(workers.map((worker) => worker.prepare()));
-    if (!workers.some((worker) => worker.isKnown)) await prepared;
+  private async synchronizeWorkers(service: string): Promise<void> {
+    const workers = this.availableWorkers(service).map((worker) => this.workerOf(worker.id));
+    const prepared = Promise.all(workers.map((worker) => worker.synchronize()));
+    if (!workers.some((worker) => worker.isSynchronized)) await prepared;
   }
 
   /** Drops the workers that are gone. */
@@ -172,9 +172,9 @@
   private quote(message: ResidencyDemandMessage): ResidencyDemandAnswer {
     const { service, model } = message;
     const holder = this.holderOf(message);
-    if (holder !== undefined) return refused(QUOTE_REASON, readyOn(holder, message));
+    if (holder !== undefined) return refused(QUOTE_REASON, readyMsOn(holder, message));
     const { readyMs, occupiesMs } = this.scheduler.quote(
-      { service, model, another: false },
+      { service, model, isAdditionalReplica: false },
       message.targetMs ?? message.withinMs,
       message,
     );
@@ -184,14 +184,14 @@
   /** The worker that holds the model, now or after a load. */
   private async placeModel(message: ResidencyDemandMessage, withinMs: number): Promise<Placement> {
     const { service, model, targetMs } = message;
-    const another = message.another === true;
-    const holder = another ? undefined : this.holderOf(message);
+    const isAdditionalReplica = message.another === true;
+    const holder = isAdditionalReplica ? undefined : this.holderOf(message);
     if (holder !== undefined) {
-      holder.keep(model);
+      holder.cancelRetirement(model);
       return { kind: 'resident', backEndId: holder.backEndId };
     }
     return this.scheduler.wait(
-      { service, model, another },
+      { service, model, isAdditionalReplica },
       { targetMs: targetMs ?? withinMs, withinMs },
       { without: message.without, mayUseStore: message.mayUseStore },
     );
@@ -205,7 +205,10 @@
     const target = targetOf(message);
     if (!hasAdapter(target)) return held(backEndId);
     const worker = this.workerOf(backEndId);
-    const loaded = await this.settle(this.loadAdapter(worker, message.service, target, withinMs), withinMs);
+    const loaded = await this.resultWithin(
+      this.loadAdapter(worker, message.service, target, withinMs),
+      withinMs,
+    );
     return loaded === true
       ? held(backEndId)
       : refused('adapter_not_loaded', Math.max(RETRY_AFTER_BUSY_MS, worker.busyMs));
@@ -220,11 +223,11 @@
   ): Promise<boolean> {
     const { clock, quarantine } = this.options;
     const deadline = clock.monotonic() + withinMs;
-    const timeUp = new AbortController();
+    const timeout = new AbortController();
     const cancelTimer = clock.schedule(withinMs, () => {
-      timeUp.abort();
+      timeout.abort();
     });
-    const turn = await quarantine.takeTurn(service, target, timeUp.signal);
+    const turn = await quarantine.takeTurn(service, target, timeout.signal);
     try {
       const leftMs = deadline - clock.monotonic();
       if (leftMs <= 0 || quarantine.verdictOf(service, target) !== undefined) return false;
@@ -237,25 +240,25 @@
 
   /** The worker that has the target first among those that hold the model; always the same one where equal. */
   private holderOf(message: ResidencyDemandMessage): WorkerOrders | undefined {
-    const holders = this.openWorkers(message.service)
+    const holders = this.availableWorkers(message.service)
       .filter((backEnd) => !message.without.includes(backEnd.id))
       .filter((backEnd) => this.workerOf(backEnd.id).residents.isResident({ model: message.model }));
     const ranked = rankByRendezvous(targetKey(targetOf(message)), holders);
     return leastBy(
       ranked.map((backEnd) => this.workerOf(backEnd.id)),
-      (worker) => readyOn(worker, message),
+      (worker) => readyMsOn(worker, message),
     );
   }
 
-  private openWorkers(service: string): BackEnd[] {
+  private availableWorkers(service: string): BackEnd[] {
     return this.options.directory
       .ofService(service)
       .filter((backEnd) => backEnd.zone === this.options.zone && !backEnd.draining);
   }
 
   private workerOf(backEndId: string): WorkerOrders {
-    const known = this.workers.get(backEndId);
-    if (known !== undefined) return known;
+    const existing = this.workers.get(backEndId);
+    if (existing !== undefined) return existing;
     const { directory, loads, orders, quarantine, clock, log, signal, holder } = this.options;
     const service = directory.get(backEndId)?.service ?? '';
     const worker = new WorkerOrders({
@@ -285,7 +288,7 @@
     return lease.fence;
   }
 
-  private async settle<T>(promise: Promise<T>, withinMs: number): Promise<T | undefined> {
+  private async resultWithin<T>(promise: Promise<T>, withinMs: number): Promise<T | undefined> {
     try {
       const settled = await settleWithin(this.options.clock, Math.max(0, withinMs), promise);
       return settled.timedOut ? undefined : settled.value;
@@ -301,7 +304,7 @@
 }
 
 /** Milliseconds until a worker that holds the model has the adapter as well, if one is wanted. */
-function readyOn(worker: WorkerOrders, message: ResidencyDemandMessage): number {
+function readyMsOn(worker: WorkerOrders, message: ResidencyDemandMessage): number {
   const target = targetOf(message);
   return hasAdapter(target) ? worker.adapterReadyMs(target) : 0;
 }
--- a/packages/residency/test/crashing-loads-world.ts
+++ b/packages/residency/test/crashing-loads-world.ts
@@ -13,16 +13,16 @@
 import { ZoneResidency } from '../src/index.js';
 import { daemonQuarantine, type DaemonQuarantine } from './load-quarantines.js';
 import { SimulatedOrderClient, SimulatedWorker } from './simulated-workers.js';
-import { ENGINE, SERVICE, plainLeaseStore } from './zone-world.js';
+import { ENGINE, SERVICE, inMemoryLeaseStore } from './zone-world.js';
 
 /** Time after which another process runs in the place of one that has ended, in milliseconds. */
 const RESTART_MS = 1500;
 /** Pause between two words of a coordinator on what it loads, in milliseconds. */
-const CLAIM_PAUSE_MS = 300;
+const CLAIM_INTERVAL_MS = 300;
 /** Pause between two looks of a coordinator at what it can do without being asked, in milliseconds. */
-const TEND_PAUSE_MS = 500;
+const MAINTENANCE_INTERVAL_MS = 500;
 /** Time that word of an end takes to all daemons, in milliseconds. */
-const WORD_MS = 300;
+const CRASH_REPORT_DELAY_MS = 300;
 /** Workers of each zone. */
 export const WORKERS_PER_ZONE = 4;
 /** Time that a request for a model may wait, in milliseconds. */
@@ -40,7 +40,7 @@
   readonly world = new SimulatedWorld();
   readonly zones: CoordinatedZone[] = [];
   /** Ids of the workers that have ended, in order. */
-  readonly ended: string[] = [];
+  readonly exitedWorkers: string[] = [];
   /** Answers to all demands that were settled. */
   readonly answers: ResidencyDemandAnswer[] = [];
   readonly workers = new Map<string, SimulatedWorker>();
@@ -49,8 +49,8 @@
   private readonly entries = new Map<string, QuarantineEntry>();
   private readonly process: SimulatedProcess;
   private readonly random: Random;
-  private readonly told = new Map<string, readonly LoadUnderWay[]>();
-  private started = 0;
+  private readonly reportedLoads = new Map<string, readonly LoadUnderWay[]>();
+  private startedWorkers = 0;
   /** The records' store, as operators and daemons use it. */
   readonly store: QuarantineStore = {
     create: (record) => {
@@ -72,10 +72,10 @@
     return new Map(verdicts.map((record) => [record.content, record]));
   }
 
-  /** @param endsUnder Loads that end the worker which begins them. */
+  /** @param crashesUnder Loads that end the worker which begins them. */
   constructor(
     seed: number,
-    private readonly endsUnder: (target: ModelTarget) => boolean,
+    private readonly crashesUnder: (target: ModelTarget) => boolean,
   ) {
     this.random = new Random(seed);
     this.process = new SimulatedProcess(this.world, { name: 'scene', zone: 'a', region: 'r' });
@@ -89,11 +89,11 @@
       for (let index = 0; index < WORKERS_PER_ZONE; index += 1) this.addWorker(name);
     }
     for (const name of names) this.zones.push(await this.coordinate(name, names));
-    this.repeat(CLAIM_PAUSE_MS, () => {
-      for (const { name, coordinator } of this.zones) this.told.set(name, coordinator.loadsUnderWay);
+    this.repeat(CLAIM_INTERVAL_MS, () => {
+      for (const { name, coordinator } of this.zones) this.reportedLoads.set(name, coordinator.loadsUnderWay);
     });
-    this.repeat(TEND_PAUSE_MS, () => {
-      for (const { coordinator } of this.zones) coordinator.tend(SERVICE);
+    this.repeat(MAINTENANCE_INTERVAL_MS, () => {
+      for (const { coordinator } of this.zones) coordinator.maintain(SERVICE);
     });
   }
 
@@ -108,7 +108,7 @@
     return this.zones.some(({ quarantine }) => quarantine.loads.verdictOf(SERVICE, target) !== undefined);
   }
 
-  async pass(durationMs: number): Promise<void> {
+  async advance(durationMs: number): Promise<void> {
     await this.world.run(this.world.now + durationMs);
   }
 
@@ -117,13 +117,13 @@
     const until = this.world.now + durationMs;
     while (this.world.now < until) {
       for (const zone of zones) this.ask(zone, target);
-      await this.pass(400);
+      await this.advance(400);
     }
   }
 
   /** Ids of the workers of a zone that hold a model. */
   holdersIn({ name }: CoordinatedZone, model: string): string[] {
-    const holders = [...this.workers].filter(([, worker]) => !worker.hasEnded && worker.models.has(model));
+    const holders = [...this.workers].filter(([, worker]) => !worker.hasExited && worker.models.has(model));
     return holders.map(([id]) => id).filter((id) => this.directory.get(id)?.zone === name);
   }
 
@@ -153,12 +153,12 @@
   }
 
   private addWorker(zone: string): void {
-    this.started += 1;
-    const id = `w${String(this.started)}`;
+    this.startedWorkers += 1;
+    const id = `w${String(this.startedWorkers)}`;
     const worker = new SimulatedWorker(this.world, [], {
-      under: this.endsUnder,
-      onEnd: () => {
-        this.ended.push(id);
+      crashesUnder: this.crashesUnder,
+      onExit: () => {
+        this.exitedWorkers.push(id);
         this.world.schedule(RESTART_MS, () => {
           this.replace(id, zone);
         });
@@ -193,7 +193,7 @@
       instance: 1,
       lifetimeMs: 3_600_000,
       handoverPauseMs: 0,
-      store: plainLeaseStore(),
+      store: inMemoryLeaseStore(),
       clock: process,
     });
     await lease.tryAcquire();
@@ -212,9 +212,9 @@
       signal: new AbortController().signal,
       zones: () => zones,
       storeWindow: { windowMs: 5000, overshoot: 1 },
-      storeLoadsElsewhere: () => 0,
+      storeLoadsInOtherZones: () => 0,
       quarantine: quarantine.loads,
-      comesElsewhereInMs: (model) => this.comesElsewhereInMs(name, model),
+      expectedElsewhereInMs: (model) => this.expectedElsewhereInMs(name, model),
       announce: ({ backEndId, resident, ...target }) => {
         this.directory.announce(backEndId, target, resident);
       },
@@ -226,7 +226,7 @@
     const quarantine = daemonQuarantine(clock, this.directory, this.workers, this.store);
     quarantine.contents.recordsListed([...this.entries.values()]);
     quarantine.contents.onNews = () => {
-      this.world.schedule(WORD_MS, () => {
+      this.world.schedule(CRASH_REPORT_DELAY_MS, () => {
         for (const { quarantine: other } of this.zones) {
           if (other !== quarantine) other.contents.merge(quarantine.contents.entries());
         }
@@ -235,8 +235,8 @@
     return quarantine;
   }
 
-  private comesElsewhereInMs(zone: string, model: string): number {
-    const others = [...this.told].filter(([name]) => name !== zone).flatMap(([, loads]) => loads);
+  private expectedElsewhereInMs(zone: string, model: string): number {
+    const others = [...this.reportedLoads].filter(([name]) => name !== zone).flatMap(([, loads]) => loads);
     const times = others.filter((load) => load.model === model).map(({ readyInMs }) => readyInMs);
     return Math.min(Infinity, ...times);
   }
--- a/packages/residency/test/crashing-loads.test.ts
+++ b/packages/residency/test/crashing-loads.test.ts
@@ -9,11 +9,11 @@
 const CRASHING_ADAPTER = { model: 'm4', adapter: 'a1', adapterVersion: 2 };
 const ZONES = 3;
 /** Time for which the load is asked for, in milliseconds: several lives of a demand, and many restarts of workers. */
-const ASKED_MS = 60_000;
+const REQUEST_PERIOD_MS = 60_000;
 /** Time after which all daemons know of an end under a load, in milliseconds; the load has not ended well by then. */
-const FOUND_OUT_MS = 1000;
+const CRASH_DETECTION_MS = 1000;
 /** Time in which a load has ended well, in milliseconds. */
-const LOADED_MS = 3000;
+const LOAD_COMPLETION_MS = 3000;
 
 function isCrashing(target: ModelTarget): boolean {
   return isSame(target, CRASHING) || isSame(target, CRASHING_ADAPTER);
@@ -37,77 +37,77 @@
   }
 
   async function endWorkers(count: number): Promise<void> {
-    while (scene.ended.length < count) await scene.keepAsking(CRASHING, 100, [first]);
+    while (scene.exitedWorkers.length < count) await scene.keepAsking(CRASHING, 100, [first]);
   }
 
   it('ends three workers and no more, where one coordinator is asked for it again and again', async () => {
     await start(1);
-    await scene.keepAsking(CRASHING, ASKED_MS, [first]);
-    expect(scene.ended).to.have.length(ENDS_FOR_VERDICT);
+    await scene.keepAsking(CRASHING, REQUEST_PERIOD_MS, [first]);
+    expect(scene.exitedWorkers).to.have.length(ENDS_FOR_VERDICT);
   });
 
   it('ends a worker of each zone and one more at most, where all coordinators begin it at once', async () => {
     await start(2);
-    await scene.keepAsking(CRASHING, ASKED_MS);
-    expect(scene.ended.length).to.be.within(ENDS_FOR_VERDICT, ZONES + 1);
+    await scene.keepAsking(CRASHING, REQUEST_PERIOD_MS);
+    expect(scene.exitedWorkers.length).to.be.within(ENDS_FOR_VERDICT, ZONES + 1);
   });
 
   it('is tried by one coordinator at a time once a worker has ended under it', async () => {
     await start(3);
     await endWorkers(1);
-    await scene.pass(FOUND_OUT_MS);
-    await scene.keepAsking(CRASHING, ASKED_MS);
-    expect(scene.ended).to.have.length(ENDS_FOR_VERDICT);
+    await scene.advance(CRASH_DETECTION_MS);
+    await scene.keepAsking(CRASHING, REQUEST_PERIOD_MS);
+    expect(scene.exitedWorkers).to.have.length(ENDS_FOR_VERDICT);
   });
 
   it('is refused at once by every coordinator after the verdict, while other models are loaded', async () => {
     await start(4);
-    await scene.keepAsking(CRASHING, ASKED_MS, [first]);
+    await scene.keepAsking(CRASHING, REQUEST_PERIOD_MS, [first]);
     scene.answers.splice(0);
     for (const zone of scene.zones) scene.ask(zone, CRASHING);
-    await scene.pass(50);
+    await scene.advance(50);
     expect(scene.answers).to.have.length(ZONES);
     for (const { held, reason, retryAfterMs } of scene.answers) {
       expect({ held, reason }).to.deep.equal({ held: false, reason: 'load_quarantined' });
-      expect(retryAfterMs).to.be.within(QUARANTINE_MS - 2 * ASKED_MS, QUARANTINE_MS);
+      expect(retryAfterMs).to.be.within(QUARANTINE_MS - 2 * REQUEST_PERIOD_MS, QUARANTINE_MS);
     }
     scene.answers.splice(0);
     scene.ask(first, HARMLESS);
-    await scene.pass(LOADED_MS);
+    await scene.advance(LOAD_COMPLETION_MS);
     expect(scene.answers[0]).to.include({ held: true });
   });
 
   it('is not ordered by coordinators that start after the verdict, when all that knew of it are gone', async () => {
     await start(5);
-    await scene.keepAsking(CRASHING, ASKED_MS, [first]);
+    await scene.keepAsking(CRASHING, REQUEST_PERIOD_MS, [first]);
     await scene.restartAll();
-    await scene.keepAsking(CRASHING, ASKED_MS);
-    expect(scene.ended).to.have.length(ENDS_FOR_VERDICT);
+    await scene.keepAsking(CRASHING, REQUEST_PERIOD_MS);
+    expect(scene.exitedWorkers).to.have.length(ENDS_FOR_VERDICT);
     expect([...scene.records.values()][0]).to.include({ load: 'models m7', route: '' });
   });
 
   it('is loaded again once an operator has lifted it', async () => {
     await start(6);
-    await scene.keepAsking(CRASHING, ASKED_MS, [first]);
+    await scene.keepAsking(CRASHING, REQUEST_PERIOD_MS, [first]);
     isBroken = false;
     await scene.store.remove(loadContent(SERVICE, CRASHING));
     scene.answers.splice(0);
     scene.ask(first, CRASHING);
-    await scene.pass(LOADED_MS);
+    await scene.advance(LOAD_COMPLETION_MS);
     expect(scene.answers[0]).to.include({ held: true });
   });
 
   it('is counted by adapter: its model and other adapters of it go on', async () => {
     await start(7);
     scene.ask(first, { model: CRASHING_ADAPTER.model });
-    await scene.pass(LOADED_MS);
-    await scene.keepAsking(CRASHING_ADAPTER, ASKED_MS, [first]);
-    expect(scene.ended).to.have.length(ENDS_FOR_VERDICT);
+    await scene.advance(LOAD_COMPLETION_MS);
+    await scene.keepAsking(CRASHING_ADAPTER, REQUEST_PERIOD_MS, [first]);
+    expect(scene.exitedWorkers).to.have.length(ENDS_FOR_VERDICT);
     expect(scene.isQuarantined(CRASHING_ADAPTER)).to.equal(true);
     expect(scene.isQuarantined({ model: CRASHING_ADAPTER.model })).to.equal(false);
     scene.answers.splice(0);
     scene.ask(first, { ...CRASHING_ADAPTER, adapterVersion: 3 });
-    await scene.pass(LOADED_MS);
+    await scene.advance(LOAD_COMPLETION_MS);
     expect(scene.answers[0]).to.include({ held: true });
   });
 
@@ -116,10 +116,10 @@
     const { model } = CRASHING_ADAPTER;
     for (let count = 0; count < WORKERS_PER_ZONE; count += 1) {
       scene.ask(first, { model }, scene.holdersIn(first, model));
-      await scene.pass(LOADED_MS);
+      await scene.advance(LOAD_COMPLETION_MS);
     }
     scene.ask(first, CRASHING_ADAPTER);
-    await scene.pass(FOUND_OUT_MS);
+    await scene.advance(CRASH_DETECTION_MS);
     const holders = scene.holdersIn(first, model);
     expect(holders).to.have.length(WORKERS_PER_ZONE - 1);
     for (const holder of holders) {
@@ -129,8 +129,8 @@
         holders.filter((id) => id !== holder),
       );
     }
-    await scene.pass(ASKED_MS);
-    expect(scene.ended).to.have.length(ENDS_FOR_VERDICT);
+    await scene.advance(REQUEST_PERIOD_MS);
+    expect(scene.exitedWorkers).to.have.length(ENDS_FOR_VERDICT);
   });
 
   it('is no suspect any more once it has ended well anywhere', async () => {
@@ -138,7 +138,7 @@
     await endWorkers(ENDS_FOR_VERDICT - 1);
     isBroken = false;
     scene.ask(scene.zones[1] as CoordinatedZone, CRASHING);
-    await scene.pass(LOADED_MS);
+    await scene.advance(LOAD_COMPLETION_MS);
     for (const { quarantine } of scene.zones) expect(quarantine.loads.totals.suspects).to.equal(0);
   });
 
@@ -146,13 +146,13 @@
     await start(9);
     isBroken = false;
     for (const zone of scene.zones) scene.ask(zone, CRASHING);
-    await scene.pass(300);
-    for (const worker of scene.workers.values()) worker.end();
-    await scene.pass(FOUND_OUT_MS);
+    await scene.advance(300);
+    for (const worker of scene.workers.values()) worker.exit();
+    await scene.advance(CRASH_DETECTION_MS);
     expect(first.quarantine.contents.totals).to.include({ marks: ZONES, suspects: 1, quarantined: 0 });
     scene.answers.splice(0);
     scene.ask(first, CRASHING);
-    await scene.pass(2 * LOADED_MS);
+    await scene.advance(2 * LOAD_COMPLETION_MS);
     expect(scene.answers[0]).to.include({ held: true });
     expect(first.quarantine.loads.totals).to.deep.equal({ suspects: 0, quarantined: 0, refused: 0 });
   });
@@ -161,16 +161,16 @@
     await start(10);
     isBroken = false;
     scene.ask(first, CRASHING);
-    await scene.pass(300);
+    await scene.advance(300);
     const loading = [...scene.workers].filter(([, worker]) => worker.report().busy);
     for (const [id, worker] of loading) {
       const record = scene.directory.get(id);
       if (record !== undefined) scene.directory.put({ ...record, draining: true });
-      await scene.pass(50);
-      worker.end();
+      await scene.advance(50);
+      worker.exit();
     }
-    await scene.pass(LOADED_MS);
-    expect(scene.ended).to.have.length(1);
+    await scene.advance(LOAD_COMPLETION_MS);
+    expect(scene.exitedWorkers).to.have.length(1);
     expect(first.quarantine.contents.totals.marks).to.equal(0);
   });
 });
--- a/packages/residency/test/load-plan.test.ts
+++ b/packages/residency/test/load-plan.test.ts
@@ -2,7 +2,7 @@
 import { NO_NEARBY_COPIES } from '@woodbarrow/backends';
 import {
   ResidentSet,
-  byUrgency,
+  sortByUrgency,
   planLoads,
   urgencyOf,
   type DemandGroup,
@@ -27,7 +27,7 @@
 }
 
 function group(model: string, ...demands: readonly PendingDemand[]): DemandGroup {
-  return { service: 's', model, another: false, key: model, demands };
+  return { service: 's', model, isAdditionalReplica: false, key: model, demands };
 }
 
 function candidate(id: string, busyMs: number): PlacementCandidate {
@@ -72,22 +72,24 @@
 
 describe('byUrgency', () => {
   it('puts a demand that is about to miss its target before one with time', () => {
-    expect(names(byUrgency([group('far', demand(6000)), group('near', demand(1200))], NOW))).to.deep.equal([
-      'near',
-      'far',
-    ]);
+    expect(
+      names(sortByUrgency([group('far', demand(6000)), group('near', demand(1200))], NOW)),
+    ).to.deep.equal(['near', 'far']);
   });
 
   it('puts one that has missed its target behind, until its time runs out', () => {
     const late = group('late', demand(-500, 8000));
     const ending = group('ending', demand(-500, 1000), demand(-500, 1000), demand(-500, 1000));
-    expect(names(byUrgency([late, group('near', demand(1500))], NOW))).to.deep.equal(['near', 'late']);
-    expect(names(byUrgency([group('near', demand(1500)), ending], NOW))).to.deep.equal(['ending', 'near']);
+    expect(names(sortByUrgency([late, group('near', demand(1500))], NOW))).to.deep.equal(['near', 'late']);
+    expect(names(sortByUrgency([group('near', demand(1500)), ending], NOW))).to.deep.equal([
+      'ending',
+      'near',
+    ]);
   });
 
   it('puts many demands before few of the same kind', () => {
     const many = group('many', demand(2000), demand(2000), demand(2000));
-    expect(names(byUrgency([group('few', demand(2000)), many], NOW))).to.deep.equal(['many', 'few']);
+    expect(names(sortByUrgency([group('few', demand(2000)), many], NOW))).to.deep.equal(['many', 'few']);
   });
 });
 
--- a/packages/residency/test/load-quarantines.ts
+++ b/packages/residency/test/load-quarantines.ts
@@ -17,7 +17,7 @@
 }
 
 /** A store that takes everything and tells nobody. */
-const FORGETFUL_STORE: QuarantineStore = {
+const DISCARDING_STORE: QuarantineStore = {
   create: () => Promise.resolve(),
   claim: () => Promise.resolve(true),
   remove: () => Promise.resolve(),
@@ -28,11 +28,11 @@
   clock: Clock,
   directory: BackendDirectory,
   workers: ReadonlyMap<string, SimulatedWorker> = new Map(),
-  store: QuarantineStore = FORGETFUL_STORE,
+  store: QuarantineStore = DISCARDING_STORE,
 ): DaemonQuarantine {
   const contents = new RequestQuarantine({
     daemon: 'daemon',
-    probe: { ask: (backEnd) => Promise.resolve(answerOf(workers, backEnd)) },
+    probe: { ask: (backEnd) => Promise.resolve(processAnswer(workers, backEnd)) },
     store,
     removesRecord: () => true,
     clock,
@@ -42,9 +42,9 @@
   return { contents, loads: new LoadQuarantine({ contents, directory, clock, log: silentLog }) };
 }
 
-function answerOf(workers: ReadonlyMap<string, SimulatedWorker>, { id }: BackEnd): ProcessAnswer {
+function processAnswer(workers: ReadonlyMap<string, SimulatedWorker>, { id }: BackEnd): ProcessAnswer {
   const worker = workers.get(id);
   if (worker === undefined) return 'unknown';
-  if (!worker.hasEnded) return 'running';
+  if (!worker.hasExited) return 'running';
   return worker.isReplaced ? 'replaced' : 'refused';
 }
--- a/packages/residency/test/load-times.test.ts
+++ b/packages/residency/test/load-times.test.ts
@@ -13,7 +13,7 @@
 
   it('follows measured times, each source for itself', () => {
     const times = new LoadTimes();
-    for (let count = 0; count < 20; count += 1) times.noteLoad(MODEL, 'disk', 1600);
+    for (let count = 0; count < 20; count += 1) times.recordLoad(MODEL, 'disk', 1600);
     expect(times.loadMs(MODEL, 'disk')).to.be.within(1580, 1600);
     expect(times.loadMs(MODEL, 'store')).to.equal(6000);
   });
@@ -21,13 +21,13 @@
   it('expects an unload to end with the runs of the model, as far as their foretold end has proved right', () => {
     const times = new LoadTimes();
     expect(times.unloadMs(1000)).to.equal(times.unloadMs(0) + 1000);
-    for (let count = 0; count < 20; count += 1) times.noteUnload(1000, times.unloadMs(0) + 1500);
+    for (let count = 0; count < 20; count += 1) times.recordUnload(1000, times.unloadMs(0) + 1500);
     expect(times.unloadMs(1000) - times.unloadMs(0)).to.be.within(1480, 1500);
   });
 
   it('does not believe single unloads that took far longer than foretold', () => {
     const times = new LoadTimes();
-    times.noteUnload(100, 9000);
+    times.recordUnload(100, 9000);
     expect(times.unloadMs(1000) - times.unloadMs(0)).to.be.at.most(1300);
   });
 });
--- a/packages/residency/test/placement-choice.test.ts
+++ b/packages/residency/test/placement-choice.test.ts
@@ -73,7 +73,7 @@
       candidates,
       times,
       victimsOf: (candidate) =>
-        rankVictims(candidate, { loads, times, now: 0, promisedUntil: () => 0, replicasOf }),
+        rankVictims(candidate, { loads, times, now: 0, reservedUntil: () => 0, replicasOf }),
       storeWaitMs: 0,
       storeSlowdown: 1,
       maximumVictimValue: 3,
@@ -123,7 +123,7 @@
   it("keeps to the zone's part of the loads in every window", async () => {
     const world = new SimulatedWorld();
     const clock = new SimulatedProcess(world, { name: 'd', zone: 'z', region: 'r' });
-    const window = new LoadWindow({ windowMs: 5000, limit: () => 21, sharers: () => 4 }, clock);
+    const window = new LoadWindow({ windowMs: 5000, limit: () => 21, zoneCount: () => 4 }, clock);
     const begun: number[] = [];
     while (world.now < 30_000) {
       await world.run(world.now + window.waitMs());
--- a/packages/residency/test/planning-cost.test.ts
+++ b/packages/residency/test/planning-cost.test.ts
@@ -6,7 +6,7 @@
 const WORKERS = 24;
 const MODELS = Array.from({ length: 300 }, (_, index) => `m${String(index)}`);
 /** Models that are waited for, more than a plan works out one by one. */
-const WAITED_FOR = 100;
+const WAITING_MODELS = 100;
 const QUOTES = 200;
 
 /**
@@ -33,7 +33,8 @@
       withinMs: 60_000,
       ...changes,
     });
-    for (const model of MODELS.slice(WORKERS, WORKERS + WAITED_FOR)) void coordinator.demand(message(model));
+    for (const model of MODELS.slice(WORKERS, WORKERS + WAITING_MODELS))
+      void coordinator.demand(message(model));
     await zone.world.run(zone.world.now + 300);
     let asked = 0;
     const demandFor = zone.loads.demandFor.bind(zone.loads);
@@ -42,9 +43,9 @@
       return demandFor(model);
     };
     const quotes = Array.from({ length: QUOTES }, (_, index) =>
-      coordinator.demand(message(MODELS[WORKERS + WAITED_FOR + (index % 150)] ?? '', { quote: true })),
+      coordinator.demand(message(MODELS[WORKERS + WAITING_MODELS + (index % 150)] ?? '', { quote: true })),
     );
     for (const answer of await zone.settle(Promise.all(quotes))) expect(answer.reason).to.equal('quote');
-    expect(asked).to.be.at.most(2 * (QUOTES + WAITED_FOR));
+    expect(asked).to.be.at.most(2 * (QUOTES + WAITING_MODELS));
   });
 });
--- a/packages/residency/test/residency-service.test.ts
+++ b/packages/residency/test/residency-service.test.ts
@@ -13,7 +13,7 @@
 /** Leases in memory; every write is kept with its time. */
 class LeaseStore implements LeaseRecordStore {
   readonly writes: { readonly name: string; readonly record: LeaseRecord; readonly at: number }[] = [];
-  private readonly kept = new Map<string, StoredLease>();
+  private readonly stored = new Map<string, StoredLease>();
 
   constructor(private readonly now: () => number) {}
 
@@ -25,27 +25,27 @@
   isReachable = true;
 
   read(name: string): Promise<StoredLease | undefined> {
-    return this.isReachable ? Promise.resolve(this.kept.get(name)) : Promise.reject(new Error('no answer'));
+    return this.isReachable ? Promise.resolve(this.stored.get(name)) : Promise.reject(new Error('no answer'));
   }
 
   /** Writes a record whatever is there. */
   put(name: string, record: LeaseRecord): Promise<StoredLease> {
-    return Promise.resolve(this.write(name, record, (this.kept.get(name)?.revision ?? 0) + 1));
+    return Promise.resolve(this.write(name, record, (this.stored.get(name)?.revision ?? 0) + 1));
   }
 
   create(name: string, record: LeaseRecord): Promise<StoredLease | undefined> {
-    return Promise.resolve(this.kept.has(name) ? undefined : this.write(name, record, 1));
+    return Promise.resolve(this.stored.has(name) ? undefined : this.write(name, record, 1));
   }
 
   replace(name: string, record: LeaseRecord, revision: number): Promise<StoredLease | undefined> {
     if (!this.isReachable) return Promise.reject(new Error('no answer'));
-    const isCurrent = this.kept.get(name)?.revision === revision;
+    const isCurrent = this.stored.get(name)?.revision === revision;
     return Promise.resolve(isCurrent ? this.write(name, record, revision + 1) : undefined);
   }
 
   private write(name: string, record: LeaseRecord, revision: number): StoredLease {
     const stored = { record, revision, era: 0 };
-    this.kept.set(name, stored);
+    this.stored.set(name, stored);
     this.writes.push({ name, record, at: this.now() });
     return stored;
   }
--- a/packages/residency/test/simulated-workers.ts
+++ b/packages/residency/test/simulated-workers.ts
@@ -4,7 +4,7 @@
 import type { OrderClient, OrderOutcome, WorkerOrder, WorkerReport } from '../src/index.js';
 
 /** Shares of orders that go wrong. */
-export interface OrderTrouble {
+export interface OrderFaults {
   /** Carried out, not answered. */
   readonly answerLost: number;
   /** Not answered, carried out seconds later if the sequence still fits. */
@@ -36,7 +36,7 @@
 }
 
 /** How the worker names the copy of an adapter, with its version where the order named one. */
-function textOf({ adapter = '', adapterVersion }: ModelTarget): string {
+function copyKey({ adapter = '', adapterVersion }: ModelTarget): string {
   return adapterVersion === undefined ? adapter : `${adapter}@${String(adapterVersion)}`;
 }
 
@@ -52,8 +52,8 @@
 
 /** Loads that end the process of a worker. */
 export interface WorkerCrashes {
-  readonly under: (target: ModelTarget) => boolean;
-  readonly onEnd: () => void;
+  readonly crashesUnder: (target: ModelTarget) => boolean;
+  readonly onExit: () => void;
 }
 
 /** One worker. */
@@ -66,12 +66,12 @@
   private readonly incoming = new Map<string, ModelTarget>();
   /** Adapters that runs use, and those of them that are to be unloaded. */
   private readonly inUse = new Set<string>();
-  private readonly leaving = new Set<string>();
+  private readonly pendingUnloads = new Set<string>();
   private sequence = 0;
   private changing: string | undefined;
   private changingBy: 'load' | 'unload' | undefined;
   private snapshots: Snapshot[] = [];
-  private ended = false;
+  private exited = false;
   /** Whether another process answers at its address. */
   isReplaced = false;
 
@@ -79,28 +79,28 @@
   constructor(
     private readonly world: SimulatedWorld,
     models: readonly string[],
-    private readonly crashes: WorkerCrashes = { under: () => false, onEnd: () => undefined },
+    private readonly crashes: WorkerCrashes = { crashesUnder: () => false, onExit: () => undefined },
   ) {
     for (const model of models) this.models.set(model, new Set());
-    this.remember();
+    this.takeSnapshot();
   }
 
   /** Whether the process has ended. */
-  get hasEnded(): boolean {
-    return this.ended;
+  get hasExited(): boolean {
+    return this.exited;
   }
 
   /** Ends the process. */
-  end(): void {
-    if (this.ended) return;
-    this.ended = true;
-    this.crashes.onEnd();
+  exit(): void {
+    if (this.exited) return;
+    this.exited = true;
+    this.crashes.onExit();
   }
 
   /** The state as it was some time ago. */
   report(): WorkerReport {
     const until = this.world.now - REPORT_LAG_MS;
-    const [first = this.remember()] = this.snapshots;
+    const [first = this.takeSnapshot()] = this.snapshots;
     const known = this.snapshots.filter((snapshot) => snapshot.at <= until);
     return (known[known.length - 1] ?? first).report;
   }
@@ -110,7 +110,7 @@
     this.fences.push(order.fence);
     if (order.expectedSequence !== this.sequence) return 'conflict';
     const outcome = order.target.adapter === undefined ? this.takeModel(order) : this.takeAdapter(order);
-    this.remember();
+    this.takeSnapshot();
     return outcome;
   }
 
@@ -120,9 +120,9 @@
     this.inUse.add(key);
     this.world.schedule(durationMs, () => {
       this.inUse.delete(key);
-      if (!this.leaving.delete(key)) return;
+      if (!this.pendingUnloads.delete(key)) return;
       this.models.get(model)?.delete(adapter);
-      this.remember();
+      this.takeSnapshot();
     });
   }
 
@@ -138,19 +138,19 @@
     this.sequence += 1;
     this.changing = target.model;
     this.changingBy = operation;
-    if (this.endsUnder(operation, target, CRASH_AFTER_MS.model)) return 'accepted';
+    if (this.crashesUnder(operation, target, CRASH_AFTER_MS.model)) return 'accepted';
     this.world.schedule(operation === 'load' ? LOAD_MS : UNLOAD_MS, () => {
       this.changing = undefined;
       if (operation === 'load') this.models.set(target.model, new Set());
       else this.models.delete(target.model);
-      this.remember();
+      this.takeSnapshot();
     });
     return 'accepted';
   }
 
   private takeAdapter({ operation, target }: WorkerOrder): OrderOutcome {
     const adapters = this.models.get(target.model);
-    const adapter = textOf(target);
+    const adapter = copyKey(target);
     if (adapters === undefined) return 'rejected';
     const isHeld = adapters.has(adapter);
     if (operation === 'load' && isHeld) return 'done';
@@ -161,7 +161,7 @@
     this.sequence += 1;
     const key = `${target.model}/${adapter}`;
     if (operation === 'unload' && this.inUse.has(key)) {
-      this.leaving.add(key);
+      this.pendingUnloads.add(key);
       return 'accepted';
     }
     if (operation === 'unload') {
@@ -169,24 +169,24 @@
       return 'done';
     }
     this.incoming.set(key, target);
-    if (this.endsUnder(operation, target, CRASH_AFTER_MS.adapter)) return 'accepted';
+    if (this.crashesUnder(operation, target, CRASH_AFTER_MS.adapter)) return 'accepted';
     this.world.schedule(ADAPTER_MS, () => {
       this.incoming.delete(key);
       this.models.get(target.model)?.add(adapter);
-      this.remember();
+      this.takeSnapshot();
     });
     return 'accepted';
   }
 
-  private endsUnder(operation: WorkerOrder['operation'], target: ModelTarget, afterMs: number): boolean {
-    if (operation !== 'load' || !this.crashes.under(target)) return false;
+  private crashesUnder(operation: WorkerOrder['operation'], target: ModelTarget, afterMs: number): boolean {
+    if (operation !== 'load' || !this.crashes.crashesUnder(target)) return false;
     this.world.schedule(afterMs, () => {
-      this.end();
+      this.exit();
     });
     return true;
   }
 
-  private remember(): Snapshot {
+  private takeSnapshot(): Snapshot {
     const models = [...this.models].map(([name, adapters]) => ({
       name,
       adapters: [...adapters].map(toCopy),
@@ -206,7 +206,7 @@
 
 /** Orders and reports of one coordinator's process. */
 export class SimulatedOrderClient implements OrderClient {
-  trouble: OrderTrouble = { answerLost: 0, appliedLate: 0 };
+  faults: OrderFaults = { answerLost: 0, appliedLate: 0 };
 
   constructor(
     private readonly world: SimulatedWorld,
@@ -217,8 +217,8 @@
 
   send(backEnd: BackEnd, order: WorkerOrder): Promise<OrderOutcome> {
     const worker = this.workers.get(backEnd.id);
-    const fate = this.random.next();
-    const { answerLost, appliedLate } = this.trouble;
+    const draw = this.random.next();
+    const { answerLost, appliedLate } = this.faults;
     return new Promise((resolve) => {
       const answer = (outcome: OrderOutcome, delayMs: number): void => {
         this.world.schedule(delayMs, () => {
@@ -229,17 +229,17 @@
       };
       if (worker === undefined) {
         answer('unknown', ORDER_TIMEOUT_MS);
-      } else if (fate < appliedLate) {
+      } else if (draw < appliedLate) {
         this.world.schedule(this.random.between(2000, 12_000), () => void worker.take(order));
         answer('unknown', ORDER_TIMEOUT_MS);
       } else {
         this.world.schedule(ROUND_TRIP_MS / 2, () => {
-          if (worker.hasEnded) {
+          if (worker.hasExited) {
             answer(worker.isReplaced ? 'gone' : 'unreachable', ROUND_TRIP_MS / 2);
             return;
           }
           const outcome = worker.take(order);
-          if (fate < appliedLate + answerLost) answer('unknown', ORDER_TIMEOUT_MS);
+          if (draw < appliedLate + answerLost) answer('unknown', ORDER_TIMEOUT_MS);
           else answer(outcome, ROUND_TRIP_MS / 2);
         });
       }
@@ -250,7 +250,7 @@
     return new Promise((resolve) => {
       this.world.schedule(ROUND_TRIP_MS, () => {
         const worker = this.workers.get(backEnd.id);
-        const report = worker?.hasEnded === true ? undefined : worker?.report();
+        const report = worker?.hasExited === true ? undefined : worker?.report();
         this.process.deliver(() => {
           resolve(report);
         });
--- a/packages/residency/test/store-room-changes.test.ts
+++ b/packages/residency/test/store-capacity-changes.test.ts
@@ -8,13 +8,13 @@
 import { MODELS, ZoneWorld, demand } from './zone-world.js';
 
 /** Loads of other zones that fill the link to the weight store, however much it is believed to bear. */
-const LINK_IS_FULL = 1000;
+const LOADS_THAT_FILL_LINK = 1000;
 
 describe('a zone whose share of the weight store changes while it plans', () => {
   it('never orders more than a worker holds', async () => {
     for (let seed = 1; seed <= 20; seed += 1) {
       const zone = new ZoneWorld(seed);
-      zone.storeLoadsElsewhere = () => (zone.random.next() < 0.5 ? 0 : LINK_IS_FULL);
+      zone.storeLoadsInOtherZones = () => (zone.random.next() < 0.5 ? 0 : LOADS_THAT_FILL_LINK);
       const coordinator = await zone.coordinator();
       for (let step = 0; step < 20; step += 1) {
         for (const model of zone.random.shuffle([...MODELS]).slice(0, 4)) void demand(coordinator, model);
--- a/packages/residency/test/store-link.test.ts
+++ b/packages/residency/test/store-link.test.ts
@@ -6,7 +6,7 @@
 const LOAD_MS = 6000;
 const STEP_MS = 50;
 /** Lag with which zones learn of each other's loads, in milliseconds: the pause between two reports. */
-const TOLD_AFTER_MS = 300;
+const LOAD_REPORT_INTERVAL_MS = 300;
 
 interface Transfer {
   readonly load: StoreLoad;
@@ -19,10 +19,10 @@
   readonly zones: StoreLink[] = [];
   completed = 0;
   /** Loads at once, summed over all steps. */
-  private atOnceSum = 0;
+  private concurrencySum = 0;
   private steps = 0;
   private readonly transfers = new Map<StoreLink, Transfer[]>();
-  private readonly told = new Map<StoreLink, number>();
+  private readonly reportedLoads = new Map<StoreLink, number>();
 
   constructor(
     public capacity: number,
@@ -32,8 +32,8 @@
     for (let index = 0; index < zoneCount; index += 1) {
       const link: StoreLink = new StoreLink({
         clock,
-        elsewhere: () => this.toldBeside(link),
-        sharers: () => zoneCount,
+        loadsInOtherZones: () => this.loadsReportedElsewhere(link),
+        zoneCount: () => zoneCount,
         random: new Random(index + 1),
       });
       this.zones.push(link);
@@ -45,10 +45,10 @@
   async run(seconds: number): Promise<number> {
     const completedBefore = this.completed;
     const steps = (seconds * 1000) / STEP_MS;
-    this.atOnceSum = 0;
+    this.concurrencySum = 0;
     this.steps = 0;
     for (let step = 0; step < steps; step += 1) {
-      if (step % (TOLD_AFTER_MS / STEP_MS) === 0) this.tell();
+      if (step % (LOAD_REPORT_INTERVAL_MS / STEP_MS) === 0) this.reportLoads();
       this.begin();
       this.advance();
       await this.world.run(this.world.now + STEP_MS);
@@ -57,35 +57,38 @@
   }
 
   /** Mean number of loads at once in the last run. */
-  get meanAtOnce(): number {
-    return this.atOnceSum / this.steps;
+  get meanConcurrency(): number {
+    return this.concurrencySum / this.steps;
   }
 
-  private toldBeside(link: StoreLink): number {
-    return this.zones.reduce((sum, other) => sum + (other === link ? 0 : (this.told.get(other) ?? 0)), 0);
+  private loadsReportedElsewhere(link: StoreLink): number {
+    return this.zones.reduce(
+      (sum, other) => sum + (other === link ? 0 : (this.reportedLoads.get(other) ?? 0)),
+      0,
+    );
   }
 
-  private tell(): void {
-    for (const link of this.zones) this.told.set(link, link.own);
+  private reportLoads(): void {
+    for (const link of this.zones) this.reportedLoads.set(link, link.ownLoads);
   }
 
   private begin(): void {
     for (const link of this.zones) {
-      link.account();
-      if (link.hasRoom) this.transfers.get(link)?.push({ load: link.begin(LOAD_MS), leftMs: LOAD_MS });
+      link.accumulateConcurrency();
+      if (link.hasCapacity) this.transfers.get(link)?.push({ load: link.begin(LOAD_MS), leftMs: LOAD_MS });
     }
   }
 
   private advance(): void {
     const all = [...this.transfers.values()].flat();
-    this.atOnceSum += all.length;
+    this.concurrencySum += all.length;
     this.steps += 1;
     const progressMs = STEP_MS * Math.min(1, this.capacity / Math.max(1, all.length));
     for (const [link, transfers] of this.transfers) {
       for (const transfer of transfers) transfer.leftMs -= progressMs;
       const ended = transfers.filter(({ leftMs }) => leftMs <= 0);
       this.completed += ended.length;
-      for (const { load } of ended) load.ended(true);
+      for (const { load } of ended) load.noteEnded(true);
       this.transfers.set(
         link,
         transfers.filter(({ leftMs }) => leftMs > 0),
@@ -100,7 +103,7 @@
       const link = new SharedLink(capacity, 1);
       await link.run(120);
       expect(await link.run(240)).to.be.at.least(0.9);
-      expect(link.meanAtOnce).to.be.at.most(capacity * 1.35 + 1);
+      expect(link.meanConcurrency).to.be.at.most(capacity * 1.35 + 1);
     });
   }
 
@@ -108,7 +111,7 @@
     const link = new SharedLink(4, 6);
     await link.run(120);
     expect(await link.run(240)).to.be.at.least(0.9);
-    expect(link.meanAtOnce).to.be.at.most(8);
+    expect(link.meanConcurrency).to.be.at.most(8);
   });
 
   it('follows a link whose capacity changes', async () => {
@@ -117,7 +120,7 @@
     link.capacity = 2;
     await link.run(90);
     expect(await link.run(240)).to.be.at.least(0.9);
-    expect(link.meanAtOnce).to.be.at.most(4);
+    expect(link.meanConcurrency).to.be.at.most(4);
     link.capacity = 8;
     await link.run(120);
     expect(await link.run(240)).to.be.at.least(0.9);
@@ -128,41 +131,51 @@
     const clock = new SimulatedProcess(new SimulatedWorld(), { name: 'd', zone: 'z', region: 'r' });
     const link = new StoreLink({
       clock,
-      elsewhere: () => elsewhere,
-      sharers: () => 1,
+      loadsInOtherZones: () => elsewhere,
+      zoneCount: () => 1,
       random: new Random(1),
     });
-    expect(link.hasRoom).to.equal(false);
+    expect(link.hasCapacity).to.equal(false);
     expect(link.waitMs(LOAD_MS)).to.be.within(1, 100 * LOAD_MS);
     elsewhere = 0;
-    expect(link.hasRoom).to.equal(true);
+    expect(link.hasCapacity).to.equal(true);
     expect(link.waitMs(LOAD_MS)).to.equal(0);
   });
 
   it('learns nothing from loads that did not come about', async () => {
     const world = new SimulatedWorld();
     const clock = new SimulatedProcess(world, { name: 'd', zone: 'z', region: 'r' });
-    const link = new StoreLink({ clock, elsewhere: () => 0, sharers: () => 1, random: new Random(1) });
-    const before = link.limit;
+    const link = new StoreLink({
+      clock,
+      loadsInOtherZones: () => 0,
+      zoneCount: () => 1,
+      random: new Random(1),
+    });
+    const before = link.loadLimit;
     const load = link.begin(LOAD_MS);
     await world.run(world.now + 10 * LOAD_MS);
-    load.ended(false);
-    expect(link.limit).to.equal(before);
-    expect(link.own).to.equal(0);
+    load.noteEnded(false);
+    expect(link.loadLimit).to.equal(before);
+    expect(link.ownLoads).to.equal(0);
   });
 
   it('does not take the wait for what makes way for a slow load', async () => {
     const world = new SimulatedWorld();
     const clock = new SimulatedProcess(world, { name: 'd', zone: 'z', region: 'r' });
-    const link = new StoreLink({ clock, elsewhere: () => 0, sharers: () => 1, random: new Random(1) });
-    const before = link.limit;
+    const link = new StoreLink({
+      clock,
+      loadsInOtherZones: () => 0,
+      zoneCount: () => 1,
+      random: new Random(1),
+    });
+    const before = link.loadLimit;
     for (let load = 0; load < 8; load += 1) {
       const transfer = link.begin(LOAD_MS);
       await world.run(world.now + LOAD_MS);
-      transfer.began();
+      transfer.noteAccepted();
       await world.run(world.now + LOAD_MS);
-      transfer.ended(true);
+      transfer.noteEnded(true);
     }
-    expect(link.limit).to.equal(before);
+    expect(link.loadLimit).to.equal(before);
   });
 });
--- a/packages/residency/test/unserved-models.test.ts
+++ b/packages/residency/test/unserved-models.test.ts
@@ -5,7 +5,7 @@
 import { UnservedModels, type ZoneResidency } from '../src/index.js';
 import { SERVICE, WITHIN_MS, ZONE, ZoneWorld, demand } from './zone-world.js';
 
-const WANTED = { service: SERVICE, model: 'm9', another: false };
+const WANTED = { service: SERVICE, model: 'm9', isAdditionalReplica: false };
 
 function quote(coordinator: ZoneResidency, mayUseStore: boolean): Promise<ResidencyDemandAnswer> {
   return coordinator.demand({
@@ -38,7 +38,7 @@
 
   it('tells once of a model that is asked for in vain for seconds, with the cause', async () => {
     for (let second = 0; second < 12; second += 1) {
-      unserved.note(WANTED, 'no_victim');
+      unserved.recordRefusal(WANTED, 'no_victim');
       await world.run(world.now + 1000);
     }
     expect(lines).to.deep.equal([
@@ -57,15 +57,15 @@
   });
 
   it('forgets a model once it is resident, and one that nobody asks for any more', async () => {
-    unserved.note(WANTED, 'no_victim');
-    unserved.note({ ...WANTED, model: 'm8' }, 'no_victim');
-    unserved.forget((_service, model) => model === 'm9');
+    unserved.recordRefusal(WANTED, 'no_victim');
+    unserved.recordRefusal({ ...WANTED, model: 'm8' }, 'no_victim');
+    unserved.removeServed((_service, model) => model === 'm9');
     expect(unserved.waitedMs(SERVICE, 'm9')).to.equal(0);
     await world.run(world.now + 20_000);
-    unserved.forget(() => false);
+    unserved.removeServed(() => false);
     expect(unserved.waitedMs(SERVICE, 'm8')).to.equal(20_000);
     await world.run(world.now + 20_000);
-    unserved.forget(() => false);
+    unserved.removeServed(() => false);
     expect(unserved.count).to.equal(0);
   });
 });
--- a/packages/residency/test/worker-orders.test.ts
+++ b/packages/residency/test/worker-orders.test.ts
@@ -7,7 +7,7 @@
 const LOAD_MS = 600;
 const UNLOAD_MS = 80;
 /** Longest time after its end at which a load is noticed, in milliseconds: a pause of orders and a round trip. */
-const NOTICE_MS = 45;
+const MAX_NOTICE_DELAY_MS = 45;
 
 describe('WorkerOrders', () => {
   let zone: ZoneWorld;
@@ -29,7 +29,7 @@
       signal: new AbortController().signal,
       announce: () => undefined,
     });
-    await zone.settle(worker.prepare());
+    await zone.settle(worker.synchronize());
   });
 
   async function timeOf(order: Partial<SwapOrder>): Promise<number> {
@@ -53,7 +53,10 @@
         victims: index === 0 ? [] : [`m${String(index + 4)}`],
         loadMs,
       });
-      expect(tookMs, `expected ${String(loadMs)}`).to.be.within(LOAD_MS, LOAD_MS + UNLOAD_MS + 2 * NOTICE_MS);
+      expect(tookMs, `expected ${String(loadMs)}`).to.be.within(
+        LOAD_MS,
+        LOAD_MS + UNLOAD_MS + 2 * MAX_NOTICE_DELAY_MS,
+      );
     }
     expect(zone.violations()).to.deep.equal([]);
   });
@@ -65,14 +68,14 @@
       takenAt = zone.world.now;
     };
     const tookMs = await timeOf({ victims: ['m0'], onLoadTaken });
-    expect(takenAt - startedAt).to.be.within(UNLOAD_MS, UNLOAD_MS + NOTICE_MS);
-    expect(tookMs - (takenAt - startedAt)).to.be.within(LOAD_MS, LOAD_MS + NOTICE_MS);
+    expect(takenAt - startedAt).to.be.within(UNLOAD_MS, UNLOAD_MS + MAX_NOTICE_DELAY_MS);
+    expect(tookMs - (takenAt - startedAt)).to.be.within(LOAD_MS, LOAD_MS + MAX_NOTICE_DELAY_MS);
   });
 
   it('loads in the end where orders are left unanswered or carried out late', async () => {
     for (let seed = 70; seed < 90; seed += 1) {
       const other = new ZoneWorld(seed);
-      other.orders.trouble = { answerLost: 0.3, appliedLate: 0.3 };
+      other.orders.faults = { answerLost: 0.3, appliedLate: 0.3 };
       const coordinator = await other.coordinator();
       const message = {
         zone: ZONE,
--- a/packages/residency/test/zone-residency.test.ts
+++ b/packages/residency/test/zone-residency.test.ts
@@ -62,7 +62,7 @@
     const zone = new ZoneWorld(32, 1);
     const coordinator = await zone.coordinator();
     await zone.settle(demand(coordinator, 'm1'));
-    zone.orders.trouble = { answerLost: 0, appliedLate: 1 };
+    zone.orders.faults = { answerLost: 0, appliedLate: 1 };
     void demand(coordinator, 'm5');
     const quotes: number[] = [];
     for (const afterMs of [500, 2000]) {
@@ -87,7 +87,7 @@
   it('does not load what another zone is about to have, and sends those who wait for it there', async () => {
     const zone = new ZoneWorld(33, 1);
     const coordinator = await zone.coordinator();
-    zone.comesElsewhere.set('m5', 800);
+    zone.expectedElsewhereInMs.set('m5', 800);
     const waiting = demand(coordinator, 'm5');
     await zone.world.run(zone.world.now + 600);
     expect(zone.workers.get('w0')?.models.has('m5')).to.equal(false);
@@ -109,10 +109,10 @@
   it('loads what another zone was about to have when it does not come there', async () => {
     const zone = new ZoneWorld(34, 1);
     const coordinator = await zone.coordinator();
-    zone.comesElsewhere.set('m5', 800);
+    zone.expectedElsewhereInMs.set('m5', 800);
     const waiting = demand(coordinator, 'm5');
     await zone.world.run(zone.world.now + 600);
-    zone.comesElsewhere.clear();
+    zone.expectedElsewhereInMs.clear();
     expect(await zone.settle(waiting)).to.include({ held: true, backEndId: 'w0' });
   });
 
@@ -140,9 +140,9 @@
       let coordinator = await zone.coordinator();
       for (let step = 0; step < 30; step += 1) {
         const choice = zone.random.integer(8);
-        if (choice === 0) zone.orders.trouble = { answerLost: 0.3, appliedLate: 0.3 };
-        if (choice === 1) zone.orders.trouble = { answerLost: 0, appliedLate: 0 };
-        if (choice === 2) zone.orders.trouble = { answerLost: 0, appliedLate: 0.95 };
+        if (choice === 0) zone.orders.faults = { answerLost: 0.3, appliedLate: 0.3 };
+        if (choice === 1) zone.orders.faults = { answerLost: 0, appliedLate: 0 };
+        if (choice === 2) zone.orders.faults = { answerLost: 0, appliedLate: 0.95 };
         if (choice === 3) {
           // The lease keeps its successor from acting before reports show what it did last.
           await zone.world.run(zone.world.now + 500);
@@ -338,10 +338,10 @@
   it('serves again once orders are answered again', async () => {
     const zone = new ZoneWorld(4);
     const coordinator = await zone.coordinator();
-    zone.orders.trouble = { answerLost: 0.5, appliedLate: 0.5 };
+    zone.orders.faults = { answerLost: 0.5, appliedLate: 0.5 };
     for (const model of ['m4', 'm5', 'm6', 'm7']) void demand(coordinator, model);
     await zone.world.run(15_000);
-    zone.orders.trouble = { answerLost: 0, appliedLate: 0 };
+    zone.orders.faults = { answerLost: 0, appliedLate: 0 };
     await zone.world.run(25_000);
     const answer = await zone.settle(demand(coordinator, 'm10', 'a1'));
     expect(answer.held).to.equal(true);
--- a/packages/residency/test/zone-world.ts
+++ b/packages/residency/test/zone-world.ts
@@ -30,17 +30,17 @@
 };
 
 /** Longer than any wait of the tests, in milliseconds. */
-const SETTLE_LIMIT_MS = 90_000;
+const SETTLE_TIMEOUT_MS = 90_000;
 
 /** A store that always answers at once. */
-export function plainLeaseStore(): LeaseRecordStore {
-  let kept: StoredLease | undefined;
+export function inMemoryLeaseStore(): LeaseRecordStore {
+  let stored: StoredLease | undefined;
   return {
     currentEra: () => ({ era: 0, knownForMs: Infinity }),
-    read: () => Promise.resolve(kept),
-    create: (_name, record) => Promise.resolve((kept = { record, revision: 1, era: 0 })),
+    read: () => Promise.resolve(stored),
+    create: (_name, record) => Promise.resolve((stored = { record, revision: 1, era: 0 })),
     replace: (_name, record, revision) =>
-      Promise.resolve((kept = { record, revision: revision + 1, era: 0 })),
+      Promise.resolve((stored = { record, revision: revision + 1, era: 0 })),
   };
 }
 
@@ -56,10 +56,10 @@
   readonly quarantine: DaemonQuarantine;
   engine = ENGINE;
   /** Models that another zone loads, with the time until they are there. */
-  readonly comesElsewhere = new Map<string, number>();
+  readonly expectedElsewhereInMs = new Map<string, number>();
   /** Loads from the weight store that other zones have under way, as they tell. */
-  storeLoadsElsewhere = (): number => 0;
-  private readonly leases = plainLeaseStore();
+  storeLoadsInOtherZones = (): number => 0;
+  private readonly leases = inMemoryLeaseStore();
   private runs = 0;
 
   constructor(seed: number, workerCount = 2) {
@@ -115,9 +115,9 @@
       signal: new AbortController().signal,
       zones: () => [ZONE],
       storeWindow: { windowMs: 5000, overshoot: 1 },
-      storeLoadsElsewhere: () => this.storeLoadsElsewhere(),
+      storeLoadsInOtherZones: () => this.storeLoadsInOtherZones(),
       quarantine: this.quarantine.loads,
-      comesElsewhereInMs: (model) => this.comesElsewhere.get(model) ?? Infinity,
+      expectedElsewhereInMs: (model) => this.expectedElsewhereInMs.get(model) ?? Infinity,
       announce: ({ backEndId, resident, ...target }) => {
         this.directory.announce(backEndId, target, resident);
       },
@@ -129,8 +129,8 @@
     const marked = promise.finally(() => {
       settled = true;
     });
-    await this.world.run(this.world.now + SETTLE_LIMIT_MS, () => settled);
-    if (!settled) throw new Error(`not settled within ${String(SETTLE_LIMIT_MS)} ms of virtual time`);
+    await this.world.run(this.world.now + SETTLE_TIMEOUT_MS, () => settled);
+    if (!settled) throw new Error(`not settled within ${String(SETTLE_TIMEOUT_MS)} ms of virtual time`);
     return marked;
   }
 
