--- a/packages/residency/src/adapter-orders.ts
+++ b/packages/residency/src/adapter-orders.ts
@@ -1,4 +1,7 @@
-/** Adapters of one worker: loads those wanted, unloads those unused longest, never more than there are slots. */
+/**
+ * Manages the adapters of one worker: loads requested adapters and evicts the least recently used ones within
+ * the worker's slots.
+ */
 import {
   keysServedBy,
   servesTarget,
@@ -22,27 +25,30 @@
   readonly loads: LoadBook;
   readonly sender: OrderSender;
   readonly residents: ResidentSet;
-  /** Adapters that the worker holds at most. */
+  /** Maximum number of adapters that the worker holds. */
   readonly slots: () => number;
   readonly clock: Clock;
   readonly signal: AbortSignal;
   readonly announce: (target: ModelTarget, resident: boolean) => void;
-  /** Something did not go as expected: what the worker holds must be learnt anew. */
+  /** Called when an order failed or its outcome is unknown: the worker's state must be read again. */
   readonly onUnknownOutcome: () => void;
 }
 
-/** First look after an order and the pause between looks, in milliseconds. */
+/** Delay before the first poll after an order, and between later polls, in milliseconds. */
 const FIRST_POLL_MS = 25;
 const POLL_MS = 40;
-/** Time that an adapter usually takes, and until one in use makes way, in milliseconds. */
+/**
+ * Expected time of an adapter load, and expected wait for a slot while all adapters are in use, in
+ * milliseconds.
+ */
 const EXPECTED_ADAPTER_LOAD_MS = 40;
 const EXPECTED_SLOT_WAIT_MS = 400;
-/** Time that an adapter takes at most, in milliseconds. */
+/** Maximum time to wait for an adapter load, in milliseconds. */
 const ADAPTER_LOAD_TIMEOUT_MS = 2000;
-/** Time that the runs which use an adapter take at most, in milliseconds. */
+/** Maximum time to wait for the runs that use an adapter before its unload, in milliseconds. */
 const ADAPTER_UNLOAD_TIMEOUT_MS = 12_000;
 
-/** Adapters of one incarnation of a worker. */
+/** Adapter orders for one incarnation of a worker. */
 export class AdapterOrders {
   private readonly loading = new Map<string, Promise<boolean>>();
   private slotQueue: Promise<unknown> = Promise.resolve();
@@ -50,7 +56,7 @@
   constructor(private readonly options: AdapterOrdersOptions) {}
 
   /**
-   * Loads an adapter of a resident model. Resolves with whether it is resident.
+   * Loads an adapter of a resident model and resolves with whether it is resident.
    *
    * @param deadline Monotonic time until which it waits for a slot.
    */
@@ -63,7 +69,10 @@
     return loading;
   }
 
-  /** Expected wait for an adapter that is asked for now, in milliseconds: those before it, and a slot. */
+  /**
+   * Returns the expected wait for an adapter requested now, in milliseconds: loads queued before it, and a
+   * free slot.
+   */
   waitMs(): number {
     const { residents, slots } = this.options;
     const isFull = residents.adapterCount >= slots() && this.leastRecentlyUsed() === undefined;
@@ -88,13 +97,14 @@
     const outcome = await sender.send('load', target);
     if (outcome === 'done') return this.markResident(target);
     if (outcome === 'accepted') return this.awaitLoaded(target);
-    // After a refusal nothing is there; after anything else it may be, or may come: it stays counted.
+    // Only a refusal proves that nothing was loaded. After any other outcome the adapter may be there or
+    // still arrive, so it keeps its slot.
     if (outcome === 'refused') residents.dropAdapter(target);
     else this.options.onUnknownOutcome();
     return false;
   }
 
-  /** Takes a slot for an adapter, in the order in which they were asked for. */
+  /** Acquires a slot for an adapter, in order of request. */
   private acquireSlot(target: AdapterTarget, deadline: number): Promise<boolean> {
     const taken = this.slotQueue.then(() => this.waitForSlot(target, deadline));
     this.slotQueue = taken.catch(() => false);
@@ -141,7 +151,7 @@
     return true;
   }
 
-  /** Unloads the adapter unused longest; false when those in use leave no room. */
+  /** Unloads the least recently used adapter; returns false when no slot was freed. */
   private async freeSlot(): Promise<boolean> {
     const victim = this.leastRecentlyUsed();
     return victim !== undefined && this.unload(victim);
@@ -156,7 +166,7 @@
       residents.dropAdapter(victim);
       return true;
     }
-    // Taken, but a run still uses it: it holds its slot until a report shows it gone.
+    // A run still uses the adapter: it occupies its slot until a report no longer lists it.
     if (outcome === 'accepted') void this.awaitUnloaded(victim);
     else onUnknownOutcome();
     return false;
@@ -182,7 +192,7 @@
     try {
       return await sender.report();
     } catch {
-      // The worker is gone.
+      // The worker is no longer in the directory.
       return undefined;
     }
   }
@@ -202,7 +212,10 @@
     return victim;
   }
 
-  /** Time since a copy was last used, by requests for its version or for any; below 0 while it is in use. */
+  /**
+   * Returns the time since a copy was last used, by requests for its version or for any; negative while it is
+   * in use.
+   */
   private idleMs(model: string, copy: AdapterCopy): number {
     const { loads, backEndId } = this.options;
     const keys = keysServedBy(model, copy);
--- a/packages/residency/src/demand-router.ts
+++ b/packages/residency/src/demand-router.ts
@@ -1,4 +1,4 @@
-/** Sends demands for models to the coordinators of the zones, the most suitable zone first. */
+/** Routes demands for models to the coordinators of the zones, cheapest quote first. */
 import { hasAdapter, targetKey, type BackendDirectory, type ModelTarget } from '@woodbarrow/backends';
 import type { ResidencyClient, ResidencyDemand, ResidencyOutcome } from '@woodbarrow/forwarding';
 import { rankByRendezvous } from '@woodbarrow/coordination';
@@ -33,43 +33,42 @@
 const LOAD_QUARANTINED: RefusedDemandReason = 'load_quarantined';
 const ATTEMPT_PAUSE_MS = 100;
 const RETRY_AFTER_MS = 300;
-/** Pause between two looks at whether a coordinator still answers for its zone, in milliseconds. */
+/** Interval between checks that the coordinator asked still coordinates its zone, in milliseconds. */
 const COORDINATOR_CHECK_MS = 300;
-/** Pause between two wishes for another replica of a model, in milliseconds. */
+/** Minimum time between two requests for another replica of a model, in milliseconds. */
 const REPLICA_REQUEST_INTERVAL_MS = 1200;
-/** Time in which another replica is of use, in milliseconds. */
+/** Time within which another replica must be loaded, in milliseconds. */
 const REPLICA_DEADLINE_MS = 6000;
-/** A demand under way that ends sooner than this is not joined by another request, in milliseconds. */
+/** A demand in progress is shared only if at least this many milliseconds remain until it expires. */
 const MIN_SHARED_REMAINING_MS = 50;
 
-/**
- * Time kept for a coordinator's refusal to arrive before the asker gives up, in milliseconds: refusals came up to 6 ms
- * late when both limits were the same, and a slow machine takes some tens more.
- */
+/** Time reserved for a coordinator's refusal to arrive before the caller gives up, in milliseconds. */
 const ANSWER_MARGIN_MS = 80;
-/** Largest part of a demand's time that is kept for the refusal. */
+/** Maximum share of a demand's time that is reserved for the refusal. */
 const MAX_ANSWER_MARGIN_SHARE = 0.2;
-/** Time in which a coordinator tells how long a load would take; one that does not is passed over, in milliseconds. */
+/** Timeout of a request for a quote, in milliseconds. */
 const QUOTE_TIMEOUT_MS = 300;
 /**
- * Time for further quotes after the first that can be used, in milliseconds: several round trips between zones and a
- * slow machine's turn. A coordinator that is lost does not hold up the demands of others.
+ * Maximum wait for further quotes after the first usable one, in milliseconds: an unresponsive coordinator
+ * must not delay demands that another zone can serve.
  */
 const FURTHER_QUOTES_TIMEOUT_MS = 60;
 
-/** A zone's word on how long it would take. */
+/** A zone's estimate of what a load would cost. */
 interface Quote {
-  /** What was asked. */
+  /** The message that was answered by this quote. */
   readonly message: ResidencyDemandMessage;
-  /** Time until it is resident, and what others lose meanwhile, in milliseconds. */
+  /**
+   * Time until the target is resident plus the weighted time for which a worker is occupied, in milliseconds.
+   */
   readonly costMs: number;
 }
 
-/** What the coordinators of all zones said to one question. */
+/** Quotes collected from the coordinators of all zones. */
 interface CollectedQuotes {
-  /** Quotes that promise a load, the cheapest first. */
+  /** Quotes of zones that can load the model, cheapest first. */
   readonly usable: readonly Quote[];
-  /** Whether any coordinator answered, if only that it has no place. */
+  /** Whether any coordinator answered, even if it has no place. */
   readonly hasAnswer: boolean;
 }
 
@@ -78,7 +77,7 @@
   readonly expiresAt: number;
 }
 
-/** One daemon's demands. Requests for the same target share one demand. */
+/** Routes the demands of one daemon. Requests for the same target share one demand. */
 export class DemandRouter implements ResidencyClient {
   private readonly shared = new Map<string, SharedDemand>();
   private readonly replicaRequestedAt = new Map<string, number>();
@@ -139,7 +138,10 @@
     return outcome;
   }
 
-  /** Asks every zone how long it would take, and the fastest for the model; the next one when it does not answer. */
+  /**
+   * Requests quotes from all zones and sends the demand to the cheapest; falls back to the next when one does
+   * not answer.
+   */
   private async placeDemand(demand: ResidencyDemand): Promise<ResidencyOutcome> {
     const { clock } = this.options;
     const deadline = clock.monotonic() + demand.withinMs;
@@ -171,7 +173,9 @@
     return refusal;
   }
 
-  /** Why what a demand needs is not loaded by any coordinator; undefined where it may be. */
+  /**
+   * Returns the quarantine verdict that forbids loading what a demand needs; undefined when it may be loaded.
+   */
   private quarantineVerdict({ service, target, without }: ResidencyDemand): Verdict | undefined {
     const { directory, quarantine } = this.options;
     const { model } = target;
@@ -185,7 +189,7 @@
     return { held: false, retryAfterMs: verdict.retryAfterMs, reason: LOAD_QUARANTINED };
   }
 
-  /** What the zones would take. */
+  /** Requests quotes from all zones and sorts the usable ones by cost. */
   private async bestQuotes(
     demand: ResidencyDemand,
     deadline: number,
@@ -205,7 +209,7 @@
     return { usable: [...usable].sort((left, right) => left.costMs - right.costMs), hasAnswer };
   }
 
-  /** Quotes that promise a load: all of them, or those that came soon after the first. */
+  /** Collects the usable quotes: all of them, or those that arrive shortly after the first. */
   private async collectQuotes(asked: readonly Promise<Quote | undefined>[]): Promise<CollectedQuotes> {
     const usable: Quote[] = [];
     let hasAnswer = false;
@@ -235,7 +239,10 @@
     }
   }
 
-  /** A load from the weight store holds a worker up for seconds; it is not for what a worker within reach has near. */
+  /**
+   * Whether a worker in a reachable zone has a local copy. The weight store is then not used, as such a load
+   * occupies a worker for seconds.
+   */
   private hasUsableCopy({ service, target, without }: ResidencyDemand): boolean {
     return this.options.directory
       .ofService(service)
@@ -257,7 +264,9 @@
     return { message, costMs };
   }
 
-  /** Zones with a coordinator: those with a copy of the weights at hand first, then always in the same order. */
+  /**
+   * Returns zones with a coordinator in a stable order; zones with a local copy of the weights come first.
+   */
   private zonesFor(service: string, target: ModelTarget): string[] {
     const { model } = target;
     const { directory, coordinators } = this.options;
@@ -274,7 +283,7 @@
     return ranked.sort((left, right) => hasCopies(right) - hasCopies(left));
   }
 
-  /** Undefined when the coordinator does not answer. */
+  /** Sends a demand to a zone's coordinator. Resolves with undefined when it does not answer. */
   private async sendDemand(
     message: ResidencyDemandMessage,
     timeoutMs: number,
@@ -287,7 +296,7 @@
     const answered = peers
       .call(coordinator.address, residencyDemandMethod, message, { timeoutMs })
       .catch((error: unknown) => {
-        // No answer: another zone is asked, or the same one again.
+        // No answer: the caller tries another zone, or the same one again.
         this.options.failures.note(message.quote === true ? 'quote' : 'demand', coordinator.memberId, error);
         return undefined;
       });
--- a/packages/residency/src/index.ts
+++ b/packages/residency/src/index.ts
@@ -1,4 +1,4 @@
-/** Which model is resident on which worker. */
+/** Decides which model is resident on which worker. */
 export * from './local-copies.js';
 export * from './demand-router.js';
 export * from './lease-contacts.js';
--- a/packages/residency/src/lease-contacts.ts
+++ b/packages/residency/src/lease-contacts.ts
@@ -1,6 +1,7 @@
 /**
- * What daemons say to each other about the leases of zones: holders keep in contact with their witnesses, candidates
- * have a holder refused that is out of contact, and a daemon that was started again is told of leases recorded as its own.
+ * Messages between daemons about the leases of zones: holders stay in contact with their witnesses,
+ * candidates have an unresponsive holder refused, and a restarted daemon is notified of leases recorded as
+ * its own.
  */
 import {
   LeaseWitness,
@@ -25,12 +26,12 @@
 } from '@woodbarrow/protocol';
 import { sleep, type Clock } from '@woodbarrow/runtime';
 
-/** A daemon with its present run. */
+/** A daemon and its current process instance. */
 export interface RunningMember extends Member {
   readonly instance: number;
 }
 
-/** A daemon that is known, be it present or lost. */
+/** A daemon that is known, whether present or lost. */
 export interface KnownMember extends RunningMember {
   readonly isPresent: boolean;
 }
@@ -38,31 +39,31 @@
 /** Options of {@link LeaseContacts}. */
 export interface LeaseContactsOptions {
   readonly self: Member;
-  /** This run of the process. */
+  /** Identifies this run of the process. */
   readonly instance: number;
-  /** Daemons present, this one included. */
+  /** Returns the daemons present, this one included. */
   readonly members: () => readonly RunningMember[];
-  /** All daemons that have not left for good, this one included. */
+  /** Returns all daemons that have not left for good, this one included. */
   readonly knownMembers: () => readonly KnownMember[];
   /** Whether this daemon holds a lease and may still act under it. */
   readonly mayStillAct: (lease: string) => boolean;
   readonly peers: PeerNetwork;
-  /** Called when another daemon says that a zone's lease is recorded as this machine's own. */
+  /** Called when another daemon reports that a zone's lease is recorded as held by this daemon. */
   readonly onResume: (zone: string) => void;
   readonly failures: CallFailures;
   readonly clock: Clock;
 }
 
-/** Witnesses of a lease where there are enough daemons: one may be lost. */
+/** Number of witnesses of a lease if there are enough daemons; tolerates the loss of one. */
 const WITNESS_COUNT = 3;
-/** Milliseconds that a witness has to answer. */
+/** Timeout of a call to another daemon, in milliseconds. */
 const CALL_TIMEOUT_MS = 300;
-/** Rounds in which a candidate asks for a refusal before it looks at the record again. */
+/** Rounds in which a candidate requests a refusal before it reads the lease record again. */
 const MAX_REFUSAL_ROUNDS = 3;
-/** Least pause between two such rounds, in milliseconds. */
+/** Minimum pause between two such rounds, in milliseconds. */
 const MIN_ROUND_PAUSE_MS = 100;
 
-/** Contacts of one daemon. */
+/** Sends and answers the lease messages of one daemon. */
 export class LeaseContacts {
   private readonly witness: LeaseWitness;
 
@@ -70,7 +71,7 @@
     this.witness = new LeaseWitness(options.clock);
   }
 
-  /** Starts answering. */
+  /** Registers the message handlers. */
   start(): void {
     const { peers, instance, onResume } = this.options;
     peers.handle(leaseContactMethod, (message) => ({ accepted: this.witness.contact(message), instance }));
@@ -82,9 +83,10 @@
   }
 
   /**
-   * Witnesses for a lease held here: those named that still answer, then daemons of the zone, then others.
+   * Chooses witnesses for a lease held here: responsive current witnesses first, then daemons of the zone,
+   * then others.
    *
-   * @param zone Zone that the lease is for: its daemons share the fate of its workers' links.
+   * @param zone Zone of the lease. Its daemons share the network links of its workers, so they are preferred.
    */
   chooseWitnesses(
     zone: string,
@@ -107,16 +109,15 @@
   }
 
   /**
-   * Whether most witnesses of a lease may still answer: a daemon that was started again is another witness. Against waiting until they
-   * have long been silent: coordinators whose witnesses had been restarted did not act for 1.9 s (84 demands turned away, a play with
-   * all logs), and 0.25 s since (22).
+   * Whether a majority of a lease's witnesses can still answer. A restarted daemon does not count as the
+   * witness it was before. Lets the holder name new witnesses at once instead of waiting for a timeout.
    */
   canReachMajority({ witnesses }: StoreLease): boolean {
     const running = witnesses.filter((witness) => this.runningMember(witness) !== undefined);
     return witnesses.length === 0 || running.length >= majorityOf(witnesses);
   }
 
-  /** Asks the witnesses of a lease held here to let it go on. */
+  /** Contacts the witnesses of a lease held here so that the holder may keep acting. */
   async contactWitnesses(name: string, lease: StoreLease): Promise<void> {
     const { clock, peers, failures } = this.options;
     const { era, revision } = lease.position;
@@ -129,7 +130,7 @@
         const answer = await peers
           .call(member.address, leaseContactMethod, message, { timeoutMs: CALL_TIMEOUT_MS })
           .catch((error: unknown) => {
-            // Noticed by the time since it last answered.
+            // A missing answer shows in the time since the witness last answered.
             failures.note('lease contact', witness.id, error);
             return undefined;
           });
@@ -139,7 +140,10 @@
     );
   }
 
-  /** Has the holder of a record refused by most of its witnesses; undefined when they do not agree in time. */
+  /**
+   * Requests a majority of a lease's witnesses to refuse its holder; undefined when they do not agree in
+   * time.
+   */
   async requestRefusal(
     name: string,
     { record, era, revision }: StoredLease,
@@ -170,12 +174,12 @@
   }
 
   /**
-   * Has whoever holds a lease refused by every daemon that is known, as the store was restored and does not tell which are its witnesses; undefined
-   * unless all agree.
+   * Requests every known daemon to refuse the holder of a lease, as a restored store does not record its
+   * witnesses; undefined unless all agree.
    */
   async requestRefusalFromAll(name: string, position: StorePosition): Promise<RefusedHolder | undefined> {
     const known = this.options.knownMembers();
-    // One that is lost may only be out of reach, and be a witness, or the holder.
+    // A lost daemon may only be unreachable, and may be a witness or the holder.
     if (!known.every(({ isPresent }) => isPresent)) return undefined;
     const answers = await Promise.all(
       known.map((member) => this.requestMemberRefusal(name, position, member)),
@@ -189,7 +193,9 @@
     };
   }
 
-  /** Tells the holder of a record to take its lease back, if it has been started again since. */
+  /**
+   * Notifies the recorded holder of a lease to resume it, if it has restarted since. Returns whether it has.
+   */
   notifyRestartedHolder(zone: string, { record }: StoredLease): boolean {
     const { members, peers, failures } = this.options;
     const holder = members().find(({ id }) => id === record.holder);
@@ -197,7 +203,7 @@
     peers
       .call(holder.address, leaseResumeMethod, { zone }, { timeoutMs: CALL_TIMEOUT_MS })
       .catch((error: unknown) => {
-        // It is told again with the next look at the lease.
+        // The next check of the lease notifies it again.
         failures.note('lease resume', holder.id, error);
       });
     return true;
@@ -232,14 +238,14 @@
     return answer?.instance === instance ? answer : undefined;
   }
 
-  /** A holder that may still act agrees to no refusal, its own included. */
+  /** Answers a refusal request. A holder that may still act does not agree. */
   private answerRefusalRequest(message: LeaseRefusalMessage): LeaseRefusalAnswer {
     const { instance, mayStillAct } = this.options;
     if (mayStillAct(message.lease)) return { agreed: false, lastContactAgoMs: 0, instance };
     return { ...this.witness.refuse(message), instance };
   }
 
-  /** The witness in the run in which it was named. */
+  /** Returns the witness if it still runs the instance that was named. */
   private runningMember({ id, instance }: WitnessId): RunningMember | undefined {
     return this.options.members().find((member) => member.id === id && member.instance === instance);
   }
--- a/packages/residency/src/load-admission.ts
+++ b/packages/residency/src/load-admission.ts
@@ -1,6 +1,7 @@
 /**
- * Whether a zone's coordinator may order a load now. What has proved to end the workers that begin it is not ordered. A suspect, under
- * which a worker has ended, is ordered by one coordinator at a time, so that each further end is known before the next try.
+ * Decides whether a zone's coordinator may order a load now. A quarantined load is not ordered. A suspect,
+ * under which a worker has crashed, is ordered by one coordinator at a time, so that every crash is known
+ * before the next attempt.
  */
 import { rankByRendezvous } from '@woodbarrow/coordination';
 import type { LoadQuarantine, Verdict } from '@woodbarrow/quarantine';
@@ -10,25 +11,28 @@
 /** Options of {@link LoadAdmission}. */
 export interface LoadAdmissionOptions {
   readonly zone: string;
-  /** Zones with workers that run models. */
+  /** Returns the zones with workers that run models. */
   readonly zones: () => readonly string[];
-  /** Milliseconds until a model that another zone loads now is expected there; Infinity when none does. */
+  /**
+   * Returns the milliseconds until a model that another zone is loading should be resident there; Infinity
+   * when none is loading it.
+   */
   readonly expectedElsewhereInMs: (model: string) => number;
   readonly quarantine: LoadQuarantine;
   readonly clock: Clock;
 }
 
 /**
- * Time by which each further zone waits longer before it tries a suspect, in milliseconds, so that it hears of the zones before
- * it: an end is found out up to 300 ms after it was noticed, and coordinators tell every 300 ms what they load.
+ * Additional delay per zone before it tries a suspect, in milliseconds. Covers the detection of a crash and
+ * the interval at which coordinators report their loads.
  */
 const ZONE_STAGGER_MS = 600;
 
-/** Admission of one zone's loads. */
+/** Admits the loads of one zone. */
 export class LoadAdmission {
   constructor(private readonly options: LoadAdmissionOptions) {}
 
-  /** Why a group's model is not loaded; undefined when it may be. */
+  /** Returns the verdict that forbids loading a group's model; undefined when it may be loaded. */
   verdictOf({ service, model }: DemandGroup): Verdict | undefined {
     return this.options.quarantine.verdictOf(service, { model });
   }
@@ -48,7 +52,10 @@
     return clock.monotonic() - Math.max(lastCrashAt, wantedSince) >= this.staggerMs(model);
   }
 
-  /** Time for which this zone leaves a suspect to the zones before it, in an order that all daemons agree on. */
+  /**
+   * Returns the delay before this zone may try a suspect, in milliseconds, from an order on which all daemons
+   * agree.
+   */
   private staggerMs(model: string): number {
     const { zone, zones } = this.options;
     const candidates = zones().map((id) => ({ id }));
--- a/packages/residency/src/load-plan.ts
+++ b/packages/residency/src/load-plan.ts
@@ -1,12 +1,12 @@
 /**
- * Plans the loads of a zone: which of the models that are waited for is loaded next, where, and what makes way. A
- * list schedule: the most urgent group takes the worker that has it ready first, also where that worker must become
- * free before, and the next group plans with what is left.
+ * Plans the loads of a zone by list scheduling: which model is loaded next, on which worker, and which models
+ * are evicted. The most urgent group takes the worker that has its model ready first, even if that worker is
+ * still occupied; the next group plans with the remaining capacity.
  */
 import type { PlacementCandidate, PlacementChoice } from './placement-choice.js';
 import type { DemandGroup } from './pending-demand.js';
 
-/** Chooses a worker for a group among candidates; undefined when none can make room. */
+/** Chooses a worker for a group among candidates; undefined when none has capacity. */
 export type ChooseForGroup = (
   group: DemandGroup,
   candidates: readonly PlacementCandidate[],
@@ -18,42 +18,44 @@
   /** Workers that may load, with the time until each is free. */
   readonly candidates: readonly PlacementCandidate[];
   readonly choose: ChooseForGroup;
-  /** Monotonic time. */
+  /** Monotonic time, in milliseconds. */
   readonly now: number;
 }
 
-/** One load of the plan. */
+/** A planned load. */
 export interface PlannedLoad {
   readonly group: DemandGroup;
   readonly choice: PlacementChoice;
-  /** The worker is free: the load begins now. */
+  /** Whether the load can start now. */
   readonly startsNow: boolean;
 }
 
-/** A group of the plan, and the workers as the groups before it leave them. */
+/** The urgency of a group and the state of the workers before it is placed. */
 interface PlanStep {
   readonly urgency: number;
   readonly candidates: readonly PlacementCandidate[];
 }
 
 /**
- * Loads that a plan works out one by one, the most urgent first: a bound on the work of planning. Further groups are taken to
- * occupy the workers evenly, for the mean time of these.
+ * Maximum number of loads that a plan places one by one, which bounds the cost of planning. Further groups
+ * are assumed to occupy all workers evenly, for the mean time of the planned loads.
  */
 const MAX_PLANNED_LOADS = 48;
-/** Time that a load from a disk usually takes, what makes way included, in milliseconds. */
+/** Typical time of a load from disk, including evictions, in milliseconds. */
 const TYPICAL_LOAD_MS = 1000;
-/** Targets that lie further ahead than this hardly count yet, in milliseconds. */
+/** Time constant with which urgency decays with the distance of the target, in milliseconds. */
 const URGENCY_DECAY_MS = 1500;
-/** What an answer is worth that comes too late for its target, as a part of one in time. */
+/** Weight of a demand that has missed its target, relative to one that can still meet it. */
 const LATE_DEMAND_WEIGHT = 0.2;
 
-/** Loads of a zone in the order of urgency, and where one more group would come in. */
+/** The planned loads of a zone in order of urgency, and the state of the workers for one more group. */
 export class LoadPlan {
   /**
-   * @param loads Groups for which no worker can make room are left out and take nothing of the bound.
-   * @param steps By falling urgency.
-   * @param unplannedUrgencies Urgencies of the groups beyond the bound, falling.
+   * @param loads Planned loads; groups for which no worker has capacity are omitted and do not count towards
+   * the maximum.
+   * @param steps Steps by descending urgency.
+   * @param finalCandidates Workers after all planned loads.
+   * @param unplannedUrgencies Urgencies of the groups beyond the maximum, descending.
    */
   constructor(
     readonly loads: readonly PlannedLoad[],
@@ -62,7 +64,10 @@
     private readonly unplannedUrgencies: readonly number[],
   ) {}
 
-  /** Workers as a group of some urgency finds them: occupied by the loads of the groups before it. */
+  /**
+   * Returns the workers as a group of the given urgency finds them: occupied by the loads of more urgent
+   * groups.
+   */
   candidatesFor(urgency: number): readonly PlacementCandidate[] {
     const step = this.steps.find((candidate) => candidate.urgency < urgency);
     if (step !== undefined) return step.candidates;
@@ -71,7 +76,7 @@
   }
 }
 
-/** Plans the loads of groups that wait. */
+/** Plans the loads of the waiting groups. */
 export function planLoads({ groups, candidates: initialCandidates, choose, now }: LoadPlanInputs): LoadPlan {
   let candidates = initialCandidates;
   const loads: PlannedLoad[] = [];
@@ -86,7 +91,7 @@
     const choice = choose(group, candidates);
     if (choice === undefined) continue;
     loads.push({ group, choice, startsNow: choice.candidate.busyMs <= 0 && choice.notBeforeMs <= 0 });
-    // A load that waits for the weight store leaves its worker to others meanwhile.
+    // A load that waits for the weight store does not occupy its worker meanwhile.
     if (choice.storeWaitMs > 0) continue;
     const { id } = choice.candidate.backEnd;
     candidates = candidates.map((candidate) =>
@@ -96,7 +101,7 @@
   return new LoadPlan(loads, steps, candidates, unplannedUrgencies);
 }
 
-/** Candidates as they are once they have taken a number of loads more, each of the mean time of those planned. */
+/** Returns the candidates after a number of further loads, each of the mean time of the planned ones. */
 function occupyEvenly(
   count: number,
   planned: readonly PlannedLoad[],
@@ -107,13 +112,13 @@
   return candidates.map((candidate) => ({ ...candidate, busyMs: candidate.busyMs + addedMs }));
 }
 
-/** Time that word of a model which makes way takes to all daemons, in milliseconds: two reports of relays. */
+/** Time until all daemons know that a model is retired, in milliseconds: two reports through relays. */
 const RETIREMENT_PROPAGATION_MS = 500;
 
 /**
- * Models that make way for the load that is planned next on each occupied worker, by worker. Left out are workers that
- * are not free by the time at which the runs of these models should have ended, and models that are still needed when
- * the worker is free.
+ * Returns, by worker, the models to evict for the next planned load on each occupied worker. Omits workers
+ * that become free only after the runs of these models should have ended, and models still needed when the
+ * worker is free.
  */
 export function victimsToRetire(plan: readonly PlannedLoad[]): ReadonlyMap<string, readonly string[]> {
   const victims = new Map<string, readonly string[]>();
@@ -126,7 +131,7 @@
   return victims;
 }
 
-/** Groups by urgency, the most urgent first. */
+/** Sorts groups by descending urgency. */
 export function sortByUrgency(groups: readonly DemandGroup[], now: number): DemandGroup[] {
   return rankByUrgency(groups, now).map(({ group }) => group);
 }
@@ -141,9 +146,9 @@
 }
 
 /**
- * What is lost when a group waits for one more load, summed over its demands: the rule of apparent tardiness cost. A
- * demand counts the more the less time it has to its target; one that has missed it counts little, until its time
- * runs out.
+ * Returns the loss when a group waits for one more load, summed over its demands (apparent tardiness cost). A
+ * demand weighs more the closer its target is; one that has missed its target weighs little until its
+ * deadline approaches.
  */
 export function urgencyOf({ demands }: Pick<DemandGroup, 'demands'>, now: number): number {
   let urgency = 0;
@@ -157,7 +162,7 @@
   return urgency;
 }
 
-/** From 0 for a moment far away to 1 for one that has come. */
+/** Returns a value from 0 (far away) to 1 (due now). */
 function proximity(remainingMs: number): number {
   return Math.exp(-Math.max(0, remainingMs) / URGENCY_DECAY_MS);
 }
--- a/packages/residency/src/load-planner.ts
+++ b/packages/residency/src/load-planner.ts
@@ -1,7 +1,6 @@
 /**
- * Plans the loads of one zone from what is known now: which workers may load, what the weight store bears, how many
- * replicas there are and what is asked for. Decides nothing by itself: see {@link planLoads} and
- * {@link choosePlacement}.
+ * Plans the loads of one zone from the current state: available workers, capacity of the weight store,
+ * replicas and demand. The decisions are made by {@link planLoads} and {@link choosePlacement}.
  */
 import type { BackendDirectory, EngineDefinition, LoadBook, ServiceDefinition } from '@woodbarrow/backends';
 import type { Clock } from '@woodbarrow/runtime';
@@ -24,10 +23,10 @@
 import type { UnservedModels } from './unserved-models.js';
 import type { WorkerOrders } from './worker-orders.js';
 
-/** What the weight store bears. */
+/** Rate limit of the weight store. */
 export interface StoreWindowOptions {
   readonly windowMs: number;
-  /** Allowed excess over the rate, for example 1.1. */
+  /** Allowed factor over the configured rate, for example 1.1. */
   readonly overshoot: number;
 }
 
@@ -36,9 +35,9 @@
   readonly directory: BackendDirectory;
   readonly loads: LoadBook;
   readonly serviceOf: (name: string) => ServiceDefinition | undefined;
-  /** Workers of the zone that take requests, by service. */
+  /** Returns the workers of the zone that accept requests, by service. */
   readonly workersOf: (service: string) => readonly WorkerOrders[];
-  /** Zones with workers that run models: they share the weight store. */
+  /** Returns the zones with workers that run models; they share the weight store. */
   readonly zones: () => readonly string[];
   readonly storeWindow: StoreWindowOptions;
   readonly link: StoreLink;
@@ -47,48 +46,53 @@
 }
 
 /**
- * What one plan reads, each answer worked out once: all groups of a plan ask for the same victims on the same workers, and ranking
- * them anew for each group was 22 % of a coordinator's processor time (98 workers, 334 models, a hundred groups that wait).
+ * Inputs of one plan, each computed once: all groups of a plan need the same victims of the same workers, and
+ * ranking them again for each group dominates the cost of planning.
  */
 interface PlanView {
   readonly engine: EngineDefinition;
   readonly loads: LoadView;
-  /** Workers in all zones that hold a model. */
+  /** Returns the number of workers in all zones that hold a model. */
   readonly replicasOf: (model: string) => number;
   readonly victimsOf: (candidate: PlacementCandidate) => readonly RankedVictim[];
 }
 
-/** A plan with all that it was made from, for groups that come a moment later. */
+/** A plan with its inputs, used to place groups that arrive shortly after it was made. */
 export interface PlanSnapshot {
   readonly plan: LoadPlan;
-  /** Monotonic time at which it was made. */
+  /** Monotonic time at which the plan was made. */
   readonly madeAt: number;
-  /** Places a group with what the groups before it leave; undefined when no worker can make room. */
+  /**
+   * Places a group with the capacity that more urgent groups leave; undefined when no worker has capacity.
+   */
   readonly place: (group: DemandGroup) => PlacementChoice | undefined;
-  /** Why there is no place for a group. */
+  /** Returns why a group cannot be placed. */
   readonly noPlaceCause: (group: DemandGroup) => NoPlaceCause;
 }
 
-/** Limits of a placement that are set otherwise than usual. */
+/** Limits that override those of a usual placement. */
 type PlacementOverrides = Partial<Pick<PlacementInputs, 'maximumVictimValue' | 'storeWaitMs'>>;
 
-/** Loads allowed in a window beside the rate. */
+/** Number of loads allowed in a window in addition to the rate. */
 const WINDOW_EXTRA_LOADS = 3;
-/** Part of the allowed loads that is used; what other zones do at a change of hands is not known. */
+/** Share of the allowed loads that is used; leaves a reserve for loads that a change of coordinator hides. */
 const WINDOW_SAFETY_FACTOR = 0.85;
-/** Another replica takes the place only of models that are asked for clearly less, by this factor. */
+/** An additional replica may evict only models whose demand is below this share of its own. */
 const REPLICA_VICTIM_VALUE_SHARE = 0.5;
-/** Models that are asked for less than this make way for any request. */
+/** Models with less demand than this may always be evicted. */
 const MIN_VICTIM_VALUE_LIMIT = 3;
 /**
- * Time in which a model that is asked for in vain may displace twice as much, in milliseconds. Recent demand counts hundreds at
- * most, which is reached in seven seconds: less than clients of rarely used models wait, and more than a usual swap takes.
+ * Interval after which the victim limit of an unserved model doubles, in milliseconds. The limit exceeds any
+ * usual demand before typical clients give up.
  */
 const VICTIM_LIMIT_DOUBLING_MS = 1000;
-/** Part of the weight store's link that second replicas may use; the rest is for models that nobody has. */
+/**
+ * Share of the weight store's link that additional replicas may use; the rest is for models without any
+ * replica.
+ */
 const REPLICA_LINK_SHARE = 0.5;
 
-/** Planner of one zone's loads. */
+/** Plans the loads of one zone. */
 export class LoadPlanner {
   private readonly window: LoadWindow;
   private storeWindowLimit = 1;
@@ -105,7 +109,10 @@
     );
   }
 
-  /** Plans the loads of groups of demands, the most urgent first; undefined for a service whose workers hold no models. */
+  /**
+   * Plans the loads of groups of demands, most urgent first; undefined for a service whose workers hold no
+   * models.
+   */
   plan(service: string, groups: readonly DemandGroup[]): PlanSnapshot | undefined {
     const { clock, serviceOf, link } = this.options;
     const engine = serviceOf(service)?.engine;
@@ -159,17 +166,17 @@
     return { engine, loads, replicasOf, victimsOf };
   }
 
-  /** Whether a worker could begin a load now. */
+  /** Whether a worker could start a load now. */
   hasFreeWorker(service: string): boolean {
     return this.candidates(service).some(({ busyMs }) => busyMs <= 0);
   }
 
-  /** Whether the weight store bears a load now; loads that begin in one pass count as well. */
+  /** Whether the weight store can take a load now, including loads already started in the same pass. */
   canUseStore({ group, choice }: PlannedLoad): boolean {
     return choice.source !== 'store' || this.storeWaitMs(group, choice.loadMs) <= 0;
   }
 
-  /** Counts a load from the weight store that begins; undefined for any other. */
+  /** Records the start of a load from the weight store; undefined for any other source. */
   recordStart({ group, choice }: PlannedLoad): StoreLoad | undefined {
     if (choice.source !== 'store') return undefined;
     this.window.record();
@@ -178,7 +185,7 @@
     return link.begin(model?.storeLoadMs ?? choice.loadMs);
   }
 
-  /** Milliseconds until the weight store may be used for a group; Infinity when it may not. */
+  /** Returns the milliseconds until the weight store may be used for a group; Infinity when it may not. */
   private storeWaitMs(group: DemandGroup, loadMs: number): number {
     const { link } = this.options;
     if (!group.demands.some((demand) => demand.mayUseStore)) return Infinity;
@@ -221,7 +228,7 @@
     });
   }
 
-  /** How much more a model may displace that has been asked for in vain for a while. */
+  /** Returns the factor by which the victim limit of a model has grown since it was first refused. */
   private waitFactor({ service, model }: DemandGroup): number {
     return 2 ** (this.unserved.waitedMs(service, model) / VICTIM_LIMIT_DOUBLING_MS);
   }
@@ -243,7 +250,10 @@
   }
 }
 
-/** Whether a worker can load a model now, or once it is free: one that unloads it is soon without it. */
+/**
+ * Whether a worker can load a model now, or once it is free: a model that is being unloaded will be gone by
+ * then.
+ */
 function canLoad({ residents, busyMs }: PlacementCandidate, model: string): boolean {
   const state = residents.models.get(model)?.state;
   return state === undefined || (state === 'unloading' && busyMs > 0);
--- a/packages/residency/src/load-scheduler.ts
+++ b/packages/residency/src/load-scheduler.ts
@@ -1,6 +1,6 @@
 /**
- * Carries out the loads of one zone: keeps the demands that wait, plans again whenever something has changed, starts
- * the loads whose worker is free, and settles the demands that a load has served.
+ * Executes the loads of one zone: queues demands, replans on every change, starts the loads whose worker is
+ * free, and settles the demands that a load has served.
  */
 import { remainingMs } from '@woodbarrow/backends';
 import type { EventLog } from '@woodbarrow/observability';
@@ -29,66 +29,69 @@
 /** Options of {@link LoadScheduler}. */
 export interface LoadSchedulerOptions extends LoadPlannerOptions {
   readonly zone: string;
-  /** Whether orders may be given now. */
+  /** Whether the lease allows orders now. */
   readonly mayAct: () => boolean;
-  /** Milliseconds until a model that another zone loads now is expected there; Infinity when none does. */
+  /**
+   * Returns the milliseconds until a model that another zone is loading should be resident there; Infinity
+   * when none is loading it.
+   */
   readonly expectedElsewhereInMs: (model: string) => number;
   readonly admission: LoadAdmission;
   readonly log: EventLog;
   readonly signal: AbortSignal;
 }
 
-/** What a load would take. */
+/** Estimate of a load. */
 export interface LoadQuote {
-  /** Milliseconds until the model would be resident; Infinity when no worker can make room. */
+  /** Milliseconds until the model would be resident; Infinity when no worker has capacity. */
   readonly readyMs: number;
   /** Milliseconds for which a worker would be occupied. */
   readonly occupiesMs: number;
-  /** Set when no worker can make room. */
+  /** Set when no worker has capacity. */
   readonly cause?: NoPlaceCause;
 }
 
-/** A load under way, with the demands that it will serve. */
+/** A load in progress, with the demands that it will serve. */
 interface ActiveLoad {
   readonly model: string;
   readonly beganAt: number;
-  /** Milliseconds after which the model was expected to be resident, when it began. */
+  /** Expected milliseconds until the model is resident, as estimated at the start. */
   readonly expectedMs: number;
   readonly backEndId: string;
   readonly demands: PendingDemand[];
 }
 
-/** Pause between two plans while demands wait and nothing else causes one, in milliseconds. */
+/** Interval between plans while demands wait and no other event triggers one, in milliseconds. */
 const PLAN_INTERVAL_MS = 100;
-/** Demands that come within this time are planned together, in milliseconds: little against the 440 ms of the shortest load. */
+/** Demands that arrive within this time are planned together, in milliseconds; short relative to any load. */
 const PLAN_BATCH_MS = 20;
-/** A load of another zone that takes longer still is not waited for, in milliseconds: one from a disk takes a second. */
+/** A load in another zone is waited for only if it should finish within this time, in milliseconds. */
 const MAX_WAIT_ELSEWHERE_MS = 1200;
-/** Time after which to come back where no worker can make room, in milliseconds. */
+/** Retry delay when no worker has capacity, in milliseconds. */
 const NO_PLACE_RETRY_MS = 500;
-/** Recent requests for a model that make a load worth it which is too late for the one that asks. */
+/** Minimum recent demand for a model that justifies a load which is too late for the current request. */
 const MIN_DEMAND_FOR_LATE_LOAD = 1.8;
-/** Those who are told to come back later than this are not counted on, in milliseconds. */
+/** Retries with a longer delay than this are not expected to arrive, in milliseconds. */
 const MAX_EXPECTED_RETRY_MS = 8000;
-/** Added to the time after which to come back, in milliseconds. */
+/** Added to the retry delay, in milliseconds. */
 const RETRY_MARGIN_MS = 50;
-/** Time for which a load is still wanted after those who were told to come back should have, in milliseconds. */
+/** Time for which a load is still wanted after the expected retry, in milliseconds. */
 const RETRY_SLACK_MS = 500;
 
-/** Scheduler of one zone's loads. */
+/** Schedules the loads of one zone. */
 export class LoadScheduler {
   private readonly queue: DemandQueue;
   private readonly loading = new Map<string, ActiveLoad>();
   private readonly reservations: RetryReservations;
   private readonly planner: LoadPlanner;
   private readonly plans: PlanCache;
-  /** Models that were asked for in vain. */
+  /** Models that no worker could load when requested. */
   readonly unserved: UnservedModels;
   private readonly refusals = new Map<RefusedDemandReason, number>();
-  /** Services on whose workers models may have been retired. */
+  /** Services on whose workers models may be retired. */
   private readonly servicesWithRetirements = new Set<string>();
   private isTicking = false;
-  /** Monotonic time of the last {@link schedule}, and whether the next one has been put off. */
+  /** Monotonic time of the last {@link schedule}; the flag below marks that the next one is pending. */
   private lastScheduledAt = -Infinity;
   private isBatchPending = false;
 
@@ -103,7 +106,7 @@
   }
 
   /**
-   * When a model that is asked for now would be resident.
+   * Returns when a model requested now would be resident.
    *
    * @param targetMs Milliseconds within which an answer is in time.
    */
@@ -140,12 +143,12 @@
     return { readyMs: Infinity, occupiesMs: 0, cause };
   }
 
-  /** Demands turned down since the start, by reason. */
+  /** Demands refused since the start, by reason. */
   get refusalsByReason(): ReadonlyMap<RefusedDemandReason, number> {
     return this.refusals;
   }
 
-  /** Waits for a model. Resolves when it is resident or will not be in time. */
+  /** Waits for a model. Resolves when it is resident or cannot be in time. */
   wait(wanted: WantedModel, times: DemandTimes, limits: DemandLimits): Promise<Placement> {
     const arrivedAt = this.options.clock.monotonic();
     return new Promise((resolve) => {
@@ -166,7 +169,7 @@
     });
   }
 
-  /** Loads under way, with the time that each is expected to take still. */
+  /** Returns the loads in progress with the expected remaining time of each. */
   loadsUnderWay(): LoadUnderWay[] {
     return [...this.loading.values()].map((loading) => ({
       model: loading.model,
@@ -174,7 +177,7 @@
     }));
   }
 
-  /** Something has changed: loads may begin. */
+  /** Replans and starts loads after a change. */
   schedule(): void {
     if (!this.options.mayAct()) return;
     this.lastScheduledAt = this.options.clock.monotonic();
@@ -189,7 +192,7 @@
     this.tickWhileWaiting();
   }
 
-  /** Demands that come one after the other are planned together. */
+  /** Schedules with a delay, so that demands in quick succession are planned together. */
   private scheduleBatched(): void {
     const { clock } = this.options;
     const pauseMs = PLAN_BATCH_MS - (clock.monotonic() - this.lastScheduledAt);
@@ -218,7 +221,10 @@
     }
   }
 
-  /** It is told when to come back; the load is wanted for when it does, or for others that ask for the model as well. */
+  /**
+   * Refuses a demand with a retry delay. The load is still queued if the retry is expected or others request
+   * the model.
+   */
   private refuse(
     wanted: WantedModel,
     demand: PendingDemand,
@@ -247,7 +253,7 @@
     this.scheduleBatched();
   }
 
-  /** Its time has passed while it waited: its group may be loaded for others soon. */
+  /** Refuses a demand that expired while it waited; its group may still be loaded for others. */
   private settleExpired(wanted: WantedModel, demand: PendingDemand): void {
     if (!demand.isWaiting()) return;
     const { readyMs } = this.quote(wanted, 0, demand);
@@ -255,7 +261,7 @@
     this.settleRefused(wanted, demand, { kind: 'refused', reason: 'not_in_time', retryAfterMs });
   }
 
-  /** A model that has become resident in another zone meanwhile need not be loaded here as well. */
+  /** Releases demands whose model has become resident in another zone. */
   private settleHeldElsewhere(): void {
     const { directory } = this.options;
     for (const group of this.queue.all()) {
@@ -272,7 +278,7 @@
     }
   }
 
-  /** What ends the workers that begin to load it is not loaded for those who wait for it either. */
+  /** Refuses waiting demands whose load has been quarantined. */
   private settleQuarantined(): void {
     for (const group of this.queue.all()) {
       const verdict = this.options.admission.verdictOf(group);
@@ -283,7 +289,7 @@
     }
   }
 
-  /** Whether a load of a group may begin here, as far as other loads of the same model go. */
+  /** Whether a load of a group may start here, given other loads of the same model. */
   private mayBegin(group: DemandGroup): boolean {
     const isLoadingHere = this.loading.has(
       groupKey({ ...group, isAdditionalReplica: !group.isAdditionalReplica }),
@@ -291,7 +297,7 @@
     return !this.isExpectedElsewhere(group) && this.options.admission.mayBegin(group, isLoadingHere);
   }
 
-  /** Whether another zone has a group's model before it could be loaded here. */
+  /** Whether another zone will have a group's model before it could be loaded here. */
   private isExpectedElsewhere(group: DemandGroup): boolean {
     return (
       !group.isAdditionalReplica && this.options.expectedElsewhereInMs(group.model) <= MAX_WAIT_ELSEWHERE_MS
@@ -320,7 +326,7 @@
     });
   }
 
-  /** A demand that joins a load under way leaves it when its time has passed. */
+  /** Attaches a demand to a load in progress; it expires at its own deadline. */
   private attach(wanted: WantedModel, loading: ActiveLoad, demand: PendingDemand): void {
     const { clock } = this.options;
     loading.demands.push(demand);
@@ -331,17 +337,18 @@
     });
   }
 
-  /** Milliseconds that a load is expected to take still. */
+  /** Returns the expected remaining time of a load, in milliseconds. */
   private remainingLoadMs({ beganAt, expectedMs }: ActiveLoad): number {
     return remainingMs(expectedMs, this.options.clock.monotonic() - beganAt);
   }
 
   private startLoads(service: string): void {
-    // While all workers are occupied a plan only looks ahead, which need not follow each change.
+    // While all workers are occupied nothing can start, so the plan need not follow each change.
     if (!this.planner.hasFreeWorker(service) && this.plans.lastPlanAgeMs(service) < PLAN_INTERVAL_MS) return;
     const loads = this.plans.rebuild(service)?.plan.loads ?? [];
-    // A load that waits for the weight store leaves its worker to the next one, so that a plan may name the same memory for both. Where the store
-    // gets room before they begin, both would: workers were ordered beyond their memory by it (one soak of two; 1 seed of 20 at every second question).
+    // Starts at most one load per worker. A load that waits for the weight store does not occupy its worker
+    // in the plan, so the plan may use the same memory for two loads; if the store gets capacity meanwhile,
+    // both would start and exceed the worker's memory.
     const startedOn = new Set<string>();
     for (const planned of loads) {
       const { id } = planned.choice.candidate.backEnd;
@@ -352,7 +359,10 @@
     this.retire(service, loads);
   }
 
-  /** Models that make way next take no new requests, so that their runs end while the load before goes on. */
+  /**
+   * Retires the models to be evicted next, so that their runs end while the current load is still in
+   * progress.
+   */
   private retire(service: string, plan: readonly PlannedLoad[]): void {
     const victims = victimsToRetire(plan);
     for (const worker of this.options.workersOf(service)) worker.retire(victims.get(worker.backEndId) ?? []);
@@ -386,7 +396,7 @@
     });
   }
 
-  /** Demands of a load that did not come about wait for another one. */
+  /** Settles the demands of a load, or queues them again if it failed. */
   private finish(group: DemandGroup, loading: ActiveLoad, isLoaded: boolean): void {
     this.loading.delete(group.key);
     this.plans.invalidate();
@@ -397,7 +407,10 @@
     this.schedule();
   }
 
-  /** Time alone can make a load possible: a worker answers again, the weight store bears more. */
+  /**
+   * Replans periodically while demands wait: time alone can make a load possible, as when a worker responds
+   * again or the weight store has capacity.
+   */
   private tickWhileWaiting(): void {
     if (this.isTicking || this.queue.length === 0 || this.options.signal.aborted) return;
     this.isTicking = true;
@@ -427,13 +440,15 @@
   }
 }
 
-/** Why a demand is turned down whose model is resident after `readyMs`; undefined when it may wait. */
+/**
+ * Returns why a demand is refused whose model would be resident after `readyMs`; undefined when it may wait.
+ */
 function reasonToRefuse(readyMs: number, times: DemandTimes): RefusedDemandReason | undefined {
   if (readyMs === Infinity) return 'no_place';
   return readyMs > times.withinMs ? 'loading' : undefined;
 }
 
-/** Whether a planned load serves a demand within its limits. */
+/** Whether a planned load satisfies the limits of a demand. */
 function isAllowed({ candidate, source }: PlacementChoice, { without, mayUseStore }: DemandLimits): boolean {
   return (mayUseStore || source !== 'store') && !without.includes(candidate.backEnd.id);
 }
--- a/packages/residency/src/load-times.ts
+++ b/packages/residency/src/load-times.ts
@@ -1,49 +1,57 @@
-/** How long loads and unloads take, from what has been measured here; the configuration gives the first guess. */
+/** Estimates the time of loads and unloads from measurements; the configuration gives the initial values. */
 import type { ModelDefinition } from '@woodbarrow/backends';
 
-/** Where the weights of a load come from. */
+/** Source of the weights of a load. */
 export type WeightSource = 'memory' | 'disk' | 'store';
 
-/** Weight of the newest measurement: a handful of loads outweighs what was believed before. */
+/** Weight of the newest measurement in the moving average. */
 const SMOOTHING_FACTOR = 0.25;
-/** Loads take no less than this part of the configured time: rounding of the figures, and clocks that drift. */
+/** Minimum ratio of actual to configured load time; allows for rounding and clock drift. */
 const MIN_LOAD_TIME_RATIO = 0.98;
-/** Time to unload a model without runs, in milliseconds, until it is measured. */
+/** Initial estimate of the time to unload a model without runs, in milliseconds. */
 const INITIAL_UNLOAD_MS = 70;
-/** Measured over foretold time until runs end is believed within these bounds: single runs say little. */
+/**
+ * Bounds of a single measured ratio of actual to predicted time until runs end, as single runs vary widely.
+ */
 const MIN_END_RATIO = 0.5;
 const MAX_END_RATIO = 2;
 
-/** Measured times of one zone's loads and unloads. */
+/** Load and unload times measured in one zone. */
 export class LoadTimes {
-  /** Measured over configured time, by source. */
+  /** Ratio of measured to configured load time, by source. */
   private readonly ratios = new Map<WeightSource, number>();
   private idleUnloadMs = INITIAL_UNLOAD_MS;
-  /** Measured over foretold time until the runs of what makes way have ended. */
+  /** Ratio of measured to predicted time until the runs of evicted models end. */
   private endRatio = 1;
 
-  /** Expected milliseconds of a load, from the order to the word that the model is there. */
+  /** Returns the expected milliseconds from the order of a load until the model is resident. */
   loadMs(model: ModelDefinition, source: WeightSource): number {
     return configuredMs(model, source) * (this.ratios.get(source) ?? 1);
   }
 
-  /** Milliseconds before which no load has ended: it is not looked after earlier. */
+  /** Returns the minimum milliseconds of a load; polling before is useless. */
   shortestLoadMs(model: ModelDefinition, source: WeightSource): number {
     return configuredMs(model, source) * MIN_LOAD_TIME_RATIO;
   }
 
-  /** Expected milliseconds until a model has made way. @param endsInMs Foretold end of its runs; 0 without any. */
+  /**
+   * Returns the expected milliseconds until a model is unloaded. @param endsInMs Predicted time until its
+   * runs end; 0 without any.
+   */
   unloadMs(endsInMs: number): number {
     return this.idleUnloadMs + endsInMs * this.endRatio;
   }
 
-  /** Notes a load that has ended. */
+  /** Records the duration of a finished load. */
   recordLoad(model: ModelDefinition, source: WeightSource, tookMs: number): void {
     const ratio = tookMs / Math.max(1, configuredMs(model, source));
     this.ratios.set(source, smoothed(this.ratios.get(source) ?? 1, ratio));
   }
 
-  /** Notes that a model has made way. @param endsInMs Foretold end of its runs when the unload began. */
+  /**
+   * Records the duration of a finished unload. @param endsInMs Predicted time until its runs end when the
+   * unload began.
+   */
   recordUnload(endsInMs: number, tookMs: number): void {
     if (endsInMs <= 0) {
       this.idleUnloadMs = smoothed(this.idleUnloadMs, tookMs);
--- a/packages/residency/src/load-view.ts
+++ b/packages/residency/src/load-view.ts
@@ -1,10 +1,10 @@
-/** What a plan reads of the load book, with each answer remembered: one plan asks the same many times. */
+/** Memoized view of the load book, as one plan queries the same values many times. */
 import type { LoadBook } from '@woodbarrow/backends';
 
-/** Demand and runs, as a plan sees them. */
+/** Demand and predicted end of runs, as read by a plan. */
 export type LoadView = Pick<LoadBook, 'demandFor' | 'endsInMs'>;
 
-/** Answers of a load book as they were when first asked for; for the time of one plan. */
+/** Caches the answers of a load book for the duration of one plan. */
 export class MemoizedLoads implements LoadView {
   private readonly demand = new Map<string, number>();
   private readonly ends = new Map<string, number>();
@@ -21,7 +21,7 @@
   }
 }
 
-/** The number kept under a key; counted when it is not there yet. */
+/** Returns the cached value of a key, computing it on first use. */
 export function memoize(cache: Map<string, number>, key: string, compute: () => number): number {
   const cached = cache.get(key);
   if (cached !== undefined) return cached;
--- a/packages/residency/src/load-window.ts
+++ b/packages/residency/src/load-window.ts
@@ -1,16 +1,16 @@
-/** Bounds the loads from the weight store that begin in a sliding window: this zone's share of what it bears. */
+/** Limits this zone's share of the weight store loads that start in a sliding window. */
 import { SlidingWindow, type Clock } from '@woodbarrow/runtime';
 
 /** Options of {@link LoadWindow}. */
 export interface LoadWindowOptions {
   readonly windowMs: number;
-  /** Loads that may begin in a window over all zones; read when needed. */
+  /** Returns the number of loads that may start in a window over all zones. */
   readonly limit: () => number;
-  /** Number of zones that share the limit. */
+  /** Returns the number of zones that share the limit. */
   readonly zoneCount: () => number;
 }
 
-/** One zone's loads. */
+/** Limits the load starts of one zone. */
 export class LoadWindow {
   private readonly starts: SlidingWindow;
 
@@ -21,13 +21,13 @@
     this.starts = new SlidingWindow(options.windowMs, clock);
   }
 
-  /** Milliseconds until another load may begin. */
+  /** Returns the milliseconds until another load may start. */
   waitMs(): number {
     const { limit, zoneCount } = this.options;
     return this.starts.waitMs(Math.max(1, Math.floor(limit() / Math.max(1, zoneCount()))));
   }
 
-  /** Counts a load that begins now. */
+  /** Records the start of a load. */
   record(): void {
     this.starts.add();
   }
--- a/packages/residency/src/local-copies.ts
+++ b/packages/residency/src/local-copies.ts
@@ -1,7 +1,7 @@
-/** Copies of weights that workers have. */
+/** Local copies of weights on workers. */
 import type { BackEnd } from '@woodbarrow/backends';
 
-/** Whether a worker has a copy of a model at hand, which loads in much less time than from the weight store. */
+/** Whether a worker has a local copy of a model, which loads much faster than from the weight store. */
 export function hasLocalCopy({ nearby }: BackEnd, model: string): boolean {
   return nearby.onDisk.includes(model) || nearby.inMemory.includes(model);
 }
--- a/packages/residency/src/order-client.ts
+++ b/packages/residency/src/order-client.ts
@@ -1,52 +1,55 @@
-/** Port: orders to workers and their reports. */
+/** Port for orders to workers and reports from them. */
 import type { BackEnd, HeldModel, ModelTarget, NearbyCopies } from '@woodbarrow/backends';
 
-/** Load or unload a model, or an adapter of a model that is there. */
+/** An order to load or unload a model, or an adapter of a resident model. */
 export interface WorkerOrder {
   readonly operation: 'load' | 'unload';
   readonly target: ModelTarget;
-  /** Name of the machine that gives the order. */
+  /** Name of the daemon that gives the order. */
   readonly holder: string;
   readonly fence: number;
-  /** The order is void unless the worker has taken just this many. */
+  /** The worker rejects the order unless it has accepted exactly this many. */
   readonly expectedSequence: number;
 }
 
-/** What came of an order. */
+/** Outcome of an order. */
 export type OrderOutcome =
-  /** Being carried out. */
+  /** The worker is executing it. */
   | 'accepted'
-  /** Nothing is left to do. */
+  /** The target is already in the requested state. */
   | 'done'
-  /** Another order is under way, or the sequence differs. */
+  /** Another order is in progress, or the sequence differs. */
   | 'conflict'
-  /** A higher fence has been seen. */
+  /** The worker has seen a higher fence. */
   | 'fenced'
-  /** Another incarnation answers at the address: this one has ended. */
+  /** Another incarnation answers at the address: this one has exited. */
   | 'gone'
-  /** Malformed. */
+  /** The order is malformed. */
   | 'rejected'
-  /** No answer: it may be carried out, perhaps later. */
+  /** No answer: it may be executed, possibly later. */
   | 'unknown'
-  /** Nobody listens at the worker's address: it was not taken. */
+  /** No process listens at the worker's address: it was not accepted. */
   | 'unreachable';
 
-/** State of a worker, as it was some time before. */
+/** State of a worker; it may be stale. */
 export interface WorkerReport {
   readonly models: readonly HeldModel[];
-  /** Adapters on their way. */
+  /** Adapters that are being loaded. */
   readonly incoming: readonly ModelTarget[];
-  /** A model is being loaded or unloaded. */
+  /** Whether a model is being loaded or unloaded. */
   readonly busy: boolean;
-  /** Orders taken since its start. */
+  /** Number of orders accepted since the start of the worker. */
   readonly sequence: number;
   readonly nearby: NearbyCopies;
 }
 
-/** Talks to workers. */
+/** Sends orders to workers and requests reports. */
 export interface OrderClient {
-  /** Never rejects. */
+  /** Sends an order. Never rejects. */
   send(backEnd: BackEnd, order: WorkerOrder): Promise<OrderOutcome>;
-  /** Undefined when no report came; `ended` when another incarnation answers. */
+  /**
+   * Requests a report. Resolves with undefined when none arrives, and with `ended` when another incarnation
+   * answers.
+   */
   report(backEnd: BackEnd): Promise<WorkerReport | 'ended' | undefined>;
 }
--- a/packages/residency/src/order-sender.ts
+++ b/packages/residency/src/order-sender.ts
@@ -1,6 +1,6 @@
 /**
- * Sends orders to one worker, one at a time. Every order names the number of orders the worker has taken, so that
- * one whose answer was lost becomes void as soon as another has been taken in its place.
+ * Sends orders to one worker, one at a time. Every order carries the number of orders that the worker has
+ * accepted, so that an order whose answer was lost becomes void once another has been accepted in its place.
  */
 import { targetKey, type BackEnd, type BackendDirectory, type ModelTarget } from '@woodbarrow/backends';
 import { WoodbarrowError } from '@woodbarrow/errors';
@@ -9,10 +9,10 @@
 import { sleep, type Clock } from '@woodbarrow/runtime';
 import type { OrderClient, OrderOutcome, WorkerReport } from './order-client.js';
 
-/** Right to give orders at this moment. */
+/** Authority to give orders, derived from a lease. */
 export interface OrderAuthority {
   readonly holder: string;
-  /** The fence to order under. @throws WoodbarrowError `lease_lost` when no order may be given now. */
+  /** Returns the fence for an order. @throws WoodbarrowError `lease_lost` when no order may be given now. */
   currentFence(): number;
 }
 
@@ -22,7 +22,7 @@
   readonly directory: BackendDirectory;
   readonly orders: OrderClient;
   readonly authority: OrderAuthority;
-  /** Told of loads, so that a process that ends under one is noticed. */
+  /** Notified of loads, so that a crash under a load is detected. */
   readonly quarantine: LoadQuarantine;
   readonly clock: Clock;
   readonly log: EventLog;
@@ -30,60 +30,64 @@
 }
 
 /**
- * What came of an order in the end.
- * - `surprised`: the worker has taken an order that this coordinator knows nothing of; what it holds must be
- *   learnt anew before anything else is ordered.
+ * Final outcome of an order.
+ * - `surprised`: the worker has accepted an order that this coordinator did not send; its state must be read
+ *   again before any further order.
  */
 export type FinalOutcome = 'accepted' | 'done' | 'refused' | 'unknown' | 'surprised';
 
-/** Reports show a worker as it was up to this long before, in milliseconds. */
+/** Maximum age of the state in a report, in milliseconds. */
 export const REPORT_LAG_MS = 350;
 const MAX_SEND_ATTEMPTS = 10;
 const CONFLICT_PAUSE_MS = 120;
 const UNKNOWN_PAUSE_MS = 30;
-/** Shortest pause after a conflict with an order that the worker is expected to be carrying out still, in milliseconds. */
+/** Minimum pause after a conflict while the worker should still be executing an order, in milliseconds. */
 const MIN_BUSY_PAUSE_MS = 25;
-/** Further pauses, as a part of the time for which it has been busy: what is noticed late is late by this part at most. */
+/**
+ * Pause between retries as a share of the time that the worker has been busy; bounds the relative detection
+ * delay.
+ */
 const BUSY_PAUSE_SHARE = 0.25;
-/** Calls without an answer in a row after which nothing new is asked of a worker for a while. */
+/** Number of consecutive unanswered calls after which a worker counts as unresponsive for a while. */
 const MAX_UNANSWERED_CALLS = 2;
 const UNRESPONSIVE_PAUSE_MS = 2000;
-/** Conflicts after which a lower number of orders in a report is believed. */
+/** Number of conflicts after which a lower sequence in a report is accepted. */
 const CONFLICTS_BEFORE_SEQUENCE_RESET = 3;
 
-/** Sender for one incarnation of a worker. */
+/** Sends orders to one incarnation of a worker. */
 export class OrderSender {
   private sequence: number | undefined;
   private lastSentAt = -Infinity;
   private sending: Promise<unknown> = Promise.resolve();
   private queued = 0;
-  /** Calls without an answer in a row, and when the last was given up. */
+  /** Number of consecutive unanswered calls, and the monotonic time at which the last call ended. */
   private unansweredCalls = 0;
   private lastCallAt = -Infinity;
-  /** Largest sequence under which an order was sent whose fate is unknown. */
+  /** Highest sequence of an order whose outcome is unknown. */
   private uncertainSequence = -1;
 
   constructor(private readonly options: OrderSenderOptions) {}
 
-  /** Orders that the worker is believed to have taken; undefined until the first report. */
+  /** Expected number of orders accepted by the worker; undefined until the first report. */
   get expectedSequence(): number | undefined {
     return this.sequence;
   }
 
-  /** Whether it has answered of late; one that has not is asked again after a while. */
+  /** Whether the worker has answered recently. An unresponsive one is tried again after a pause. */
   get isResponsive(): boolean {
     if (this.unansweredCalls < MAX_UNANSWERED_CALLS) return true;
     return this.options.clock.monotonic() - this.lastCallAt > UNRESPONSIVE_PAUSE_MS;
   }
 
-  /** The worker's record. @throws WoodbarrowError when it is gone. */
+  /** Returns the worker's record. @throws WoodbarrowError when the worker is no longer in the directory. */
   backEnd(): BackEnd {
     const backEnd = this.options.directory.get(this.options.backEndId);
-    if (backEnd === undefined) throw new WoodbarrowError('engine_refused', 'the worker is gone');
+    if (backEnd === undefined)
+      throw new WoodbarrowError('engine_refused', 'the worker is no longer in the directory');
     return backEnd;
   }
 
-  /** A report, or undefined when none came. */
+  /** Requests a report; undefined when none arrives. */
   async report(): Promise<WorkerReport | undefined> {
     const report = await this.options.orders.report(this.backEnd());
     if (report === 'ended') {
@@ -96,32 +100,33 @@
     return report;
   }
 
-  /** Whether a report shows all that came of the orders sent so far. */
+  /** Whether a report reflects the outcome of all orders sent so far. */
   isSettled(report: WorkerReport): boolean {
     const mayLag = this.options.clock.monotonic() - this.lastSentAt <= REPORT_LAG_MS;
     const isIdle = !report.busy && report.incoming.length === 0 && this.queued === 0;
     return isIdle && !mayLag && report.sequence > this.uncertainSequence;
   }
 
-  /** Tells what came of a load that was sent. */
+  /** Reports the result of a load to the quarantine. */
   recordLoadResult(target: ModelTarget, isLoaded: boolean): void {
     const { directory, backEndId, quarantine } = this.options;
     const backEnd = directory.get(backEndId);
-    // Of one that is gone the quarantine has been told.
+    // The quarantine was notified when the worker was removed.
     if (backEnd === undefined) return;
     if (isLoaded) quarantine.finished(backEnd, target);
     else quarantine.failed(backEnd, target);
   }
 
-  /** Believes a report about the number of orders taken. */
+  /** Adopts the sequence of a report. */
   adoptSequence(report: WorkerReport): void {
     this.sequence = report.sequence;
   }
 
   /**
-   * Sends an order after all before it have been answered.
+   * Sends an order once all earlier ones have been answered.
    *
-   * @param busyMs Time for which the worker may still be carrying out the order before: conflicts are expected.
+   * @param busyMs Milliseconds for which the worker may still execute the previous order, so that conflicts
+   * are expected.
    */
   send(operation: 'load' | 'unload', target: ModelTarget, busyMs = 0): Promise<FinalOutcome> {
     this.queued += 1;
@@ -135,11 +140,12 @@
   }
 
   /**
-   * Waits for the end of a load that the worker has taken, by ordering it again: it answers that it is carrying the order out
-   * until the model is there, and then that it is there already, while its reports lag. None of these counts as an order taken.
-   * One that is never answered, or carried out late, changes nothing: the model is there, or a newer order has been taken.
+   * Waits for the end of an accepted load by ordering it again: the worker answers `accepted` while it loads
+   * and `done` once the model is resident, without the delay of reports. Repeated orders do not count as
+   * accepted. One that is lost or executed late has no effect: the model is already resident, or a newer
+   * order has been accepted.
    *
-   * @param withinMs Time after which it is given up.
+   * @param withinMs Timeout in milliseconds.
    */
   awaitLoaded(target: ModelTarget, withinMs: number): Promise<FinalOutcome> {
     this.queued += 1;
@@ -190,7 +196,7 @@
         continue;
       }
       const outcome = await this.sendOnce(operation, target, this.sequence ?? 0);
-      // A load of what is there already is no order taken.
+      // A load of a resident target does not advance the sequence.
       if (outcome === 'accepted' || (outcome === 'done' && operation === 'unload'))
         this.sequence = (this.sequence ?? 0) + 1;
       if (outcome === 'accepted' || outcome === 'done') return outcome;
@@ -246,7 +252,7 @@
       sequence: expectedSequence,
       outcome,
     });
-    // It may come back, so this is asked again like a lost answer.
+    // An unreachable worker may come back, so the order is retried like one whose answer was lost.
     return isAnswered ? outcome : 'unknown';
   }
 
@@ -255,7 +261,7 @@
     this.lastCallAt = this.options.clock.monotonic();
   }
 
-  /** Whether the worker has taken an order that was not sent from here. */
+  /** Whether the worker has accepted an order that was not sent from here. */
   private async hasForeignOrder(conflicts: number): Promise<boolean> {
     const report = await this.report();
     const sequence = this.sequence ?? 0;
--- a/packages/residency/src/pending-demand.ts
+++ b/packages/residency/src/pending-demand.ts
@@ -1,117 +1,117 @@
-/** Requests for models that wait at a zone's coordinator until their model is resident, or can no longer be in time. */
+/** Demands that wait at a zone's coordinator until their model is resident or they expire. */
 import type { Clock } from '@woodbarrow/runtime';
 
-/** What became of a demand for a model. */
+/** Result of a demand for a model. */
 export type Placement = { readonly kind: 'resident'; readonly backEndId: string } | RefusedPlacement;
 
-/** A demand that is turned down. */
+/** Refusal of a demand. */
 export interface RefusedPlacement {
   readonly kind: 'refused';
   readonly reason: RefusedDemandReason;
-  /** Milliseconds after which asking again is of use. */
+  /** Retry delay in milliseconds. */
   readonly retryAfterMs: number;
 }
 
-/** Why a demand is turned down. */
+/** Reason of a refusal. */
 export type RefusedDemandReason =
-  /** No worker can make room at all. */
+  /** No worker has capacity. */
   | 'no_place'
   /** The model will be resident, but later than the demand can wait. */
   | 'loading'
-  /** Another zone has it by now: it is to be asked. */
+  /** Another zone holds the model by now and should be asked. */
   | 'held_elsewhere'
-  /** The demand's time has passed. */
+  /** The demand has expired. */
   | 'not_in_time'
-  /** More demands wait than the coordinator keeps. */
+  /** The queue of the coordinator is full. */
   | 'queue_full'
-  /** Its load has proved to end the workers that begin it. */
+  /** The load is quarantined because workers crashed under it. */
   | 'load_quarantined';
 
-/** Why no worker of a zone can make room for a model. */
+/** Reason why no worker of a zone can load a model. */
 export type NoPlaceCause =
-  /** No worker that may be used takes orders now. */
+  /** No usable worker accepts orders now. */
   | 'no_worker'
-  /** All that is resident is asked for too much to make way. */
+  /** Demand for all resident models is too high to evict any. */
   | 'no_victim'
-  /** No worker has a copy, and the weight store may not be used. */
+  /** No worker has a local copy, and the weight store may not be used. */
   | 'store_barred'
-  /** Loads and unloads under way, or of unknown outcome, hold the memory. */
+  /** Memory is occupied by loads and unloads in progress or of unknown outcome. */
   | 'no_memory';
 
-/** One demand that waits. Times are monotonic, in milliseconds. */
+/** A waiting demand. Times are monotonic, in milliseconds. */
 export interface PendingDemand {
   readonly arrivedAt: number;
-  /** Answers that begin later earn less. */
+  /** Time until which an answer is in time; later answers are worth less. */
   readonly targetAt: number;
-  /** It is of no use afterwards. */
+  /** Time at which the demand expires. */
   readonly deadline: number;
-  /** Workers that cannot be used for it. */
+  /** Ids of workers that must not be used. */
   readonly without: readonly string[];
-  /** Whether the weight store may be used for it. */
+  /** Whether the weight store may be used. */
   readonly mayUseStore: boolean;
-  /** Whether it has not been settled. */
+  /** Whether it has not been settled yet. */
   readonly isWaiting: () => boolean;
-  /** Ends the wait; later calls do nothing. */
+  /** Settles the demand; later calls have no effect. */
   readonly settle: (placement: Placement) => void;
 }
 
-/** What may be used for a demand. */
+/** Restrictions on the placement of a demand. */
 export type DemandLimits = Pick<PendingDemand, 'without' | 'mayUseStore'>;
 
-/** Milliseconds that a demand has. */
+/** Time limits of a demand, in milliseconds. */
 export interface DemandTimes {
   /** Within which an answer is in time. */
   readonly targetMs: number;
-  /** Within which it is of any use. */
+  /** Within which an answer is useful at all. */
   readonly withinMs: number;
 }
 
-/** What is wanted: a model of a service, on any worker of the zone or on one more. */
+/** Identifies what is requested: a model of a service, or one more replica of it. */
 export interface WantedModel {
   readonly service: string;
   readonly model: string;
-  /** Wants one more replica beside those there are. */
+  /** Whether a replica is requested in addition to existing ones. */
   readonly isAdditionalReplica: boolean;
 }
 
-/** All demands that wait for the same. One load serves them together. */
+/** All waiting demands for the same model, served together by one load. */
 export interface DemandGroup extends WantedModel {
   readonly key: string;
   readonly demands: readonly PendingDemand[];
 }
 
-/** A demand whose time has passed. */
+/** A demand whose deadline has passed. */
 export interface ExpiredDemand {
   readonly wanted: WantedModel;
   readonly demand: PendingDemand;
 }
 
-/** Demands that one coordinator keeps at most. */
+/** Maximum number of waiting demands of one coordinator. */
 export const MAX_PENDING_DEMANDS = 2000;
 
-/** Demands that wait, by what they want. */
+/** Queue of demands, grouped by what they request. */
 export class DemandQueue {
   private readonly groups = new Map<string, WantedModel & { key: string; demands: PendingDemand[] }>();
   private size = 0;
 
   constructor(private readonly clock: Clock) {}
 
-  /** Demands that wait. */
+  /** Number of waiting demands. */
   get length(): number {
     return this.size;
   }
 
-  /** What is wanted now, in the order in which it was first asked for. */
+  /** Returns all groups in the order of their first demand. */
   all(): readonly DemandGroup[] {
     return [...this.groups.values()];
   }
 
-  /** Demands of a group that wait. */
+  /** Returns the waiting demands of a group. */
   demandsOf(key: string): readonly PendingDemand[] {
     return this.groups.get(key)?.demands ?? [];
   }
 
-  /** Adds a demand. @returns Whether there was room. */
+  /** Adds a demand. @returns Whether the queue had capacity. */
   add(wanted: WantedModel, demand: PendingDemand): boolean {
     if (this.size >= MAX_PENDING_DEMANDS) return false;
     const key = groupKey(wanted);
@@ -122,7 +122,7 @@
     return true;
   }
 
-  /** Takes all demands of a group out. */
+  /** Removes a group and returns its demands. */
   take(key: string): readonly PendingDemand[] {
     const demands = this.groups.get(key)?.demands ?? [];
     this.groups.delete(key);
@@ -130,7 +130,7 @@
     return demands;
   }
 
-  /** Takes out the demands whose time has passed. */
+  /** Removes and returns the expired demands. */
   takeExpired(): readonly ExpiredDemand[] {
     const now = this.clock.monotonic();
     const expired: ExpiredDemand[] = [];
@@ -146,7 +146,7 @@
   }
 }
 
-/** Key of what is wanted. */
+/** Returns the key of a group. */
 export function groupKey({ service, model, isAdditionalReplica }: WantedModel): string {
   return `${service} ${model}${isAdditionalReplica ? ' another' : ''}`;
 }
--- a/packages/residency/src/placement-choice.ts
+++ b/packages/residency/src/placement-choice.ts
@@ -1,47 +1,47 @@
-/** Decides which worker of a zone loads a model, and which resident models make way for it. */
+/** Chooses the worker of a zone that loads a model, and the resident models that it evicts first. */
 import type { BackEnd, EngineDefinition, ModelDefinition } from '@woodbarrow/backends';
 import { leastBy } from '@woodbarrow/runtime';
 import type { LoadTimes, WeightSource } from './load-times.js';
 import type { LoadView } from './load-view.js';
 import type { ResidentModel, ResidentSet } from './resident-set.js';
 
-/** A worker as a candidate for a load. */
+/** A candidate worker for a load. */
 export interface PlacementCandidate {
   readonly backEnd: BackEnd;
   readonly residents: ResidentSet;
-  /** Milliseconds until it can begin another load or unload. */
+  /** Milliseconds until it can start another load or unload. */
   readonly busyMs: number;
 }
 
-/** What to do. */
+/** Chosen placement of a load. */
 export interface PlacementChoice {
   readonly candidate: PlacementCandidate;
-  /** Models to unload first. */
+  /** Names of the models to evict first. */
   readonly victims: readonly string[];
   /** Expected milliseconds until the model is resident. */
   readonly readyMs: number;
-  /** Milliseconds for which what makes way is still needed; the load must not begin before. */
+  /** Milliseconds for which the victims are still needed; the load must not start before. */
   readonly notBeforeMs: number;
-  /** Expected milliseconds until what makes way is gone, once its worker is free. */
+  /** Expected milliseconds until the victims are unloaded, once the worker is free. */
   readonly unloadMs: number;
   /** Expected milliseconds of the load alone. */
   readonly loadMs: number;
   readonly source: WeightSource;
-  /** Milliseconds until the weight store takes the load; its worker is not occupied before. */
+  /** Milliseconds until the weight store can take the load; the worker is not occupied before. */
   readonly storeWaitMs: number;
 }
 
-/** A resident model that could make way. */
+/** A resident model that could be evicted. */
 export interface RankedVictim {
   readonly name: string;
   readonly weightsMb: number;
-  /** How much it would be missed: the recent requests that this replica serves its share of. */
+  /** Recent demand for the model, divided by its replicas. */
   readonly value: number;
-  /** What others lose without it, in milliseconds. */
+  /** Estimated cost of the eviction to other requests, in milliseconds. */
   readonly costMs: number;
-  /** Expected time until it is gone, in milliseconds. */
+  /** Expected time of the unload, in milliseconds. */
   readonly unloadMs: number;
-  /** Milliseconds for which it is still needed by requests that have waited for it, or come back for it. */
+  /** Milliseconds for which requests that waited for it, or are due to retry, still need it. */
   readonly neededMs: number;
 }
 
@@ -50,9 +50,9 @@
   readonly loads: LoadView;
   readonly times: Pick<LoadTimes, 'unloadMs'>;
   readonly now: number;
-  /** Monotonic time until which a model is kept for requests that were told to come back for it. */
+  /** Returns the monotonic time until which a model is reserved for expected retries. */
   readonly reservedUntil: (model: string) => number;
-  /** Number of workers in all zones that hold a model. */
+  /** Returns the number of workers in all zones that hold a model. */
   readonly replicasOf: (model: string) => number;
 }
 
@@ -62,25 +62,27 @@
   readonly engine: EngineDefinition;
   readonly candidates: readonly PlacementCandidate[];
   readonly times: Pick<LoadTimes, 'loadMs'>;
-  /** What could make way on a candidate, the cheapest first. */
+  /** Returns the possible victims on a candidate, cheapest first. */
   readonly victimsOf: (candidate: PlacementCandidate) => readonly RankedVictim[];
   /** Milliseconds until the weight store may be used; Infinity when it may not. */
   readonly storeWaitMs: number;
-  /** How many times longer a load from the weight store takes while others share its link. */
+  /** Factor by which a load from the weight store is slowed by concurrent loads. */
   readonly storeSlowdown: number;
-  /** Largest value of models that may make way: recent requests for each replica. */
+  /** Maximum value of a victim, in recent requests per replica. */
   readonly maximumVictimValue: number;
 }
 
-/** Cost of one recent request, per replica, for a model that makes way, in milliseconds. */
+/** Eviction cost per recent request and replica, in milliseconds. */
 const REQUEST_COST_MS = 300;
-/** Cost of a worker whose adapters are in use: none can be loaded there meanwhile, in milliseconds. */
+/**
+ * Cost of loading on a worker with resident adapters, as it cannot load adapters meanwhile, in milliseconds.
+ */
 const ADAPTER_DELAY_COST_MS = 400;
-/** A worker takes no other load meanwhile: each millisecond of a load costs this many of others' waits. */
+/** Cost of a worker's occupancy: each millisecond counts as this many milliseconds of waiting by others. */
 export const OCCUPANCY_WEIGHT = 2;
-/** Time in which the requests that have waited for a model are sent to its worker, in milliseconds. */
+/** Time within which waiting requests reach the worker after a load, in milliseconds. */
 const DISPATCH_PERIOD_MS = 300;
-/** A model is hardly ever taken away this soon after its load, in milliseconds. */
+/** Time after a load during which evicting the model incurs an extra cost, in milliseconds. */
 const SETTLING_PERIOD_MS = 1500;
 const SETTLING_COST_MS = 3000;
 
@@ -96,13 +98,13 @@
   readonly notBeforeMs: number;
 }
 
-/** The cheapest way to load a model, or undefined when no worker can. */
+/** Returns the cheapest way to load a model; undefined when no worker can. */
 export function choosePlacement(inputs: PlacementInputs): PlacementChoice | undefined {
   const options = inputs.candidates.flatMap((candidate) => optionsOf(candidate, inputs));
   return leastBy(options, (option) => option.costMs)?.choice;
 }
 
-/** One way to load the model, or none where nothing can make way. */
+/** Returns the way to load the model on one worker, or none when not enough can be evicted. */
 function optionsOf(candidate: PlacementCandidate, inputs: PlacementInputs): PlacementOption[] {
   const victims = chooseVictims(candidate, inputs);
   if (victims === undefined) return [];
@@ -123,7 +125,7 @@
   ];
 }
 
-/** What could make way on a worker, the cheapest first. */
+/** Ranks the possible victims on a worker, cheapest first. */
 export function rankVictims(
   { backEnd, residents }: Pick<PlacementCandidate, 'backEnd' | 'residents'>,
   inputs: VictimInputs,
@@ -178,7 +180,10 @@
 
 const adapterReserves = new WeakMap<EngineDefinition, number>();
 
-/** Memory that all adapter slots may take, in MB; worked out once for a configuration, which may hold hundreds of models. */
+/**
+ * Returns the memory reserved for all adapter slots in MB, cached per configuration as it may list hundreds
+ * of models.
+ */
 function adapterReserveMb(engine: EngineDefinition): number {
   let reserveMb = adapterReserves.get(engine);
   if (reserveMb === undefined) {
--- a/packages/residency/src/plan-cache.ts
+++ b/packages/residency/src/plan-cache.ts
@@ -1,34 +1,34 @@
 /**
- * The newest plan of each service. Quotes are looked up in it: one plan serves all that are asked within a short time. Guards against a
- * plan for each quote: with a hundred groups that wait, each worked out up to 48 loads on all workers of the zone to place one more group.
+ * Caches the latest plan of each service. Quotes requested within a short time share one plan, as planning
+ * anew for each quote is expensive when many groups wait.
  */
 import type { Clock } from '@woodbarrow/runtime';
 import type { LoadPlanner, PlanSnapshot } from './load-planner.js';
 import type { DemandGroup } from './pending-demand.js';
 
-/** A plan is not looked up after this long, in milliseconds: loads from memory and disk take 440 to 1,200 ms. */
+/** Maximum age of a plan used for quotes, in milliseconds; short relative to any load. */
 const PLAN_LIFETIME_MS = 100;
-/** Groups that may have come since, as a part of those that waited: quotes grow by no more than this part unnoticed. */
+/** Relative growth of the number of waiting groups after which a plan is stale. */
 const MAX_QUEUE_GROWTH = 0.1;
 
 interface CachedPlan {
   readonly snapshot: PlanSnapshot;
-  /** Groups that waited when it was made. */
+  /** Number of groups that waited when the plan was made. */
   readonly groupCount: number;
 }
 
-/** Plans by service. */
+/** Cache of plans by service. */
 export class PlanCache {
   private readonly cachedPlans = new Map<string, CachedPlan>();
 
   constructor(
     private readonly planner: LoadPlanner,
-    /** Groups of a service that wait and may be loaded here. */
+    /** Returns the waiting groups of a service that may be loaded here. */
     private readonly groupsOf: (service: string) => readonly DemandGroup[],
     private readonly clock: Clock,
   ) {}
 
-  /** A plan that says how things are now, a new one where needed; undefined for a service whose workers hold no models. */
+  /** Returns a current plan, rebuilt where stale; undefined for a service whose workers hold no models. */
   get(service: string): PlanSnapshot | undefined {
     const cached = this.cachedPlans.get(service);
     if (cached === undefined || this.ageMs(cached) > PLAN_LIFETIME_MS) return this.rebuild(service);
@@ -36,7 +36,7 @@
     return groupCount > cached.groupCount * (1 + MAX_QUEUE_GROWTH) ? this.rebuild(service) : cached.snapshot;
   }
 
-  /** Plans anew. */
+  /** Replaces the cached plan of a service. */
   rebuild(service: string): PlanSnapshot | undefined {
     const groups = this.groupsOf(service);
     const snapshot = this.planner.plan(service, groups);
@@ -45,13 +45,13 @@
     return snapshot;
   }
 
-  /** Milliseconds since the last plan of a service; Infinity when there is none. */
+  /** Returns the milliseconds since the last plan of a service; Infinity when there is none. */
   lastPlanAgeMs(service: string): number {
     const cached = this.cachedPlans.get(service);
     return cached === undefined ? Infinity : this.ageMs(cached);
   }
 
-  /** A load has begun or ended: no plan says any more how things are. */
+  /** Discards all plans after a load has started or ended. */
   invalidate(): void {
     this.cachedPlans.clear();
   }
--- a/packages/residency/src/residency-service.ts
+++ b/packages/residency/src/residency-service.ts
@@ -1,6 +1,6 @@
 /**
- * A daemon's part in keeping models resident: candidate for the leases of the zones, and coordinator of those that
- * it holds.
+ * A daemon's role in model residency: candidate for the leases of the zones, and coordinator of the zones
+ * that it holds.
  */
 import type { BackendDirectory, LoadBook, ServiceDefinition } from '@woodbarrow/backends';
 import {
@@ -32,13 +32,13 @@
 /** Options of {@link ResidencyService}. */
 export interface ResidencyServiceOptions {
   readonly self: Member;
-  /** This run of the process. */
+  /** Identifies this run of the process. */
   readonly instance: number;
-  /** Daemons that may hold roles, this one included. */
+  /** Returns the daemons that may hold roles, this one included. */
   readonly members: () => readonly RunningMember[];
-  /** All daemons that have not left for good, this one included. */
+  /** Returns all daemons that have not left for good, this one included. */
   readonly knownMembers: () => readonly KnownMember[];
-  /** Whether enough is known of them to tell who is next in line for a lease. */
+  /** Whether the group is known well enough to determine the preferred holder of a lease. */
   readonly isGroupKnown: () => boolean;
   readonly peers: PeerNetwork;
   readonly directory: BackendDirectory;
@@ -47,11 +47,11 @@
   readonly leases: LeaseRecordStore;
   readonly orders: OrderClient;
   readonly serviceOf: (name: string) => ServiceDefinition | undefined;
-  /** Tells all daemons of a change of residency, this one included. */
+  /** Notifies all daemons of a change of residency, this one included. */
   readonly announce: (change: ResidencyChange) => void;
-  /** Called when a zone has been gained or given back. */
+  /** Called when a zone has been acquired or released. */
   readonly onClaimsChanged: () => void;
-  /** Milliseconds that must lie between the orders of two coordinators of a zone. */
+  /** Minimum milliseconds between the orders of two successive coordinators of a zone. */
   readonly handoverPauseMs: number;
   readonly storeWindow: StoreWindowOptions;
   readonly quarantine: LoadQuarantine;
@@ -62,29 +62,35 @@
 }
 
 const CANDIDACY_INTERVAL_MS = 250;
-/** Pause between two looks at what can be done without being asked, in milliseconds. */
+/** Interval of periodic maintenance, in milliseconds. */
 const MAINTENANCE_INTERVAL_MS = 500;
-/** Pause between two renewals of a lease, in milliseconds: a fifth of its lifetime. */
+/** Interval between renewals of a lease, in milliseconds; a fraction of its lifetime. */
 const RENEW_INTERVAL_MS = 2000;
 const RENEW_RETRY_INTERVAL_MS = 600;
-/** Pause between two words of a holder to its witnesses, in milliseconds: three fit into the life of an answer. */
+/**
+ * Interval between contacts of a holder with its witnesses, in milliseconds; several fit into the lifetime of
+ * an answer.
+ */
 const CONTACT_INTERVAL_MS = 400;
-/** The same while the holder must not act for want of an answer, in milliseconds: each of it is lost to all demands of the zone. */
+/**
+ * Contact interval while the holder must not act for lack of answers, in milliseconds; short, as the zone
+ * serves no demands meanwhile.
+ */
 const LOST_CONTACT_INTERVAL_MS = 100;
-/** Time without contact with most witnesses after which others are named, in milliseconds. */
+/** Time without contact with a majority of witnesses after which others are named, in milliseconds. */
 const CONTACT_LOST_AFTER_MS = 1000;
 interface HeldZone {
   readonly lease: StoreLease;
   readonly residency: ZoneResidency;
 }
 
-/** Leases and coordination of one daemon. */
+/** Leases and coordinators of one daemon. */
 export class ResidencyService extends BackgroundService {
   private readonly leases = new Map<string, StoreLease>();
   private readonly held = new Map<string, HeldZone>();
-  /** Zones whose lease is being asked for. */
+  /** Zones whose lease is being acquired. */
   private readonly acquiring = new Set<string>();
-  /** Monotonic time before which a zone's lease is not asked for again. */
+  /** Monotonic time before which a zone's lease is not requested again. */
   private readonly retryAt = new Map<string, number>();
   private isLeaving = false;
   private readonly contacts: LeaseContacts;
@@ -108,7 +114,7 @@
     });
   }
 
-  /** Starts. The peer network must be listening. */
+  /** Starts the service. The peer network must be listening. */
   start(): void {
     const { peers, directory } = this.options;
     peers.handle(residencyDemandMethod, (message) => this.onDemand(message));
@@ -132,17 +138,17 @@
     );
   }
 
-  /** Fence of each zone that this daemon coordinates. */
+  /** Returns the fence of each zone that this daemon coordinates. */
   fencesHeld(): ReadonlyMap<string, number> {
     return new Map([...this.held].map(([zone, { lease }]) => [zone, lease.fence]));
   }
 
-  /** The lease of a zone, while this daemon coordinates it. */
+  /** Returns the lease of a zone while this daemon coordinates it. */
   leaseHeld(zone: string): StoreLease | undefined {
     return this.held.get(zone)?.lease;
   }
 
-  /** Zones that this daemon coordinates. */
+  /** Returns the claims on the zones that this daemon coordinates. */
   claims(): ZoneClaim[] {
     return [...this.held].map(([zone, { lease, residency }]) => ({
       zone,
@@ -155,12 +161,12 @@
     }));
   }
 
-  /** What the zones that this daemon coordinates could not serve, by zone. */
+  /** Returns what the coordinated zones could not serve, by zone. */
   unserved(): ReadonlyMap<string, UnservedDemands> {
     return new Map([...this.held].map(([zone, { residency }]) => [zone, residency.unserved]));
   }
 
-  /** Gives all leases back: a planned stop. */
+  /** Releases all leases on a planned stop. */
   async leave(): Promise<void> {
     this.isLeaving = true;
     const held = [...this.held.entries()];
@@ -177,7 +183,7 @@
       await lease.release();
       log.changed('lease_released', { zone, fence: lease.fence });
     } catch (error) {
-      // Others take it once its lifetime has passed, or its witnesses refuse this daemon.
+      // Other daemons acquire it once it expires or its witnesses refuse this daemon.
       log.warned('lease_unconfirmed', {
         zone,
         confirmedAgoMs: Math.round(lease.confirmedAgoMs()),
@@ -198,20 +204,20 @@
     return new Set(names.filter((name) => this.options.serviceOf(name)?.engine !== undefined));
   }
 
-  /** Takes free zones that this daemon is next in line for. */
+  /** Acquires free zones for which this daemon is the preferred holder. */
   private acquireFreeZones(): Promise<void> {
     if (this.isLeaving || !this.options.isGroupKnown()) return Promise.resolve();
     for (const zone of this.coordinatedZones()) {
       if (this.held.has(zone) || this.options.coordinators.of(zone) !== undefined) continue;
       if (this.options.clock.monotonic() < (this.retryAt.get(zone) ?? 0)) continue;
       if (this.preferredHolder(zone) !== this.options.self.id || this.acquiring.has(zone)) continue;
-      // One zone that must be waited for does not hold up the others.
+      // Runs per zone, so that waiting for one does not delay the others.
       this.tasks.spawn(`residency.take ${zone}`, () => this.acquireOnce(zone));
     }
     return Promise.resolve();
   }
 
-  /** Another daemon says that this machine's former run holds a zone. */
+  /** Resumes a zone whose lease is recorded for a former run of this daemon. */
   private resume(zone: string): void {
     if (this.isLeaving || this.held.has(zone)) return;
     this.tasks.spawn(`residency.resume ${zone}`, () => this.acquireOnce(zone));
@@ -250,7 +256,7 @@
     this.options.onClaimsChanged();
   }
 
-  /** Takes the lease of a holder that its witnesses refuse; one that was started again takes it back itself. */
+  /** Acquires the lease of a holder that its witnesses refuse; a restarted holder resumes it itself. */
   private async replaceLostHolder(
     zone: string,
     lease: StoreLease,
@@ -268,7 +274,10 @@
     return lease.tryAcquire(undefined, refused);
   }
 
-  /** Takes a lease of which a restored store does not tell who held it last, once every daemon refuses whoever it was. */
+  /**
+   * Acquires a lease whose last holder is unknown after a restore of the store, once every daemon refuses
+   * that holder.
+   */
   private async replaceUnknownHolder(
     zone: string,
     lease: StoreLease,
@@ -282,7 +291,7 @@
     return lease.tryAcquire(undefined, refused);
   }
 
-  /** Keeps in contact with the witnesses of a lease, and names others where most of them do not answer. */
+  /** Stays in contact with the witnesses of a lease, and names others when a majority does not answer. */
   private async maintainContact(zone: string, lease: StoreLease, signal: AbortSignal): Promise<void> {
     let namedAt = -Infinity;
     while (!signal.aborted && this.held.get(zone)?.lease === lease) {
@@ -292,7 +301,7 @@
       if (isLost && now - namedAt > CONTACT_LOST_AFTER_MS) {
         namedAt = now;
         this.options.log.warned('lease_out_of_contact', { zone, lostMs: Math.round(lease.contact.lostMs()) });
-        // The loop that renews finds out whether it is lost.
+        // The renewal loop detects whether the lease is lost.
         await lease.renew().catch((error: unknown) => {
           this.options.log.warned('lease_unconfirmed', {
             zone,
@@ -355,7 +364,7 @@
     });
   }
 
-  /** Loads from the weight store that the coordinators of all zones but one have under way, as they last told. */
+  /** Returns the weight store loads of the other zones' coordinators, as last reported. */
   private storeLoadsInOtherZones(zone: string): number {
     let loads = 0;
     for (const other of this.zones()) {
@@ -366,7 +375,10 @@
     return loads;
   }
 
-  /** Milliseconds until a model that another zone loads now is expected there; Infinity when none does. */
+  /**
+   * Returns the milliseconds until a model that another zone is loading should be resident there; Infinity
+   * when none is loading it.
+   */
   private expectedElsewhereInMs(zone: string, model: string): number {
     let soonestMs = Infinity;
     for (const other of this.zones()) {
@@ -382,16 +394,20 @@
 
   private async onDemand(message: ResidencyDemandMessage): Promise<ResidencyDemandAnswer> {
     const held = this.held.get(message.zone);
-    if (held === undefined) throw new WoodbarrowError('not_leader', 'no lease on that zone');
+    if (held === undefined)
+      throw new WoodbarrowError('not_leader', 'this daemon does not hold the lease on the zone');
     return held.residency.demand(message);
   }
 
-  /** Zones with workers of any kind: those without models need a granter of their workers' rate limits. */
+  /**
+   * Returns all zones with workers; those without models still need a quota allocator for their workers' rate
+   * limits.
+   */
   private coordinatedZones(): Set<string> {
     return new Set(this.options.directory.all().map(({ zone }) => zone));
   }
 
-  /** Zones with workers that run models. */
+  /** Returns the zones with workers that run models. */
   private zones(): string[] {
     const zones = new Set<string>();
     for (const backEnd of this.options.directory.all()) {
@@ -400,7 +416,7 @@
     return [...zones];
   }
 
-  /** Who takes a free zone: a daemon of the zone before others, always the same one. */
+  /** Returns the daemon that should acquire a free zone: always the same one, preferably of the zone. */
   private preferredHolder(zone: string): string | undefined {
     const members = this.options.members();
     const ofZone = members.filter((member) => member.zone === zone);
--- a/packages/residency/src/resident-set.ts
+++ b/packages/residency/src/resident-set.ts
@@ -1,4 +1,4 @@
-/** What a coordinator believes one worker to hold, what it has ordered, and what is committed of its memory. */
+/** A coordinator's view of one worker: resident models, ordered changes, and committed memory. */
 import {
   servesTarget,
   targetKey,
@@ -10,10 +10,10 @@
   type ModelTarget,
 } from '@woodbarrow/backends';
 
-/** State of a model on a worker. Memory counts as taken in all of them. */
+/** State of a model on a worker. It occupies memory in all of them. */
 export type ResidentState = 'resident' | 'loading' | 'unloading';
 
-/** A copy of an adapter on a worker; it takes a slot in all states. */
+/** A copy of an adapter on a worker; it occupies a slot in all states. */
 export interface ResidentAdapter {
   readonly copy: AdapterCopy;
   readonly state: ResidentState;
@@ -26,59 +26,59 @@
   /** Monotonic time of the last change of state. */
   since: number;
   /**
-   * Monotonic time since which no new requests are sent to it, because it makes way for the load that is planned next
-   * on its worker; undefined while it takes requests.
+   * Monotonic time since which it receives no new requests, as it is evicted by the next planned load on its
+   * worker; undefined while it accepts requests.
    */
   retiredAt?: number | undefined;
-  /** By the key of the target that just this copy serves. */
+  /** Copies by the key of the exact target that each serves. */
   readonly adapters: Map<string, ResidentAdapter>;
 }
 
-/** Models of one worker. */
+/** The models of one worker. */
 export class ResidentSet {
   readonly models = new Map<string, ResidentModel>();
 
-  /** MB taken by weights, whatever their state. */
+  /** Memory occupied by weights in all states, in MB. */
   get committedMb(): number {
     let sum = 0;
     for (const model of this.models.values()) sum += model.definition.weightsMb;
     return sum;
   }
 
-  /** Adapters taken, those on their way included. */
+  /** Number of occupied adapter slots, including loads in progress. */
   get adapterCount(): number {
     let count = 0;
     for (const model of this.models.values()) count += model.adapters.size;
     return count;
   }
 
-  /** Whether a target can take requests. */
+  /** Whether a target can serve requests. */
   isResident(target: ModelTarget): boolean {
     const held = this.models.get(target.model);
     if (held?.state !== 'resident') return false;
     return target.adapter === undefined || this.adapterOf(target)?.state === 'resident';
   }
 
-  /** The copy that serves a target with an adapter, a resident one first. */
+  /** Returns the copy that serves a target with an adapter, preferring a resident one. */
   adapterOf(target: ModelTarget): ResidentAdapter | undefined {
     const copies = [...(this.models.get(target.model)?.adapters.values() ?? [])];
     const serving = copies.filter(({ copy }) => servesTarget(copy, target));
     return serving.find(({ state }) => state === 'resident') ?? serving[0];
   }
 
-  /** Notes the state of the copy that a target names, by its version where it names one. */
+  /** Sets the state of the copy that a target names, by version if it names one. */
   setAdapter(target: AdapterTarget, state: ResidentState): void {
     const { model, adapter: name, adapterVersion: version } = target;
     const copy = version === undefined ? { name } : { name, version };
     this.models.get(model)?.adapters.set(targetKey(target), { copy, state });
   }
 
-  /** The copy that a target names is gone. */
+  /** Removes the copy that a target names. */
   dropAdapter(target: AdapterTarget): void {
     this.models.get(target.model)?.adapters.delete(targetKey(target));
   }
 
-  /** Notes a change of a model's state. */
+  /** Sets the state of a model. */
   setModel(definition: ModelDefinition, state: ResidentState, now: number): void {
     const held = this.models.get(definition.name);
     if (held === undefined) {
@@ -90,7 +90,7 @@
     held.retiredAt = undefined;
   }
 
-  /** Replaces everything by what a worker reports; what it does not list is gone. */
+  /** Replaces the content by a worker's report; what it does not list is removed. */
   replace(held: readonly HeldModel[], definitions: ReadonlyMap<string, ModelDefinition>, now: number): void {
     const listed = new Set(held.map((model) => model.name));
     for (const name of [...this.models.keys()]) {
--- a/packages/residency/src/retry-reservations.ts
+++ b/packages/residency/src/retry-reservations.ts
@@ -1,23 +1,26 @@
-/** Models that requests were told to come back for: they stay resident until those requests should have returned. */
+/**
+ * Reserves models for refused requests that are expected to retry: the models stay resident until those
+ * retries are due.
+ */
 import type { Clock } from '@woodbarrow/runtime';
 
-/** Promises of one coordinator, by model. */
+/** Reservations of one coordinator, by model. */
 export class RetryReservations {
   private readonly expiryTimes = new Map<string, number>();
 
   constructor(private readonly clock: Clock) {}
 
-  /** Keeps a model until a monotonic time; an earlier promise that lasts longer stands. */
+  /** Reserves a model until a monotonic time; an existing longer reservation stays in effect. */
   reserve(model: string, until: number): void {
     this.expiryTimes.set(model, Math.max(this.reservedUntil(model), until));
   }
 
-  /** Monotonic time until which a model is kept; 0 when nothing was promised. */
+  /** Returns the monotonic time until which a model is reserved; 0 without a reservation. */
   reservedUntil(model: string): number {
     return this.expiryTimes.get(model) ?? 0;
   }
 
-  /** Drops the promises whose time has passed. */
+  /** Removes expired reservations. */
   removeExpired(): void {
     const now = this.clock.monotonic();
     for (const [model, until] of this.expiryTimes) {
--- a/packages/residency/src/store-link.ts
+++ b/packages/residency/src/store-link.ts
@@ -1,57 +1,62 @@
 /**
- * The link to the weight store, shared by the workers of all zones. Up to some number of loads at once run at full
- * speed; beyond it each takes longer in proportion, so that more at once bring nothing sooner and only occupy workers.
- * The number is not told anywhere: it is learnt from how long loads take against how many ran meanwhile, by additive
- * increase while loads run at full speed and by a step to the measured capacity when they do not (the rule of gradient
- * concurrency limiters; docs/design/residency.md weighs it against others).
+ * Models the link to the weight store, shared by the workers of all zones. Up to its capacity, concurrent
+ * loads run at full speed; beyond it each slows down in proportion, so that further loads only occupy
+ * workers. The capacity is estimated from load times and concurrency: additive increase while loads run at
+ * full speed, and a step towards the measured capacity when they do not (gradient concurrency limit).
  */
 import type { Clock, Random } from '@woodbarrow/runtime';
 
-/** Loads at once before anything has been measured: small links are not swamped, large ones are found in a few loads. */
+/** Initial limit of concurrent loads; does not overload small links, and grows quickly on large ones. */
 const INITIAL_LOAD_LIMIT = 4;
-/** Zones hear of each other's loads after this long, in milliseconds: the pause between two reports of relays. */
+/** Delay until other zones know of a load here, in milliseconds. */
 const LOAD_REPORT_INTERVAL_MS = 300;
-/** Loads that take less than this many times the configured time ran at full speed: reports lag by a tenth or two. */
+/** A load counts as full speed up to this multiple of its configured time; allows for the lag of reports. */
 const FULL_SPEED_RATIO = 1.15;
-/** Weight of a measured capacity: two slow loads outweigh what was believed before. */
+/** Weight of a new measurement in the capacity estimate. */
 const CAPACITY_SMOOTHING_FACTOR = 0.5;
-/** Part of the limit that must have been in use for a load at full speed to say that there may be room for more. */
+/** Minimum share of the limit in use for a full-speed load to raise the estimate. */
 const MIN_PROBING_UTILIZATION = 0.75;
 
 /** Options of {@link StoreLink}. */
 export interface StoreLinkOptions {
-  /** Loads that other zones have under way now, as far as they have told. */
+  /** Returns the loads in progress in other zones, as last reported. */
   readonly loadsInOtherZones: () => number;
-  /** Zones that share the link, this one included. */
+  /** Returns the number of zones that share the link, this one included. */
   readonly zoneCount: () => number;
   readonly random: Random;
   readonly clock: Clock;
 }
 
-/** One load over the link. It counts from its decision on, and its time from when the worker has taken the order. */
+/**
+ * A load over the link. It counts towards concurrency once decided; its duration is measured from when the
+ * worker accepts it.
+ */
 export interface StoreLoad {
-  /** The worker has taken the order: what made way is gone, and the link is used from now on. */
+  /** Records that the worker has accepted the order: the victims are gone and the link is in use. */
   readonly noteAccepted: () => void;
-  /** The load has ended. @param completed Whether the model arrived; only then does its time say something. */
+  /**
+   * Records the end of the load. @param completed Whether the model was loaded; only then is its duration
+   * used.
+   */
   readonly noteEnded: (completed: boolean) => void;
 }
 
 interface ActiveLoad {
   beganAt: number;
   readonly configuredMs: number;
-  /** Sum of loads at once over milliseconds since it began. */
+  /** Integral of the number of concurrent loads over time since it began, in milliseconds. */
   concurrencyMs: number;
 }
 
-/** The link as one zone's coordinator sees it. */
+/** The link as observed by one zone's coordinator. */
 export class StoreLink {
   private readonly activeLoads = new Set<ActiveLoad>();
   private estimatedCapacity = INITIAL_LOAD_LIMIT;
-  /** Until a load was slowed the limit doubles instead of growing by one. */
+  /** Until a load is slowed, the limit grows by one per load instead of one per round. */
   private hasSlowedDown = false;
   private accountedAt: number;
 
-  /** Loads that may still begin here before other zones hear of them, and when that was worked out. */
+  /** Loads that may still start here before other zones know of them, and when that number was computed. */
   private remainingStarts = 0;
   private startsUpdatedAt = -Infinity;
 
@@ -59,24 +64,24 @@
     this.accountedAt = options.clock.monotonic();
   }
 
-  /** Loads of this zone under way. */
+  /** Number of loads in progress in this zone. */
   get ownLoads(): number {
     return this.activeLoads.size;
   }
 
-  /** Loads of all zones under way. */
+  /** Number of loads in progress in all zones. */
   get concurrentLoads(): number {
     return this.ownLoads + this.options.loadsInOtherZones();
   }
 
-  /** Loads at once that are believed to run at full speed; at least 1. */
+  /** Estimated number of concurrent loads that run at full speed; at least 1. */
   get loadLimit(): number {
     return Math.max(1, Math.round(this.estimatedCapacity));
   }
 
   /**
-   * Whether one more load may begin. All zones see the same room and hear of each other late, so each takes its part of
-   * it in each interval, and of a part that is no whole load by chance.
+   * Whether one more load may start. All zones see the same spare capacity and learn of each other's loads
+   * late, so each takes its share per interval; a fractional share is rounded at random.
    */
   get hasCapacity(): boolean {
     const room = this.loadLimit - this.concurrentLoads;
@@ -89,20 +94,20 @@
     return this.remainingStarts > 0;
   }
 
-  /** Milliseconds until one more load would run at full speed. */
+  /** Returns the milliseconds until one more load would run at full speed. */
   waitMs(configuredMs: number): number {
     if (this.concurrentLoads < this.loadLimit) return this.hasCapacity ? 0 : LOAD_REPORT_INTERVAL_MS;
     const ends = [...this.activeLoads].map((load) => this.expectedEndMs(load));
-    // Loads of other zones end evenly spread, as far as can be told here.
+    // Loads of other zones are assumed to end at an even rate.
     return Math.min(...ends, (configuredMs * (this.concurrentLoads - this.loadLimit + 1)) / this.loadLimit);
   }
 
-  /** How many times longer than configured one more load would take. */
+  /** Returns the factor by which one more load would be slowed. */
   slowdown(): number {
     return Math.max(1, (this.concurrentLoads + 1) / this.loadLimit);
   }
 
-  /** Counts a load that begins. */
+  /** Records a load that starts. */
   begin(configuredMs: number): StoreLoad {
     this.accumulateConcurrency();
     this.remainingStarts -= 1;
@@ -135,7 +140,7 @@
     const meanAtOnce = Math.max(1, load.concurrencyMs / tookMs);
     if (ratio > FULL_SPEED_RATIO) {
       this.hasSlowedDown = true;
-      // What ran at once, divided by how much longer it took, is what the link bears.
+      // Mean concurrency divided by the slowdown is the measured capacity.
       this.estimatedCapacity = Math.max(
         1,
         this.estimatedCapacity + CAPACITY_SMOOTHING_FACTOR * (meanAtOnce / ratio - this.estimatedCapacity),
@@ -145,7 +150,7 @@
     }
   }
 
-  /** Adds the time since the last change to the loads under way; other zones' loads are read each time. */
+  /** Adds the time since the last call to the loads in progress, at the current concurrency. */
   accumulateConcurrency(): void {
     const now = this.options.clock.monotonic();
     const atOnce = this.concurrentLoads;
--- a/packages/residency/src/unserved-models.ts
+++ b/packages/residency/src/unserved-models.ts
@@ -1,28 +1,32 @@
 /**
- * Models that were asked for while no worker could make room for them: since when, how often, and why. What has waited longer
- * may displace more (see {@link UnservedModels.waitedMs}), and operators see what nobody gets.
+ * Tracks models that were requested while no worker had capacity: since when, how often, and why. Models that
+ * have waited longer may evict more (see {@link UnservedModels.waitedMs}); logs and metrics report them to
+ * operators.
  */
 import type { EventLog } from '@woodbarrow/observability';
 import type { Clock } from '@woodbarrow/runtime';
 import type { NoPlaceCause, WantedModel } from './pending-demand.js';
 
-/** A model that is not asked for during this time is not waited for any more, in milliseconds: longer than clients wait. */
+/**
+ * A model that is not requested for this long is no longer tracked, in milliseconds; longer than clients
+ * wait.
+ */
 const FORGET_AFTER_MS = 30_000;
-/** Wait after which a line tells of a model, in milliseconds: longer than any load takes at full speed. */
+/** Wait after which a warning is logged, in milliseconds; longer than any load at full speed. */
 const WARN_AFTER_MS = 8000;
 
-/** One model that is waited for. */
+/** A model that could not be served. */
 interface UnservedModel {
   readonly service: string;
   readonly model: string;
-  /** Monotonic time at which it was first asked for in vain. */
+  /** Monotonic time of the first request that was not served. */
   readonly firstAskedAt: number;
   lastAskedAt: number;
   timesAsked: number;
   isReported: boolean;
 }
 
-/** Models of one zone's coordinator that are asked for in vain. */
+/** Unserved models of one zone's coordinator. */
 export class UnservedModels {
   private readonly models = new Map<string, UnservedModel>();
   private readonly causes = new Map<NoPlaceCause, number>();
@@ -33,23 +37,23 @@
     private readonly log: EventLog,
   ) {}
 
-  /** Models that are waited for now. */
+  /** Number of unserved models. */
   get count(): number {
     return this.models.size;
   }
 
-  /** Milliseconds since the model that is waited for longest was first asked for in vain; 0 without any. */
+  /** Longest wait of an unserved model in milliseconds; 0 without any. */
   get longestMs(): number {
     const now = this.clock.monotonic();
     return Math.max(0, ...[...this.models.values()].map(({ firstAskedAt }) => now - firstAskedAt));
   }
 
-  /** Answers without a place since the start, by cause. */
+  /** Refusals for lack of capacity since the start, by cause. */
   get byCause(): ReadonlyMap<NoPlaceCause, number> {
     return this.causes;
   }
 
-  /** A model was asked for, and no worker could make room for it. */
+  /** Records a request for a model that no worker could load. */
   recordRefusal({ service, model }: WantedModel, cause: NoPlaceCause): void {
     const now = this.clock.monotonic();
     this.causes.set(cause, (this.causes.get(cause) ?? 0) + 1);
@@ -73,13 +77,13 @@
     this.log.warned('model_unserved', { zone: this.zone, model, cause, timesAsked, waitedMs });
   }
 
-  /** Milliseconds since a model was first asked for in vain; 0 when it is not waited for. */
+  /** Returns the milliseconds since the first unserved request for a model; 0 when it is not tracked. */
   waitedMs(service: string, model: string): number {
     const unserved = this.models.get(keyOf(service, model));
     return unserved === undefined ? 0 : this.clock.monotonic() - unserved.firstAskedAt;
   }
 
-  /** Drops the models that are resident by now, and those that nobody asks for any more. */
+  /** Removes models that are resident by now or no longer requested. */
   removeServed(isResident: (service: string, model: string) => boolean): void {
     const now = this.clock.monotonic();
     for (const [key, { service, model, lastAskedAt }] of this.models) {
--- a/packages/residency/src/worker-orders.ts
+++ b/packages/residency/src/worker-orders.ts
@@ -1,4 +1,4 @@
-/** What one worker is to hold: loads, unloads, and what is known of their outcome. */
+/** Loads and unloads models on one worker and tracks their outcome. */
 import {
   remainingMs,
   type AdapterTarget,
@@ -25,54 +25,54 @@
   readonly orders: OrderClient;
   readonly authority: OrderAuthority;
   readonly engine: () => EngineDefinition | undefined;
-  /** Told how long loads and unloads have taken. */
+  /** Records the duration of loads and unloads. */
   readonly times: LoadTimes;
   readonly quarantine: LoadQuarantine;
   readonly clock: Clock;
   readonly log: EventLog;
   readonly signal: AbortSignal;
-  /** Tells all daemons. */
+  /** Notifies all daemons of a change of residency. */
   readonly announce: (target: ModelTarget, resident: boolean) => void;
 }
 
-/** A load to carry out, with the models that make way for it first. Times in milliseconds, as expected. */
+/** A load with the models to evict first. Times are expected values in milliseconds. */
 export interface SwapOrder {
   readonly model: string;
   readonly victims: readonly string[];
   readonly unloadMs: number;
   readonly loadMs: number;
   readonly source: WeightSource;
-  /** Called when the worker has taken the load: what made way is gone. */
+  /** Called when the worker has accepted the load: the victims are gone. */
   readonly onLoadTaken?: () => void;
 }
 
-/** A swap under way. */
+/** A swap in progress. */
 interface SwapUnderWay {
   readonly beganAt: number;
   readonly expectedMs: number;
 }
 
-/** How the models of a swap made way. */
+/** Statistics on the evictions of a swap. */
 interface UnloadStatistics {
-  /** Foretold end of the last run of any of them, in milliseconds; 0 without runs. */
+  /** Predicted time until the last run of any victim ends, in milliseconds; 0 without runs. */
   readonly endsInMs: number;
-  /** Longest time for which one of them had taken no requests before. */
+  /** Longest time for which a victim had been retired before, in milliseconds. */
   readonly retiredMs: number;
 }
 
-/** Pause between two reports while a model is unloaded, in milliseconds. */
+/** Interval between reports while a model is unloaded, in milliseconds. */
 const UNLOAD_POLL_MS = 60;
-/** Time that an unload takes at most: runs must end first, in milliseconds. */
+/** Maximum time of an unload, in milliseconds; includes the end of its runs. */
 const UNLOAD_TIMEOUT_MS = 12_000;
-/** A load that takes this many times its expected time is given up, in addition to a fixed time. */
+/** A load times out after this multiple of its expected time plus a fixed extra. */
 const LOAD_TIMEOUT_FACTOR = 4;
 const LOAD_TIMEOUT_EXTRA_MS = 3000;
-/** Time that a worker is left to adapters after a load that they waited for, in milliseconds. */
+/** Time reserved for adapters after a load that they waited for, in milliseconds. */
 const ADAPTER_WINDOW_MS = 60;
-/** Pause between two attempts to learn what a worker holds, in milliseconds. */
+/** Interval between attempts to read a worker's state, in milliseconds. */
 const RESYNC_INTERVAL_MS = 400;
 
-/** One incarnation of a worker under orders. */
+/** Orders to one incarnation of a worker. */
 export class WorkerOrders {
   readonly residents = new ResidentSet();
   private readonly sender: OrderSender;
@@ -82,10 +82,10 @@
   private synchronizing: Promise<void> | undefined;
   private swapping: Promise<unknown> = Promise.resolve();
   private queuedSwaps = 0;
-  /** Monotonic time until which adapters have their turn. */
+  /** Monotonic time until which adapters take precedence over loads of models. */
   private adapterWindowUntil = 0;
   private currentSwap: SwapUnderWay | undefined;
-  /** Adapters wanted that wait for the end of a load or unload. */
+  /** Number of adapter loads that wait for the end of a swap. */
   private adaptersWaiting = 0;
 
   constructor(private readonly options: WorkerOrdersOptions) {
@@ -103,17 +103,17 @@
     return this.options.backEndId;
   }
 
-  /** Whether what it holds is known well enough to order anything. */
+  /** Whether its state is known well enough for new orders. */
   get isSynchronized(): boolean {
     return this.synchronized;
   }
 
-  /** Whether it has answered of late. */
+  /** Whether it has answered recently. */
   get isResponsive(): boolean {
     return this.sender.isResponsive;
   }
 
-  /** Milliseconds until all loads and unloads decided so far are expected to be done. */
+  /** Expected milliseconds until all swaps decided so far are done. */
   get busyMs(): number {
     const now = this.options.clock.monotonic();
     if (this.currentSwap !== undefined)
@@ -121,17 +121,17 @@
     return Math.max(0, this.adapterWindowUntil - now);
   }
 
-  /** Milliseconds until an adapter of a model that it holds is expected to be resident. */
+  /** Returns the expected milliseconds until an adapter of a resident model is resident. */
   adapterReadyMs(target: AdapterTarget): number {
     return this.residents.isResident(target) ? 0 : this.busyMs + this.adapters.waitMs();
   }
 
-  /** Loads and unloads that are decided and not done. */
+  /** Number of swaps decided but not done. */
   get pendingSwaps(): number {
     return this.queuedSwaps;
   }
 
-  /** Learns what the worker holds, if that is not known. Resolves when it has been tried once. */
+  /** Reads the worker's state if it is unknown. Resolves after one attempt. */
   synchronize(): Promise<void> {
     if (this.synchronized || this.resynchronizing !== undefined) return Promise.resolve();
     this.synchronizing ??= this.synchronizeOnce().finally(() => {
@@ -140,7 +140,7 @@
     return this.synchronizing;
   }
 
-  /** Unloads the victims and loads the model. Resolves with whether it is resident. */
+  /** Evicts the victims and loads the model. Resolves with whether it is resident. */
   swap(order: SwapOrder): Promise<boolean> {
     const { clock, loads, backEndId } = this.options;
     const now = clock.monotonic();
@@ -162,8 +162,8 @@
   }
 
   /**
-   * Stops new requests for just these models and lets requests for all others in again. They make way for the load
-   * that is planned next here, so that their runs end while the worker is still occupied by the load before.
+   * Stops new requests for exactly these models and accepts requests for all others again. Their runs can
+   * then end while the current load is still in progress.
    */
   retire(models: readonly string[]): void {
     const now = this.options.clock.monotonic();
@@ -176,13 +176,13 @@
     }
   }
 
-  /** Milliseconds for which a model has taken no new requests. */
+  /** Returns the milliseconds for which a model has been retired. */
   private retiredMs(model: string): number {
     const retiredAt = this.residents.models.get(model)?.retiredAt;
     return retiredAt === undefined ? 0 : this.options.clock.monotonic() - retiredAt;
   }
 
-  /** Lets requests for a model in again, which is asked for after all. */
+  /** Accepts requests again for a retired model that is still requested. */
   cancelRetirement(model: string): void {
     const held = this.residents.models.get(model);
     if (held?.state !== 'resident' || held.retiredAt === undefined) return;
@@ -191,8 +191,8 @@
   }
 
   /**
-   * Loads an adapter of a resident model. Resolves with whether it is resident. Waits while the worker loads or
-   * unloads a model, as it takes no adapter then.
+   * Loads an adapter of a resident model and resolves with whether it is resident. Waits for the end of
+   * swaps, as the worker accepts no adapter meanwhile.
    */
   async loadAdapter(target: AdapterTarget, withinMs: number): Promise<boolean> {
     const { clock } = this.options;
@@ -211,7 +211,7 @@
     return this.adapters.load(target, deadline);
   }
 
-  /** Adapters that have waited for a load go before the next one. */
+  /** Lets adapters that waited for a swap go before the next one. */
   private openAdapterWindow(): void {
     if (this.queuedSwaps > 0) return;
     this.currentSwap = undefined;
@@ -219,7 +219,7 @@
       this.adapterWindowUntil = this.options.clock.monotonic() + ADAPTER_WINDOW_MS;
   }
 
-  /** One report is enough for a worker that nothing was ordered of. */
+  /** A single report suffices for a worker without outstanding orders. */
   private async synchronizeOnce(): Promise<void> {
     const report = await this.tryReport();
     if (report === undefined) return;
@@ -276,7 +276,10 @@
     }
   }
 
-  /** The last unload before a load is not waited for: the worker takes the load as soon as it is done. */
+  /**
+   * Unloads a model. The last unload before a load is not awaited: the worker accepts the load as soon as it
+   * is done.
+   */
   private async unload(victim: string, isLast: boolean): Promise<void> {
     if (!this.residents.models.has(victim)) return;
     const outcome = await this.sender.send('unload', { model: victim });
@@ -286,7 +289,7 @@
     this.residents.models.delete(victim);
   }
 
-  /** @returns When the worker had taken the order, monotonic: what makes way is gone then. */
+  /** @returns Monotonic time at which the worker had accepted the order; the victims are gone by then. */
   private async load(order: SwapOrder): Promise<number> {
     const { clock } = this.options;
     const { model, victims } = order;
@@ -305,8 +308,8 @@
   }
 
   /**
-   * Waits for the end of a load. The worker is asked from the shortest time on that a load can take, never later because it was
-   * expected to take longer, or what was expected would always come true.
+   * Waits for the end of a load. Polling starts at the minimum load time rather than the expected one:
+   * otherwise no load could be measured as faster than expected.
    */
   private async awaitLoad({ model, source, loadMs }: SwapOrder): Promise<void> {
     const { clock, signal, times, engine } = this.options;
@@ -318,7 +321,7 @@
     if (outcome !== 'done') throw failedOrder(`end of the load of ${model}`, outcome);
   }
 
-  /** Waits until reports no longer show a model. */
+  /** Waits until reports no longer list a model. */
   private async awaitUnload(model: string): Promise<void> {
     const { clock, signal } = this.options;
     const startedAt = clock.monotonic();
@@ -329,12 +332,12 @@
       const isListed = report.models.some((held) => held.name === model);
       if (!isListed && !report.busy) return;
     }
-    throw new WoodbarrowError('engine_refused', `${model} not unloaded in time`);
+    throw new WoodbarrowError('engine_refused', `unload of ${model} timed out`);
   }
 
   /**
-   * Learns what the worker holds from a report that shows the outcome of every order sent. Until then nothing
-   * more is ordered, and all that may be there stays counted.
+   * Reads the worker's state from a report that reflects every order sent. Until then nothing is ordered, and
+   * everything that may be resident stays counted.
    */
   private resynchronize(): Promise<void> {
     this.synchronized = false;
--- a/packages/residency/src/zone-reachability.ts
+++ b/packages/residency/src/zone-reachability.ts
@@ -1,33 +1,36 @@
-/** Which zones' coordinators answer: the copies of weights in a zone without one cannot be loaded there. */
+/**
+ * Tracks which zones' coordinators answer: local copies in a zone without a coordinator cannot be loaded
+ * there.
+ */
 import type { Clock } from '@woodbarrow/runtime';
 
 /**
- * Silence after which a zone is out of reach, in milliseconds. A lost coordinator is replaced in about five seconds; a load
- * from the weight store takes about as long, so that waiting longer before it is begun helps nobody.
+ * Time without an answer after which a zone is unreachable, in milliseconds. Replacing a lost coordinator
+ * takes about as long as a load from the weight store, so waiting longer gains nothing.
  */
 const UNREACHABLE_AFTER_MS = 3000;
-/** Silences further apart than this are not taken for one, in milliseconds: nobody asked in between. */
+/** Maximum time between two failures of the same streak, in milliseconds. */
 const MAX_FAILURE_GAP_MS = 1000;
 
 interface FailureStreak {
-  /** Monotonic time of the first call that was not answered. */
+  /** Monotonic time of the first failed call. */
   since: number;
-  /** Monotonic time of the last one. */
+  /** Monotonic time of the last failed call. */
   lastAt: number;
 }
 
-/** Answers and silences of the zones' coordinators, as one daemon sees them. */
+/** Reachability of the zones' coordinators as observed by one daemon. */
 export class ZoneReachability {
   private readonly streaks = new Map<string, FailureStreak>();
 
   constructor(private readonly clock: Clock) {}
 
-  /** A zone's coordinator has answered. */
+  /** Records an answer of a zone's coordinator. */
   recordAnswer(zone: string): void {
     this.streaks.delete(zone);
   }
 
-  /** A zone has no coordinator, or it did not answer. */
+  /** Records that a zone has no coordinator or that it did not answer. */
   recordFailure(zone: string): void {
     const now = this.clock.monotonic();
     const streak = this.streaks.get(zone);
@@ -38,7 +41,7 @@
     }
   }
 
-  /** Whether a zone has been asked in vain for so long that others must do without what its workers have. */
+  /** Whether a zone has failed for so long that its local copies must be disregarded. */
   isUnreachable(zone: string): boolean {
     const streak = this.streaks.get(zone);
     if (streak === undefined) return false;
--- a/packages/residency/src/zone-residency.ts
+++ b/packages/residency/src/zone-residency.ts
@@ -1,4 +1,4 @@
-/** The coordinator of one zone: answers demands for models on its workers while it holds the zone's lease. */
+/** Coordinates one zone: answers demands for models on its workers while it holds the zone's lease. */
 import {
   hasAdapter,
   targetKey,
@@ -42,37 +42,40 @@
   readonly random: Random;
   readonly log: EventLog;
   readonly signal: AbortSignal;
-  /** Zones with workers that run models: they share the weight store. */
+  /** Returns the zones with workers that run models; they share the weight store. */
   readonly zones: () => readonly string[];
   readonly storeWindow: StoreWindowOptions;
-  /** Loads from the weight store that the coordinators of other zones have under way. */
+  /** Returns the number of weight store loads in progress in other zones. */
   readonly storeLoadsInOtherZones: () => number;
-  /** Milliseconds until a model that another zone loads now is expected there; Infinity when none does. */
+  /**
+   * Returns the milliseconds until a model that another zone is loading should be resident there; Infinity
+   * when none is loading it.
+   */
   readonly expectedElsewhereInMs: (model: string) => number;
   readonly quarantine: LoadQuarantine;
-  /** Tells all daemons. */
+  /** Notifies all daemons of a change of residency. */
   readonly announce: (change: ResidencyChange) => void;
 }
 
 /** What a zone's coordinator could not serve. */
 export interface UnservedDemands {
-  /** Models that are asked for in vain now. */
+  /** Number of models that are currently unserved. */
   readonly models: number;
-  /** Milliseconds since the first of them was first asked for in vain. */
+  /** Longest wait of an unserved model, in milliseconds. */
   readonly longestMs: number;
-  /** Answers and quotes without a place since the start. */
+  /** Refusals and quotes for lack of capacity since the start. */
   readonly noPlaceByCause: ReadonlyMap<string, number>;
-  /** Demands turned down since the start. */
+  /** Demands refused since the start. */
   readonly refusalsByReason: ReadonlyMap<string, number>;
 }
 
 const RETRY_AFTER_BUSY_MS = 500;
-/** Reason of an answer that only tells how long it would take. */
+/** Reason of an answer that is only a quote. */
 export const QUOTE_REASON = 'quote';
 
 const LOAD_QUARANTINED: RefusedDemandReason = 'load_quarantined';
 
-/** One zone's coordinator. */
+/** Coordinator of one zone. */
 export class ZoneResidency {
   private readonly workers = new Map<string, WorkerOrders>();
   private readonly scheduler: LoadScheduler;
@@ -96,24 +99,24 @@
     });
   }
 
-  /** Loads from the weight store that this coordinator has under way. */
+  /** Number of weight store loads in progress. */
   get storeLoads(): number {
     return this.link.ownLoads;
   }
 
-  /** Loads under way, for other zones to know. */
+  /** Loads in progress, as advertised to other zones. */
   get loadsUnderWay(): readonly LoadUnderWay[] {
     return this.scheduler.loadsUnderWay();
   }
 
-  /** What it could not serve, for metrics. */
+  /** What could not be served, for metrics. */
   get unserved(): UnservedDemands {
     const { unserved, refusalsByReason } = this.scheduler;
     const { count, longestMs, byCause } = unserved;
     return { models: count, longestMs, noPlaceByCause: byCause, refusalsByReason };
   }
 
-  /** Answers a demand once the target is resident, or when it will not be in time; a quote at once. */
+  /** Answers a demand once the target is resident or cannot be in time; answers a quote at once. */
   async demand(message: ResidencyDemandMessage): Promise<ResidencyDemandAnswer> {
     const { clock } = this.options;
     const deadline = clock.monotonic() + message.withinMs;
@@ -130,7 +133,10 @@
     return this.placeAdapter(placed.backEndId, message, leftMs());
   }
 
-  /** Why what a demand needs is not loaded; undefined where nothing has to be loaded, or it may be. */
+  /**
+   * Returns the verdict that forbids a load which a demand needs; undefined when no load is needed or it is
+   * allowed.
+   */
   private quarantineVerdict(message: ResidencyDemandMessage): Verdict | undefined {
     const { quarantine } = this.options;
     const { service, model } = message;
@@ -144,20 +150,20 @@
     );
   }
 
-  /** What is done without being asked: learns of workers, begins what time alone has made possible. */
+  /** Runs periodic maintenance: reads the state of new workers and starts loads that have become possible. */
   maintain(service: string): void {
     void this.synchronizeWorkers(service);
     this.scheduler.schedule();
   }
 
-  /** Learns what the workers hold; waits for it only while none is known. */
+  /** Reads the state of workers; waits for it only while no worker's state is known. */
   private async synchronizeWorkers(service: string): Promise<void> {
     const workers = this.availableWorkers(service).map((worker) => this.workerOf(worker.id));
     const prepared = Promise.all(workers.map((worker) => worker.synchronize()));
     if (!workers.some((worker) => worker.isSynchronized)) await prepared;
   }
 
-  /** Drops the workers that are gone. */
+  /** Removes a worker that is gone. */
   forget(backEndId: string): void {
     this.workers.delete(backEndId);
   }
@@ -181,7 +187,7 @@
     return { ...refused(QUOTE_REASON, readyMs), occupiesMs };
   }
 
-  /** The worker that holds the model, now or after a load. */
+  /** Returns the worker that holds the model, waiting for a load if needed. */
   private async placeModel(message: ResidencyDemandMessage, withinMs: number): Promise<Placement> {
     const { service, model, targetMs } = message;
     const isAdditionalReplica = message.another === true;
@@ -214,7 +220,10 @@
       : refused('adapter_not_loaded', Math.max(RETRY_AFTER_BUSY_MS, worker.busyMs));
   }
 
-  /** Loads an adapter, one that is suspected to end workers on one worker at a time. Resolves with whether it is resident. */
+  /**
+   * Loads an adapter and resolves with whether it is resident. One suspected of crashing workers is loaded on
+   * one worker at a time.
+   */
   private async loadAdapter(
     worker: WorkerOrders,
     service: string,
@@ -238,7 +247,7 @@
     }
   }
 
-  /** The worker that has the target first among those that hold the model; always the same one where equal. */
+  /** Returns the holder of the model that has the target ready first; ties are resolved in a stable order. */
   private holderOf(message: ResidencyDemandMessage): WorkerOrders | undefined {
     const holders = this.availableWorkers(message.service)
       .filter((backEnd) => !message.without.includes(backEnd.id))
@@ -284,7 +293,7 @@
   private currentFence(): number {
     const { lease } = this.options;
     if (!lease.mayAct())
-      throw new WoodbarrowError('lease_lost', `the lease on ${this.options.zone} may not be used now`);
+      throw new WoodbarrowError('lease_lost', `the lease on ${this.options.zone} does not allow orders now`);
     return lease.fence;
   }
 
@@ -303,7 +312,7 @@
   return adapterVersion === undefined ? { model, adapter } : { model, adapter, adapterVersion };
 }
 
-/** Milliseconds until a worker that holds the model has the adapter as well, if one is wanted. */
+/** Returns the milliseconds until a worker that holds the model also has the requested adapter. */
 function readyMsOn(worker: WorkerOrders, message: ResidencyDemandMessage): number {
   const target = targetOf(message);
   return hasAdapter(target) ? worker.adapterReadyMs(target) : 0;
