--- a/packages/residency/src/load-planner.ts
+++ b/packages/residency/src/load-planner.ts
@@ -18,7 +18,7 @@
   type RankedVictim,
 } from './placement-choice.js';
 import type { ResidentSet } from './resident-set.js';
-import type { RetryReservations } from './retry-reservations.js';
+import type { RetryReservations } from './return-promises.js';
 import type { StoreLink, StoreLoad } from './store-link.js';
 import type { UnservedModels } from './unserved-models.js';
 import type { WorkerOrders } from './worker-orders.js';
@@ -49,7 +49,7 @@
  * Inputs of one plan, each computed once: all groups of a plan need the same victims of the same workers, and
  * ranking them again for each group dominates the cost of planning.
  */
-interface PlanView {
+interface PlanInputs {
   readonly engine: EngineDefinition;
   readonly loads: LoadView;
   /** Returns the number of workers in all zones that hold a model. */
@@ -139,7 +139,7 @@
   private noPlaceCause(
     group: DemandGroup,
     candidates: readonly PlacementCandidate[],
-    view: PlanView,
+    view: PlanInputs,
   ): NoPlaceCause {
     if (candidates.length === 0) return 'no_worker';
     if (this.choose(group, candidates, view, { maximumVictimValue: Infinity }) !== undefined)
@@ -148,7 +148,7 @@
     return this.choose(group, candidates, view, withStore) === undefined ? 'no_memory' : 'store_barred';
   }
 
-  private createView(service: string, engine: EngineDefinition): PlanView {
+  private createView(service: string, engine: EngineDefinition): PlanInputs {
     const { clock, times } = this.options;
     const loads = new MemoizedLoads(this.options.loads);
     const replicasOf = this.countReplicas(service);
@@ -203,7 +203,7 @@
   private choose(
     group: DemandGroup,
     available: readonly PlacementCandidate[],
-    { engine, loads, replicasOf, victimsOf }: PlanView,
+    { engine, loads, replicasOf, victimsOf }: PlanInputs,
     limits: PlacementOverrides = {},
   ): PlacementChoice | undefined {
     const model = engine.models.get(group.model);
--- a/packages/residency/src/residency-service.ts
+++ b/packages/residency/src/residency-service.ts
@@ -429,7 +429,7 @@
       const { self, instance, leases, clock, handoverPauseMs } = this.options;
       lease = new StoreLease({
         name: leaseName(zone),
-        chooseWitnesses: (named, silent) => this.contacts.chooseWitnesses(zone, named, silent),
+        chooseWitnesses: (named, unresponsive) => this.contacts.chooseWitnesses(zone, named, unresponsive),
         holder: self.id,
         instance,
         store: leases,
--- a/packages/residency/test/adapter-versions.test.ts
+++ b/packages/residency/test/adapter-versions.test.ts
@@ -7,7 +7,7 @@
     return [...(zone.workers.get('w0')?.models.get('m0') ?? [])];
   }
 
-  function isKnownToHold(zone: ZoneWorld, adapterVersion?: number): boolean {
+  function isInDirectory(zone: ZoneWorld, adapterVersion?: number): boolean {
     const target = { model: 'm0', adapter: 'a1' };
     const wanted = adapterVersion === undefined ? target : { ...target, adapterVersion };
     return zone.directory.holdersOf(SERVICE, wanted).length > 0;
@@ -17,10 +17,10 @@
     const zone = new ZoneWorld(41, 1);
     const coordinator = await zone.coordinator();
     expect((await zone.settle(demand(coordinator, 'm0', 'a1', 1))).held).to.equal(true);
-    expect(isKnownToHold(zone, 2)).to.equal(false);
+    expect(isInDirectory(zone, 2)).to.equal(false);
     expect((await zone.settle(demand(coordinator, 'm0', 'a1', 2))).held).to.equal(true);
     expect(copies(zone)).to.have.members(['a1@1', 'a1@2']);
-    expect([isKnownToHold(zone, 1), isKnownToHold(zone, 2)]).to.deep.equal([true, true]);
+    expect([isInDirectory(zone, 1), isInDirectory(zone, 2)]).to.deep.equal([true, true]);
   });
 
   it('are spread each on its own: a third one that comes while the second is loaded starts nothing anew', async () => {
@@ -41,7 +41,7 @@
     const zone = new ZoneWorld(43, 1);
     const coordinator = await zone.coordinator();
     await zone.settle(demand(coordinator, 'm0', 'a1', 2));
-    expect(isKnownToHold(zone)).to.equal(true);
+    expect(isInDirectory(zone)).to.equal(true);
     expect((await zone.settle(demand(coordinator, 'm0', 'a1'))).held).to.equal(true);
     expect(copies(zone)).to.deep.equal(['a1@2']);
   });
@@ -67,7 +67,7 @@
     for (const version of [1, 2, 3, 4]) await zone.settle(demand(coordinator, 'm0', 'a1', version));
     expect(copies(zone)).to.include('a1@4');
     expect(copies(zone)).not.to.include('a1@1');
-    expect(isKnownToHold(zone, 1)).to.equal(false);
+    expect(isInDirectory(zone, 1)).to.equal(false);
     expect(zone.violations()).to.deep.equal([]);
   });
 });
--- a/packages/residency/test/crashing-loads.test.ts
+++ b/packages/residency/test/crashing-loads.test.ts
@@ -7,7 +7,7 @@
 const CRASHING = { model: 'm7' };
 const HARMLESS = { model: 'm5' };
 const CRASHING_ADAPTER = { model: 'm4', adapter: 'a1', adapterVersion: 2 };
-const ZONES = 3;
+const ZONE_COUNT = 3;
 /** Time for which the load is asked for, in milliseconds: several lives of a demand, and many restarts of workers. */
 const REQUEST_PERIOD_MS = 60_000;
 /** Time after which all daemons know of an end under a load, in milliseconds; the load has not ended well by then. */
@@ -32,11 +32,11 @@
   async function start(seed: number): Promise<void> {
     isBroken = true;
     scene = new CrashingLoadsWorld(seed, (target) => isBroken && isCrashing(target));
-    await scene.start(ZONES);
+    await scene.start(ZONE_COUNT);
     [first] = scene.zones as [CoordinatedZone];
   }
 
-  async function endWorkers(count: number): Promise<void> {
+  async function crashWorkers(count: number): Promise<void> {
     while (scene.exitedWorkers.length < count) await scene.keepAsking(CRASHING, 100, [first]);
   }
 
@@ -49,12 +49,12 @@
   it('ends a worker of each zone and one more at most, where all coordinators begin it at once', async () => {
     await start(2);
     await scene.keepAsking(CRASHING, REQUEST_PERIOD_MS);
-    expect(scene.exitedWorkers.length).to.be.within(ENDS_FOR_VERDICT, ZONES + 1);
+    expect(scene.exitedWorkers.length).to.be.within(ENDS_FOR_VERDICT, ZONE_COUNT + 1);
   });
 
   it('is tried by one coordinator at a time once a worker has ended under it', async () => {
     await start(3);
-    await endWorkers(1);
+    await crashWorkers(1);
     await scene.advance(CRASH_DETECTION_MS);
     await scene.keepAsking(CRASHING, REQUEST_PERIOD_MS);
     expect(scene.exitedWorkers).to.have.length(ENDS_FOR_VERDICT);
@@ -66,7 +66,7 @@
     scene.answers.splice(0);
     for (const zone of scene.zones) scene.ask(zone, CRASHING);
     await scene.advance(50);
-    expect(scene.answers).to.have.length(ZONES);
+    expect(scene.answers).to.have.length(ZONE_COUNT);
     for (const { held, reason, retryAfterMs } of scene.answers) {
       expect({ held, reason }).to.deep.equal({ held: false, reason: 'load_quarantined' });
       expect(retryAfterMs).to.be.within(QUARANTINE_MS - 2 * REQUEST_PERIOD_MS, QUARANTINE_MS);
@@ -135,7 +135,7 @@
 
   it('is no suspect any more once it has ended well anywhere', async () => {
     await start(8);
-    await endWorkers(ENDS_FOR_VERDICT - 1);
+    await crashWorkers(ENDS_FOR_VERDICT - 1);
     isBroken = false;
     scene.ask(scene.zones[1] as CoordinatedZone, CRASHING);
     await scene.advance(LOAD_COMPLETION_MS);
@@ -149,7 +149,7 @@
     await scene.advance(300);
     for (const worker of scene.workers.values()) worker.exit();
     await scene.advance(CRASH_DETECTION_MS);
-    expect(first.quarantine.contents.totals).to.include({ marks: ZONES, suspects: 1, quarantined: 0 });
+    expect(first.quarantine.contents.totals).to.include({ marks: ZONE_COUNT, suspects: 1, quarantined: 0 });
     scene.answers.splice(0);
     scene.ask(first, CRASHING);
     await scene.advance(2 * LOAD_COMPLETION_MS);
--- a/packages/residency/test/demand-router.test.ts
+++ b/packages/residency/test/demand-router.test.ts
@@ -120,7 +120,7 @@
 }
 
 /** A zone that loads a model from the weight store alone. */
-const fromStoreOnly: Answer = (message) => quoting(message.mayUseStore ? 900 : Infinity)(message);
+const quotingFromStoreOnly: Answer = (message) => quoting(message.mayUseStore ? 900 : Infinity)(message);
 
 describe('DemandRouter', () => {
   let world: RouterWorld;
@@ -231,7 +231,7 @@
   it('allows the weight store where the only copy lies in a zone whose coordinator has long been silent', async () => {
     await world.start(['alpha']);
     world.answers.set('alpha', () => new Promise(() => undefined));
-    world.answers.set('beta', fromStoreOnly);
+    world.answers.set('beta', quotingFromStoreOnly);
     const startedAt = world.cluster.world.now;
     expect(await world.ask({ withinMs: 12_000 })).to.deep.equal({ held: true, backEndId: 'worker-beta' });
     expect(world.cluster.world.now - startedAt).to.be.within(2500, 5000);
@@ -240,7 +240,7 @@
   it('keeps off the weight store while the coordinator of the zone with a copy answers', async () => {
     await world.start(['alpha']);
     world.answers.set('alpha', quoting(Infinity));
-    world.answers.set('beta', fromStoreOnly);
+    world.answers.set('beta', quotingFromStoreOnly);
     const outcome = await world.ask({ withinMs: 8000 });
     expect(outcome).to.deep.include({ held: false, reason: 'no_place' });
   });
--- a/packages/residency/test/rare-models.test.ts
+++ b/packages/residency/test/rare-models.test.ts
@@ -7,7 +7,7 @@
 describe('ZoneResidency with many more models than places', () => {
   const MANY_MODELS = Array.from({ length: 200 }, (_, index) => `m${String(index)}`);
   /** Longer than all loads that wait take one after the other on the workers of the test, in milliseconds. */
-  const PATIENCE_MS = 60_000;
+  const PATIENT_DEADLINE_MS = 60_000;
 
   function zoneOfManyModels(seed: number, workerCount: number): ZoneWorld {
     const zone = new ZoneWorld(seed, workerCount);
@@ -28,7 +28,7 @@
       without: [],
       mayUseStore: true,
       targetMs: 2500,
-      withinMs: PATIENCE_MS,
+      withinMs: PATIENT_DEADLINE_MS,
       ...changes,
     });
   }
--- a/packages/residency/test/residency-service.test.ts
+++ b/packages/residency/test/residency-service.test.ts
@@ -192,7 +192,7 @@
   });
 
   /** Daemons of three zones of which each has taken its own, and witnesses for it. */
-  async function calmWorld(): Promise<{ world: ServiceWorld; stops: Map<string, () => void> }> {
+  async function settledWorld(): Promise<{ world: ServiceWorld; stops: Map<string, () => void> }> {
     const world = new ServiceWorld();
     const stops = new Map<string, () => void>();
     for (let index = 0; index < 6; index += 1) {
@@ -204,7 +204,7 @@
   }
 
   it('replaces a coordinator that is lost for good within some seconds, though its lease lasts longer', async () => {
-    const { world, stops } = await calmWorld();
+    const { world, stops } = await settledWorld();
     const holder = world.holderOf('beta') ?? '';
     stops.get(holder)?.();
     world.members.delete(holder);
@@ -213,7 +213,7 @@
   });
 
   it('names other witnesses as soon as most of its own are known to have been started again', async () => {
-    const { world, stops } = await calmWorld();
+    const { world, stops } = await settledWorld();
     const holder = world.holderOf('beta') ?? '';
     // Just after a renewal, so that the next regular one is far.
     const renewals = world.store.writes.length;
@@ -231,7 +231,7 @@
   });
 
   it('leaves its lease to a coordinator that only the store does not answer', async () => {
-    const { world } = await calmWorld();
+    const { world } = await settledWorld();
     const holder = world.holderOf('beta');
     world.store.isReachable = false;
     await world.cluster.advance(4000);
@@ -241,7 +241,7 @@
   });
 
   it('has a coordinator that was started again take its lease back, also when another is next in line', async () => {
-    const { world, stops } = await calmWorld();
+    const { world, stops } = await settledWorld();
     const [lastInLine = ''] = [...world.members.keys()].filter((name) => name !== world.holderOf('gamma'));
     await world.store.put('zone-gamma', {
       holder: lastInLine,
--- a/packages/residency/test/unserved-models.test.ts
+++ b/packages/residency/test/unserved-models.test.ts
@@ -87,11 +87,11 @@
   });
 
   it('tells models in use that cannot make way', async () => {
-    const askALot = (zone: ZoneWorld): void => {
+    const raiseDemand = (zone: ZoneWorld): void => {
       for (const model of ['m0', 'm1', 'm2'])
         for (let count = 0; count < 50; count += 1) zone.loads.noteDemand(model);
     };
-    expect(await causesOf(askALot)).to.deep.equal(['no_victim']);
+    expect(await causesOf(raiseDemand)).to.deep.equal(['no_victim']);
   });
 
   it('tells that no worker is there', async () => {
--- a/packages/residency/test/worker-orders.test.ts
+++ b/packages/residency/test/worker-orders.test.ts
@@ -32,7 +32,7 @@
     await zone.settle(worker.synchronize());
   });
 
-  async function timeOf(order: Partial<SwapOrder>): Promise<number> {
+  async function swapDurationMs(order: Partial<SwapOrder>): Promise<number> {
     const startedAt = zone.world.now;
     const swap = {
       model: 'm5',
@@ -48,7 +48,7 @@
 
   it('notices the end of a load soon, whatever it was expected to take', async () => {
     for (const [index, loadMs] of [100, LOAD_MS, 5000].entries()) {
-      const tookMs = await timeOf({
+      const tookMs = await swapDurationMs({
         model: `m${String(index + 5)}`,
         victims: index === 0 ? [] : [`m${String(index + 4)}`],
         loadMs,
@@ -67,7 +67,7 @@
     const onLoadTaken = (): void => {
       takenAt = zone.world.now;
     };
-    const tookMs = await timeOf({ victims: ['m0'], onLoadTaken });
+    const tookMs = await swapDurationMs({ victims: ['m0'], onLoadTaken });
     expect(takenAt - startedAt).to.be.within(UNLOAD_MS, UNLOAD_MS + MAX_NOTICE_DELAY_MS);
     expect(tookMs - (takenAt - startedAt)).to.be.within(LOAD_MS, LOAD_MS + MAX_NOTICE_DELAY_MS);
   });
