--- a/packages/residency/test/adapter-versions.test.ts
+++ b/packages/residency/test/adapter-versions.test.ts
@@ -1,8 +1,8 @@
 import { expect } from 'chai';
 import { SERVICE, ZoneWorld, demand } from './zone-world.js';
 
-describe('versions of an adapter', () => {
-  /** Copies of adapters of m0 on the one worker. */
+describe('adapter versions', () => {
+  /** Copies of adapters of m0 on the only worker. */
   function copies(zone: ZoneWorld): string[] {
     return [...(zone.workers.get('w0')?.models.get('m0') ?? [])];
   }
@@ -13,7 +13,7 @@
     return zone.directory.holdersOf(SERVICE, wanted).length > 0;
   }
 
-  it('are copies of their own: a newer one is loaded beside the one there is', async () => {
+  it('are separate copies: a newer version is loaded beside the resident one', async () => {
     const zone = new ZoneWorld(41, 1);
     const coordinator = await zone.coordinator();
     expect((await zone.settle(demand(coordinator, 'm0', 'a1', 1))).held).to.equal(true);
@@ -23,7 +23,7 @@
     expect([isInDirectory(zone, 1), isInDirectory(zone, 2)]).to.deep.equal([true, true]);
   });
 
-  it('are spread each on its own: a third one that comes while the second is loaded starts nothing anew', async () => {
+  it('are loaded independently: a third version requested while the second is loading restarts no load', async () => {
     const zone = new ZoneWorld(42, 1);
     const coordinator = await zone.coordinator();
     await zone.settle(demand(coordinator, 'm0', 'a1', 1));
@@ -37,7 +37,7 @@
     expect(zone.violations()).to.deep.equal([]);
   });
 
-  it('serve a request that takes any version, which loads none', async () => {
+  it('serve a request for any version without another load', async () => {
     const zone = new ZoneWorld(43, 1);
     const coordinator = await zone.coordinator();
     await zone.settle(demand(coordinator, 'm0', 'a1', 2));
@@ -46,7 +46,7 @@
     expect(copies(zone)).to.deep.equal(['a1@2']);
   });
 
-  it('stay while requests that take any version use them, and others make way', async () => {
+  it('are not evicted while requests for any version use them, and others are', async () => {
     const zone = new ZoneWorld(44, 1);
     const coordinator = await zone.coordinator();
     await zone.settle(demand(coordinator, 'm0', 'a1', 1));
@@ -61,7 +61,7 @@
     expect(zone.violations()).to.deep.equal([]);
   });
 
-  it('load a newer one by an order that names it, while an older one is unloaded by its own name', async () => {
+  it('are named in orders: a newer one is loaded, and an older one is unloaded by its own version', async () => {
     const zone = new ZoneWorld(45, 1);
     const coordinator = await zone.coordinator();
     for (const version of [1, 2, 3, 4]) await zone.settle(demand(coordinator, 'm0', 'a1', version));
--- a/packages/residency/test/crashing-loads-world.ts
+++ b/packages/residency/test/crashing-loads-world.ts
@@ -1,4 +1,6 @@
-/** Zones with a coordinator each, on virtual time, and loads that end each worker that begins them. */
+/**
+ * Several zones with a coordinator each, on virtual time, and loads that crash every worker that starts them.
+ */
 import { BackendDirectory, LoadBook, NO_NEARBY_COPIES, type ModelTarget } from '@woodbarrow/backends';
 import { StoreLease } from '@woodbarrow/coordination';
 import { silentLog } from '@woodbarrow/observability';
@@ -15,43 +17,43 @@
 import { SimulatedOrderClient, SimulatedWorker } from './simulated-workers.js';
 import { ENGINE, SERVICE, inMemoryLeaseStore } from './zone-world.js';
 
-/** Time after which another process runs in the place of one that has ended, in milliseconds. */
+/** Time until another process replaces one that has exited, in milliseconds. */
 const RESTART_MS = 1500;
-/** Pause between two words of a coordinator on what it loads, in milliseconds. */
+/** Interval at which coordinators report their loads, in milliseconds. */
 const CLAIM_INTERVAL_MS = 300;
-/** Pause between two looks of a coordinator at what it can do without being asked, in milliseconds. */
+/** Interval of the coordinators' periodic maintenance, in milliseconds. */
 const MAINTENANCE_INTERVAL_MS = 500;
-/** Time that word of an end takes to all daemons, in milliseconds. */
+/** Delay until all daemons know of a crash, in milliseconds. */
 const CRASH_REPORT_DELAY_MS = 300;
-/** Workers of each zone. */
+/** Number of workers in each zone. */
 export const WORKERS_PER_ZONE = 4;
-/** Time that a request for a model may wait, in milliseconds. */
+/** Time for which a request for a model may wait, in milliseconds. */
 const WITHIN_MS = 8000;
 
-/** A zone with the daemon that coordinates it. */
+/** A zone with its coordinator. */
 export interface CoordinatedZone {
   readonly name: string;
   readonly coordinator: ZoneResidency;
   readonly quarantine: DaemonQuarantine;
 }
 
-/** Several zones; every daemon sees the same records at once, and hears of others' loads with a delay. */
+/** Several zones. All daemons see the same records at once, and learn of other zones' loads with a delay. */
 export class CrashingLoadsWorld {
   readonly world = new SimulatedWorld();
   readonly zones: CoordinatedZone[] = [];
-  /** Ids of the workers that have ended, in order. */
+  /** Ids of the workers that have exited, in order. */
   readonly exitedWorkers: string[] = [];
-  /** Answers to all demands that were settled. */
+  /** Answers to all settled demands. */
   readonly answers: ResidencyDemandAnswer[] = [];
   readonly workers = new Map<string, SimulatedWorker>();
   readonly directory: BackendDirectory;
-  /** Verdicts in the store. */
+  /** Entries in the store. */
   private readonly entries = new Map<string, QuarantineEntry>();
   private readonly process: SimulatedProcess;
   private readonly random: Random;
   private readonly reportedLoads = new Map<string, readonly LoadUnderWay[]>();
   private startedWorkers = 0;
-  /** The records' store, as operators and daemons use it. */
+  /** Store of the quarantine records, as used by operators and daemons. */
   readonly store: QuarantineStore = {
     create: (record) => {
       if (!this.entries.has(record.content)) this.entries.set(record.content, record);
@@ -66,13 +68,13 @@
     },
   };
 
-  /** Verdicts that the store holds. */
+  /** Verdicts in the store. */
   get records(): ReadonlyMap<string, QuarantineRecord> {
     const verdicts = [...this.entries.values()].filter(isVerdict);
     return new Map(verdicts.map((record) => [record.content, record]));
   }
 
-  /** @param crashesUnder Loads that end the worker which begins them. */
+  /** @param crashesUnder Whether a load crashes the worker that starts it. */
   constructor(
     seed: number,
     private readonly crashesUnder: (target: ModelTarget) => boolean,
@@ -82,7 +84,7 @@
     this.directory = new BackendDirectory(this.process);
   }
 
-  /** Adds zones, each with workers and a coordinator of its own. */
+  /** Adds zones, each with its own workers and coordinator. */
   async start(zoneCount: number): Promise<void> {
     const names = Array.from({ length: zoneCount }, (_, index) => `zone-${String(index)}`);
     for (const name of names) {
@@ -97,13 +99,13 @@
     });
   }
 
-  /** All coordinators are killed, and others take their place: what they knew is lost, but for the store. */
+  /** Replaces all coordinators; only the store retains its data. */
   async restartAll(): Promise<void> {
     const names = this.zones.splice(0).map(({ name }) => name);
     for (const name of names) this.zones.push(await this.coordinate(name, names));
   }
 
-  /** Whether any daemon refuses to have a target loaded. */
+  /** Whether any daemon refuses to load a target. */
   isQuarantined(target: ModelTarget): boolean {
     return this.zones.some(({ quarantine }) => quarantine.loads.verdictOf(SERVICE, target) !== undefined);
   }
@@ -112,7 +114,7 @@
     await this.world.run(this.world.now + durationMs);
   }
 
-  /** A target is asked for again and again, in all zones or in some. */
+  /** Requests a target repeatedly, in all zones or in some. */
   async keepAsking(target: ModelTarget, durationMs: number, zones = this.zones): Promise<void> {
     const until = this.world.now + durationMs;
     while (this.world.now < until) {
@@ -121,16 +123,16 @@
     }
   }
 
-  /** Ids of the workers of a zone that hold a model. */
+  /** Returns the ids of the workers of a zone that hold a model. */
   holdersIn({ name }: CoordinatedZone, model: string): string[] {
     const holders = [...this.workers].filter(([, worker]) => !worker.hasExited && worker.models.has(model));
     return holders.map(([id]) => id).filter((id) => this.directory.get(id)?.zone === name);
   }
 
   /**
-   * A target is asked for once; the answer is among {@link answers} when it has come.
+   * Requests a target once; the answer is added to {@link answers}.
    *
-   * @param without Workers that cannot be used.
+   * @param without Ids of workers that must not be used.
    */
   ask({ name, coordinator }: CoordinatedZone, target: ModelTarget, without: readonly string[] = []): void {
     const message = {
--- a/packages/residency/test/crashing-loads.test.ts
+++ b/packages/residency/test/crashing-loads.test.ts
@@ -8,11 +8,13 @@
 const HARMLESS = { model: 'm5' };
 const CRASHING_ADAPTER = { model: 'm4', adapter: 'a1', adapterVersion: 2 };
 const ZONE_COUNT = 3;
-/** Time for which the load is asked for, in milliseconds: several lives of a demand, and many restarts of workers. */
+/**
+ * Time for which the load is requested, in milliseconds; covers several demand lifetimes and worker restarts.
+ */
 const REQUEST_PERIOD_MS = 60_000;
-/** Time after which all daemons know of an end under a load, in milliseconds; the load has not ended well by then. */
+/** Time until all daemons know of a crash under a load, in milliseconds; shorter than a load. */
 const CRASH_DETECTION_MS = 1000;
-/** Time in which a load has ended well, in milliseconds. */
+/** Time within which a load completes, in milliseconds. */
 const LOAD_COMPLETION_MS = 3000;
 
 function isCrashing(target: ModelTarget): boolean {
@@ -23,9 +25,9 @@
   return loadContent(SERVICE, left) === loadContent(SERVICE, right);
 }
 
-describe('a load that ends each worker that begins it', () => {
+describe('a load that crashes every worker that starts it', () => {
   let scene: CrashingLoadsWorld;
-  /** Whether the loads end workers. */
+  /** Whether the crashing targets crash their workers. */
   let isBroken: boolean;
   let first: CoordinatedZone;
 
@@ -40,19 +42,19 @@
     while (scene.exitedWorkers.length < count) await scene.keepAsking(CRASHING, 100, [first]);
   }
 
-  it('ends three workers and no more, where one coordinator is asked for it again and again', async () => {
+  it('crashes only three workers when one coordinator is asked for it repeatedly', async () => {
     await start(1);
     await scene.keepAsking(CRASHING, REQUEST_PERIOD_MS, [first]);
     expect(scene.exitedWorkers).to.have.length(ENDS_FOR_VERDICT);
   });
 
-  it('ends a worker of each zone and one more at most, where all coordinators begin it at once', async () => {
+  it('crashes at most one worker per zone and one more when all coordinators start it at once', async () => {
     await start(2);
     await scene.keepAsking(CRASHING, REQUEST_PERIOD_MS);
     expect(scene.exitedWorkers.length).to.be.within(ENDS_FOR_VERDICT, ZONE_COUNT + 1);
   });
 
-  it('is tried by one coordinator at a time once a worker has ended under it', async () => {
+  it('is tried by one coordinator at a time once a worker has crashed under it', async () => {
     await start(3);
     await crashWorkers(1);
     await scene.advance(CRASH_DETECTION_MS);
@@ -77,7 +79,7 @@
     expect(scene.answers[0]).to.include({ held: true });
   });
 
-  it('is not ordered by coordinators that start after the verdict, when all that knew of it are gone', async () => {
+  it('is not ordered by coordinators that start after the verdict once all earlier ones are gone', async () => {
     await start(5);
     await scene.keepAsking(CRASHING, REQUEST_PERIOD_MS, [first]);
     await scene.restartAll();
@@ -86,7 +88,7 @@
     expect([...scene.records.values()][0]).to.include({ load: 'models m7', route: '' });
   });
 
-  it('is loaded again once an operator has lifted it', async () => {
+  it('is loaded again once an operator has removed its quarantine', async () => {
     await start(6);
     await scene.keepAsking(CRASHING, REQUEST_PERIOD_MS, [first]);
     isBroken = false;
@@ -97,7 +99,7 @@
     expect(scene.answers[0]).to.include({ held: true });
   });
 
-  it('is counted by adapter: its model and other adapters of it go on', async () => {
+  it('is quarantined per adapter: its model and other versions of the adapter are still loaded', async () => {
     await start(7);
     scene.ask(first, { model: CRASHING_ADAPTER.model });
     await scene.advance(LOAD_COMPLETION_MS);
@@ -111,7 +113,7 @@
     expect(scene.answers[0]).to.include({ held: true });
   });
 
-  it('is tried on one worker at a time where it is an adapter that a worker has ended under', async () => {
+  it('is tried on one worker at a time if it is an adapter under which a worker has crashed', async () => {
     await start(11);
     const { model } = CRASHING_ADAPTER;
     for (let count = 0; count < WORKERS_PER_ZONE; count += 1) {
@@ -133,7 +135,7 @@
     expect(scene.exitedWorkers).to.have.length(ENDS_FOR_VERDICT);
   });
 
-  it('is no suspect any more once it has ended well anywhere', async () => {
+  it('is no longer a suspect once it has succeeded anywhere', async () => {
     await start(8);
     await crashWorkers(ENDS_FOR_VERDICT - 1);
     isBroken = false;
@@ -142,7 +144,7 @@
     for (const { quarantine } of scene.zones) expect(quarantine.loads.totals.suspects).to.equal(0);
   });
 
-  it('is not found guilty where all workers that load it end at once, as a rack does', async () => {
+  it('is not quarantined when all workers that load it exit at once, as in the failure of a rack', async () => {
     await start(9);
     isBroken = false;
     for (const zone of scene.zones) scene.ask(zone, CRASHING);
@@ -157,7 +159,7 @@
     expect(first.quarantine.loads.totals).to.deep.equal({ suspects: 0, quarantined: 0, refused: 0 });
   });
 
-  it('is held against nothing that it loads where the worker was leaving', async () => {
+  it('is not marked when the worker that exits under it was draining', async () => {
     await start(10);
     isBroken = false;
     scene.ask(first, CRASHING);
--- a/packages/residency/test/demand-router.test.ts
+++ b/packages/residency/test/demand-router.test.ts
@@ -27,7 +27,7 @@
     );
 }
 
-/** One daemon that asks, and a coordinator for each zone. */
+/** A daemon that routes demands, and a coordinator for each zone. */
 class RouterWorld {
   readonly cluster = new SimulatedCluster({ seed: 1 });
   readonly asked: ResidencyDemandMessage[] = [];
@@ -91,7 +91,7 @@
     });
   }
 
-  /** The asking daemon learns of a verdict on a load. */
+  /** Gives the daemon a verdict on a load. */
   quarantine(target: ModelTarget): void {
     this.quarantined?.contents.recordSeen({
       content: loadContent('models', target),
@@ -119,7 +119,7 @@
   }
 }
 
-/** A zone that loads a model from the weight store alone. */
+/** A zone that can load the model only from the weight store. */
 const quotingFromStoreOnly: Answer = (message) => quoting(message.mayUseStore ? 900 : Infinity)(message);
 
 describe('DemandRouter', () => {
@@ -129,7 +129,7 @@
     world = new RouterWorld();
   });
 
-  it('goes to the zone that has the model first, and asks the others only for a quote', async () => {
+  it('sends the demand to the zone with the fastest quote, and only requests quotes from the others', async () => {
     await world.start();
     world.answers.set('alpha', quoting(900));
     world.answers.set('beta', quoting(300));
@@ -137,14 +137,14 @@
     expect(world.asked.filter(({ quote }) => quote !== true).map(({ zone }) => zone)).to.deep.equal(['beta']);
   });
 
-  it('counts the time for which a load would occupy a worker', async () => {
+  it('includes the time for which a load would occupy a worker in the cost of a quote', async () => {
     await world.start();
     world.answers.set('alpha', quoting(900, 100));
     world.answers.set('beta', quoting(600, 2000));
     expect(await world.ask()).to.deep.equal({ held: true, backEndId: 'worker-alpha' });
   });
 
-  it('passes over a coordinator that does not answer, within a third of a second', async () => {
+  it('skips a coordinator that does not answer within 0.4 s', async () => {
     await world.start();
     world.answers.set('alpha', () => new Promise(() => undefined));
     world.answers.set('beta', quoting(500));
@@ -152,7 +152,7 @@
     expect(world.cluster.world.now).to.be.lessThan(400);
   });
 
-  it('does not wait for a silent coordinator when another has promised a load', async () => {
+  it('does not wait for an unresponsive coordinator when another has sent a usable quote', async () => {
     await world.start();
     world.answers.set('alpha', () => new Promise(() => undefined));
     world.answers.set('beta', quoting(500));
@@ -161,7 +161,7 @@
     expect(world.cluster.world.now - startedAt).to.be.below(150);
   });
 
-  it('leaves a coordinator time to refuse before it gives up itself', async () => {
+  it('gives a coordinator a shorter deadline than its own, so that a refusal arrives in time', async () => {
     await world.start();
     world.answers.set('alpha', quoting(100));
     world.answers.set('beta', quoting(Infinity));
@@ -170,7 +170,7 @@
     expect(final?.withinMs).to.be.within(850, 925);
   });
 
-  it('asks the zones anew when the one it waited at says that another has the model by now', async () => {
+  it('requests new quotes when a zone answers that another zone holds the model by now', async () => {
     await world.start();
     const answer = quoting(100);
     world.answers.set('alpha', (message) =>
@@ -183,7 +183,7 @@
     expect(await world.ask()).to.deep.equal({ held: true, backEndId: 'worker-beta' });
   });
 
-  it('refuses at once what has proved to end the workers that load it, and asks no coordinator', async () => {
+  it('refuses a quarantined load at once without asking a coordinator', async () => {
     await world.start();
     for (const zone of ZONES) world.answers.set(zone, quoting(100));
     const target = { model: 'm', adapter: 'a' };
@@ -195,7 +195,7 @@
     expect(await world.ask({ target: { model: 'm' } })).to.include({ held: true });
   });
 
-  it('refuses what waits at a coordinator once its load has proved to end the workers', async () => {
+  it('refuses a waiting demand once its load is quarantined', async () => {
     await world.start();
     for (const zone of ZONES) world.answers.set(zone, quoting(Infinity));
     world.cluster.world.schedule(700, () => {
@@ -206,7 +206,7 @@
     expect(world.cluster.world.now - startedAt).to.be.below(1000);
   });
 
-  it('asks again until its time is up while no zone can make room', async () => {
+  it('retries until the deadline while no zone has capacity', async () => {
     await world.start();
     for (const zone of ZONES) world.answers.set(zone, quoting(Infinity));
     const asked = world.ask();
@@ -218,7 +218,7 @@
     expect(world.cluster.world.now - startedAt).to.be.within(700, 1000);
   });
 
-  it('allows the weight store only for a model that no worker has near', async () => {
+  it('allows the weight store only for a model without a local copy on a usable worker', async () => {
     await world.start(['alpha']);
     for (const zone of ZONES) world.answers.set(zone, quoting(100));
     await world.ask();
@@ -228,7 +228,7 @@
     expect(world.asked.every(({ mayUseStore }) => mayUseStore)).to.equal(true);
   });
 
-  it('allows the weight store where the only copy lies in a zone whose coordinator has long been silent', async () => {
+  it('allows the weight store when the only local copy is in a zone whose coordinator has been unresponsive for seconds', async () => {
     await world.start(['alpha']);
     world.answers.set('alpha', () => new Promise(() => undefined));
     world.answers.set('beta', quotingFromStoreOnly);
@@ -237,7 +237,7 @@
     expect(world.cluster.world.now - startedAt).to.be.within(2500, 5000);
   });
 
-  it('keeps off the weight store while the coordinator of the zone with a copy answers', async () => {
+  it('does not allow the weight store while the coordinator of the zone with a local copy answers', async () => {
     await world.start(['alpha']);
     world.answers.set('alpha', quoting(Infinity));
     world.answers.set('beta', quotingFromStoreOnly);
--- a/packages/residency/test/load-plan.test.ts
+++ b/packages/residency/test/load-plan.test.ts
@@ -45,7 +45,7 @@
   return { backEnd, residents: new ResidentSet(), busyMs };
 }
 
-/** The worker that is free first takes the load. */
+/** Chooses the worker that is free first. */
 function firstFree(
   _group: DemandGroup,
   candidates: readonly PlacementCandidate[],
@@ -70,14 +70,14 @@
   return groups.map(({ model }) => model);
 }
 
-describe('byUrgency', () => {
-  it('puts a demand that is about to miss its target before one with time', () => {
+describe('sortByUrgency', () => {
+  it('puts a demand that is about to miss its target before one with a later target', () => {
     expect(
       names(sortByUrgency([group('far', demand(6000)), group('near', demand(1200))], NOW)),
     ).to.deep.equal(['near', 'far']);
   });
 
-  it('puts one that has missed its target behind, until its time runs out', () => {
+  it('puts a demand that has missed its target last until its deadline is near', () => {
     const late = group('late', demand(-500, 8000));
     const ending = group('ending', demand(-500, 1000), demand(-500, 1000), demand(-500, 1000));
     expect(names(sortByUrgency([late, group('near', demand(1500))], NOW))).to.deep.equal(['near', 'late']);
@@ -87,14 +87,14 @@
     ]);
   });
 
-  it('puts many demands before few of the same kind', () => {
+  it('puts a group with many demands before a group with few equal ones', () => {
     const many = group('many', demand(2000), demand(2000), demand(2000));
     expect(names(sortByUrgency([group('few', demand(2000)), many], NOW))).to.deep.equal(['many', 'few']);
   });
 });
 
 describe('planLoads', () => {
-  it('gives each group a worker, and lets later ones wait for those that are taken', () => {
+  it('assigns a worker to each group, and queues later groups behind occupied workers', () => {
     const groups = [group('a', demand(1000)), group('b', demand(1500)), group('c', demand(2000))];
     const { loads: plan } = planLoads({
       groups,
@@ -110,7 +110,7 @@
     expect(plan[2]?.choice.readyMs).to.equal(2 * LOAD_MS);
   });
 
-  it('begins nothing on a worker that is busy, nor while what makes way is needed', () => {
+  it('starts no load on a busy worker or while a victim is still needed', () => {
     const inputs = { groups: [group('a', demand(1000))], now: NOW };
     const { loads: busy } = planLoads({ ...inputs, candidates: [candidate('w0', 300)], choose: firstFree });
     expect(busy[0]?.startsNow).to.equal(false);
@@ -122,7 +122,7 @@
     expect(needed[0]?.startsNow).to.equal(false);
   });
 
-  it('leaves out what no worker can make room for', () => {
+  it('omits groups for which no worker has capacity', () => {
     const { loads: plan } = planLoads({
       groups: [group('a', demand(1000)), group('b', demand(1000))],
       candidates: [candidate('w0', 0)],
@@ -132,7 +132,7 @@
     expect(plan.map((planned) => planned.group.model)).to.deep.equal(['b']);
   });
 
-  it('says how one more group finds the workers: behind those that are more urgent', () => {
+  it('returns the workers for one more group as occupied by more urgent groups', () => {
     const groups = [group('a', demand(1000)), group('b', demand(1500)), group('c', demand(2000))];
     const plan = planLoads({ groups, candidates: [candidate('w0', 0)], choose: firstFree, now: NOW });
     const busyFor = (urgency: number): number | undefined => plan.candidatesFor(urgency)[0]?.busyMs;
--- a/packages/residency/test/load-quarantines.ts
+++ b/packages/residency/test/load-quarantines.ts
@@ -1,4 +1,4 @@
-/** Quarantines of loads for tests: the processes that they ask after are simulated workers. */
+/** Load quarantines for tests, which probe simulated workers. */
 import type { BackEnd, BackendDirectory } from '@woodbarrow/backends';
 import { silentLog } from '@woodbarrow/observability';
 import {
@@ -10,20 +10,20 @@
 import { Random, type Clock } from '@woodbarrow/runtime';
 import type { SimulatedWorker } from './simulated-workers.js';
 
-/** What a daemon knows against contents, loads among them. */
+/** The quarantine state of one daemon. */
 export interface DaemonQuarantine {
   readonly contents: RequestQuarantine;
   readonly loads: LoadQuarantine;
 }
 
-/** A store that takes everything and tells nobody. */
+/** A store that accepts every record and stores none. */
 const DISCARDING_STORE: QuarantineStore = {
   create: () => Promise.resolve(),
   claim: () => Promise.resolve(true),
   remove: () => Promise.resolve(),
 };
 
-/** A daemon's quarantine. @param workers The processes that it asks after; those that are not among them do not answer. */
+/** Creates a daemon's quarantine. @param workers Workers that can be probed; any other does not answer. */
 export function daemonQuarantine(
   clock: Clock,
   directory: BackendDirectory,
--- a/packages/residency/test/placement-choice.test.ts
+++ b/packages/residency/test/placement-choice.test.ts
@@ -20,7 +20,7 @@
     { ...modelDefinition(name), storeLoadMs: STORE_MS, diskLoadMs: DISK_MS, memoryLoadMs: 500 },
   ]),
 );
-/** Room for three models of 65 MB. */
+/** Memory for three models of 65 MB. */
 const ENGINE: EngineDefinition = {
   slots: 4,
   cacheTokens: 1000,
@@ -81,13 +81,13 @@
     };
   }
 
-  it('takes free memory before it unloads anything', () => {
+  it('prefers free memory to an eviction', () => {
     const choice = choosePlacement(inputs([candidate('full', ['a', 'b', 'c']), candidate('free', ['a'])]));
     expect(choice?.candidate.backEnd.id).to.equal('free');
     expect(choice?.victims).to.deep.equal([]);
   });
 
-  it('goes where a copy is at hand, and waits for the weight store otherwise', () => {
+  it('prefers a worker with a local copy, and waits for the weight store otherwise', () => {
     const near = candidate('near', ['a', 'b', 'c'], { onDisk: ['wanted'] });
     const far = candidate('far', ['a']);
     const choice = choosePlacement(inputs([far, near]));
@@ -96,7 +96,7 @@
     expect(choosePlacement(inputs([far], { storeWaitMs: 700 }))?.readyMs).to.equal(700 + STORE_MS);
   });
 
-  it('unloads the model that is asked for least, counted for each replica', () => {
+  it('evicts the model with the least demand per replica', () => {
     for (let count = 0; count < 2; count += 1) loads.noteDemand('a');
     loads.noteDemand('b');
     for (let count = 0; count < 6; count += 1) loads.noteDemand('c');
@@ -106,7 +106,7 @@
     expect(choosePlacement(inputs([full], {}, replicasOf))?.victims).to.deep.equal(['c']);
   });
 
-  it('unloads nothing that is asked for more than allowed, nor what is being loaded', () => {
+  it('evicts neither models above the allowed demand nor models that are loading', () => {
     for (const name of ['a', 'b', 'c']) for (let count = 0; count < 5; count += 1) loads.noteDemand(name);
     const full = candidate('full', ['a', 'b', 'c']);
     expect(choosePlacement(inputs([full]))).to.equal(undefined);
@@ -120,7 +120,7 @@
 });
 
 describe('LoadWindow', () => {
-  it("keeps to the zone's part of the loads in every window", async () => {
+  it("does not exceed the zone's share of loads in any window", async () => {
     const world = new SimulatedWorld();
     const clock = new SimulatedProcess(world, { name: 'd', zone: 'z', region: 'r' });
     const window = new LoadWindow({ windowMs: 5000, limit: () => 21, zoneCount: () => 4 }, clock);
--- a/packages/residency/test/planning-cost.test.ts
+++ b/packages/residency/test/planning-cost.test.ts
@@ -5,17 +5,16 @@
 
 const WORKERS = 24;
 const MODELS = Array.from({ length: 300 }, (_, index) => `m${String(index)}`);
-/** Models that are waited for, more than a plan works out one by one. */
+/** Number of models that are waited for; exceeds the maximum number of planned loads. */
 const WAITING_MODELS = 100;
 const QUOTES = 200;
 
 /**
- * The cost of quotes, counted by how often the demand for a model is looked up: a plan does so for each group and for each model that
- * could make way. 200 quotes beside 100 models that are waited for looked up 14,600 times when each of them planned anew, and look up 150
- * times, once for each model, when one plan serves them all.
+ * Guards against a new plan for each quote. The cost is the number of demand lookups, which a plan makes for
+ * each group and each possible victim.
  */
-describe('the cost of quotes', () => {
-  it('is that of one plan for all that are asked within a moment', async () => {
+describe('planning cost of quotes', () => {
+  it('is that of a single plan for all quotes requested at once', async () => {
     const zone = new ZoneWorld(61, WORKERS);
     zone.engine = { ...ENGINE, models: new Map(MODELS.map((name) => [name, modelDefinition(name)])) };
     const coordinator = await zone.coordinator();
--- a/packages/residency/test/rare-models.test.ts
+++ b/packages/residency/test/rare-models.test.ts
@@ -4,9 +4,9 @@
 import { modelDefinition } from './simulated-workers.js';
 import { ENGINE, SERVICE, WITHIN_MS, ZONE, ZoneWorld } from './zone-world.js';
 
-describe('ZoneResidency with many more models than places', () => {
+describe('ZoneResidency with many more models than capacity', () => {
   const MANY_MODELS = Array.from({ length: 200 }, (_, index) => `m${String(index)}`);
-  /** Longer than all loads that wait take one after the other on the workers of the test, in milliseconds. */
+  /** Longer than all queued loads take on the workers of the test, in milliseconds. */
   const PATIENT_DEADLINE_MS = 60_000;
 
   function zoneOfManyModels(seed: number, workerCount: number): ZoneWorld {
@@ -33,7 +33,7 @@
     });
   }
 
-  it('serves a single demand behind more groups of demands than a plan looks at', async () => {
+  it('serves a single demand behind more groups than a plan places', async () => {
     const zone = zoneOfManyModels(41, 4);
     const coordinator = await zone.coordinator();
     const others = MANY_MODELS.slice(10, 110).flatMap((model) => [
@@ -47,7 +47,7 @@
     expect(zone.violations()).to.deep.equal([]);
   });
 
-  it('quotes a time that grows with the groups that wait, also beyond those that a plan looks at', async () => {
+  it('quotes a time that grows with the number of waiting groups, even beyond those that a plan places', async () => {
     const zone = zoneOfManyModels(42, 4);
     const coordinator = await zone.coordinator();
     const quotes: number[] = [];
@@ -61,12 +61,12 @@
       quotes.push(quote.retryAfterMs);
     }
     const [first = 0, second = 0, third = 0] = quotes;
-    // Four workers take about 0.7 s a load: 50 groups more take about 9 s.
+    // Four workers need about 0.7 s per load, so 50 more groups need about 9 s.
     expect(second - first).to.be.within(4000, 16_000);
     expect(third - second).to.be.within(4000, 16_000);
   });
 
-  it('loads a rare model in the end where all that is resident is asked for more', async () => {
+  it('eventually loads a rare model while all resident models are in higher demand', async () => {
     const zone = zoneOfManyModels(43, 2);
     const coordinator = await zone.coordinator();
     const popular = ['m0', 'm1', 'm2', 'm3', 'm4', 'm5'];
--- a/packages/residency/test/residency-service.test.ts
+++ b/packages/residency/test/residency-service.test.ts
@@ -10,7 +10,7 @@
 
 const ZONES = ['alpha', 'beta', 'gamma'];
 
-/** Leases in memory; every write is kept with its time. */
+/** Stores leases in memory and records every write with its time. */
 class LeaseStore implements LeaseRecordStore {
   readonly writes: { readonly name: string; readonly record: LeaseRecord; readonly at: number }[] = [];
   private readonly stored = new Map<string, StoredLease>();
@@ -28,7 +28,7 @@
     return this.isReachable ? Promise.resolve(this.stored.get(name)) : Promise.reject(new Error('no answer'));
   }
 
-  /** Writes a record whatever is there. */
+  /** Writes a record unconditionally. */
   put(name: string, record: LeaseRecord): Promise<StoredLease> {
     return Promise.resolve(this.write(name, record, (this.stored.get(name)?.revision ?? 0) + 1));
   }
@@ -63,7 +63,7 @@
   noteElsewhere: () => undefined,
 };
 
-/** Daemons of three zones with a worker in each. */
+/** Daemons of three zones with one worker per zone. */
 class ServiceWorld {
   readonly cluster = new SimulatedCluster({ seed: 1 });
   readonly store = new LeaseStore(() => this.cluster.world.now);
@@ -170,14 +170,14 @@
 }
 
 describe('ResidencyService', () => {
-  it('takes its lease back at once after a restart, whatever the leases of other zones', async () => {
+  it('resumes its leases at once after a restart, independently of each other', async () => {
     const world = new ServiceWorld();
     const stops = new Map<string, () => void>();
     for (const zone of ZONES) {
       stops.set(zone, await world.start(`daemon-${zone}`, zone));
       await world.cluster.advance(2000);
     }
-    // The first to start took all zones; the zones it was alone for stay with it.
+    // The first daemon to start acquired all zones, and keeps them.
     const holder = world.holderOf('gamma') ?? '';
     const zone = holder.replace('daemon-', '');
     stops.get(zone)?.();
@@ -191,7 +191,7 @@
     expect(new Set(retaken.map((write) => write.name)).size).to.equal(ZONES.length);
   });
 
-  /** Daemons of three zones of which each has taken its own, and witnesses for it. */
+  /** Daemons of three zones, each zone coordinated by one of its daemons, with witnesses chosen. */
   async function settledWorld(): Promise<{ world: ServiceWorld; stops: Map<string, () => void> }> {
     const world = new ServiceWorld();
     const stops = new Map<string, () => void>();
@@ -203,7 +203,7 @@
     return { world, stops };
   }
 
-  it('replaces a coordinator that is lost for good within some seconds, though its lease lasts longer', async () => {
+  it('replaces a lost coordinator within seconds, before its lease expires', async () => {
     const { world, stops } = await settledWorld();
     const holder = world.holderOf('beta') ?? '';
     stops.get(holder)?.();
@@ -212,10 +212,10 @@
     expect(world.holderOf('beta')).not.to.be.oneOf([holder, '', undefined]);
   });
 
-  it('names other witnesses as soon as most of its own are known to have been started again', async () => {
+  it('names other witnesses as soon as a majority of its own is known to have restarted', async () => {
     const { world, stops } = await settledWorld();
     const holder = world.holderOf('beta') ?? '';
-    // Just after a renewal, so that the next regular one is far.
+    // Wait for a renewal, so that the next periodic one is far away.
     const renewals = world.store.writes.length;
     while (world.store.writes.slice(renewals).every(({ name }) => name !== 'zone-beta'))
       await world.cluster.advance(50);
@@ -230,7 +230,7 @@
     expect(current).to.include.members(named ?? []);
   });
 
-  it('leaves its lease to a coordinator that only the store does not answer', async () => {
+  it('does not replace a coordinator that has lost contact only with the store', async () => {
     const { world } = await settledWorld();
     const holder = world.holderOf('beta');
     world.store.isReachable = false;
@@ -240,7 +240,7 @@
     expect(world.holderOf('beta')).to.equal(holder);
   });
 
-  it('has a coordinator that was started again take its lease back, also when another is next in line', async () => {
+  it('lets a restarted coordinator resume its lease even if another daemon is the preferred holder', async () => {
     const { world, stops } = await settledWorld();
     const [lastInLine = ''] = [...world.members.keys()].filter((name) => name !== world.holderOf('gamma'));
     await world.store.put('zone-gamma', {
@@ -259,7 +259,7 @@
     expect(world.fenceOf('gamma')).to.equal(10);
   });
 
-  it('is not held up in one zone by the lease of a zone that another holds', async () => {
+  it('acquires free zones without waiting for a zone that another daemon holds', async () => {
     const world = new ServiceWorld();
     await world.store.create('zone-alpha', {
       holder: 'other',
--- a/packages/residency/test/simulated-workers.ts
+++ b/packages/residency/test/simulated-workers.ts
@@ -1,13 +1,13 @@
-/** Workers on virtual time that take orders, also without answering, late, or not at all. */
+/** Workers on virtual time that execute orders, and may do so without an answer or late. */
 import type { AdapterCopy, BackEnd, ModelDefinition, ModelTarget } from '@woodbarrow/backends';
 import type { Random, SimulatedProcess, SimulatedWorld } from '@woodbarrow/runtime';
 import type { OrderClient, OrderOutcome, WorkerOrder, WorkerReport } from '../src/index.js';
 
-/** Shares of orders that go wrong. */
+/** Probabilities of faults per order. */
 export interface OrderFaults {
-  /** Carried out, not answered. */
+  /** The order is executed, but its answer is lost. */
   readonly answerLost: number;
-  /** Not answered, carried out seconds later if the sequence still fits. */
+  /** The order is not answered, and executed seconds later if its sequence still matches. */
   readonly appliedLate: number;
 }
 
@@ -15,7 +15,7 @@
 export const WORKER_MB = 200;
 export const ADAPTER_SLOTS = 3;
 const LOAD_MS = 600;
-/** Time from a load that ends the process to that end; an adapter's load takes less than that of a model. */
+/** Time from the start of a crashing load to the exit of the process, in milliseconds. */
 const CRASH_AFTER_MS = { model: 200, adapter: 5 };
 const UNLOAD_MS = 80;
 const ADAPTER_MS = 10;
@@ -23,7 +23,7 @@
 const ROUND_TRIP_MS = 2;
 const ORDER_TIMEOUT_MS = 400;
 
-/** Definition of a model of the tests. */
+/** Returns the definition of a model. */
 export function modelDefinition(name: string): ModelDefinition {
   return {
     name,
@@ -35,7 +35,7 @@
   };
 }
 
-/** How the worker names the copy of an adapter, with its version where the order named one. */
+/** Returns the key of an adapter copy, including the version if the order names one. */
 function copyKey({ adapter = '', adapterVersion }: ModelTarget): string {
   return adapterVersion === undefined ? adapter : `${adapter}@${String(adapterVersion)}`;
 }
@@ -50,18 +50,18 @@
   readonly report: WorkerReport;
 }
 
-/** Loads that end the process of a worker. */
+/** Loads that crash the process of a worker. */
 export interface WorkerCrashes {
   readonly crashesUnder: (target: ModelTarget) => boolean;
   readonly onExit: () => void;
 }
 
-/** One worker. */
+/** A simulated worker. */
 export class SimulatedWorker {
   readonly models = new Map<string, Set<string>>();
-  /** Descriptions of orders taken beyond what it holds. */
+  /** Descriptions of accepted orders that exceed its capacity. */
   readonly violations: string[] = [];
-  /** Fences of the orders that arrived, in order. */
+  /** Fences of the received orders, in order. */
   readonly fences: number[] = [];
   private readonly incoming = new Map<string, ModelTarget>();
   /** Adapters that runs use, and those of them that are to be unloaded. */
@@ -75,7 +75,7 @@
   /** Whether another process answers at its address. */
   isReplaced = false;
 
-  /** @param crashes What ends the process, and who is told of that end. */
+  /** @param crashes Loads that crash the process, and the callback on its exit. */
   constructor(
     private readonly world: SimulatedWorld,
     models: readonly string[],
@@ -85,7 +85,7 @@
     this.takeSnapshot();
   }
 
-  /** Whether the process has ended. */
+  /** Whether the process has exited. */
   get hasExited(): boolean {
     return this.exited;
   }
@@ -97,7 +97,7 @@
     this.crashes.onExit();
   }
 
-  /** The state as it was some time ago. */
+  /** Returns the state as it was some time ago. */
   report(): WorkerReport {
     const until = this.world.now - REPORT_LAG_MS;
     const [first = this.takeSnapshot()] = this.snapshots;
@@ -105,7 +105,7 @@
     return (known[known.length - 1] ?? first).report;
   }
 
-  /** Takes an order. */
+  /** Executes an order. */
   take(order: WorkerOrder): OrderOutcome {
     this.fences.push(order.fence);
     if (order.expectedSequence !== this.sequence) return 'conflict';
@@ -114,7 +114,7 @@
     return outcome;
   }
 
-  /** A run uses an adapter for a while: an unload is taken, and done when the run has ended. */
+  /** Simulates a run that uses an adapter; an unload is accepted and completes when the run ends. */
   useAdapter(model: string, adapter: string, durationMs: number): void {
     const key = `${model}/${adapter}`;
     this.inUse.add(key);
@@ -127,7 +127,7 @@
   }
 
   private takeModel({ operation, target }: WorkerOrder): OrderOutcome {
-    // The order that is being carried out is taken once, however often it comes.
+    // A repeated order that is already being executed is accepted once.
     if (this.changing === target.model && this.changingBy === operation) return 'accepted';
     if (this.changing !== undefined) return 'conflict';
     const isHeld = this.models.has(target.model);
@@ -204,7 +204,7 @@
   }
 }
 
-/** Orders and reports of one coordinator's process. */
+/** Sends orders and requests reports for one coordinator's process. */
 export class SimulatedOrderClient implements OrderClient {
   faults: OrderFaults = { answerLost: 0, appliedLate: 0 };
 
--- a/packages/residency/test/store-capacity-changes.test.ts
+++ b/packages/residency/test/store-capacity-changes.test.ts
@@ -1,17 +1,15 @@
 /*
- * What a soak showed (seed 7207 with long streams): a worker was ordered to load more than its memory holds. The coordinator's log has two `load_decided` in
- * the same millisecond, for the same worker, both with `victims: m0`; after one `unload m0` both loads were ordered. A plan lets a load that waits for
- * the weight store leave its worker to the next one, and names the same victim for both. Whether the store has room is asked once for the plan and
- * again when its loads begin; where it got some in between, both began. On virtual time no time passes in between, so that other tests could not show it.
+ * Guards against two loads on one worker that evict the same victim: a plan may assign both to it if one
+ * waits for the weight store, and both would start if the store gets capacity between planning and start.
  */
 import { expect } from 'chai';
 import { MODELS, ZoneWorld, demand } from './zone-world.js';
 
-/** Loads of other zones that fill the link to the weight store, however much it is believed to bear. */
+/** Number of loads in other zones that exceeds any estimated capacity of the link. */
 const LOADS_THAT_FILL_LINK = 1000;
 
-describe('a zone whose share of the weight store changes while it plans', () => {
-  it('never orders more than a worker holds', async () => {
+describe('a zone whose weight store capacity changes between planning and start', () => {
+  it('never exceeds the memory of a worker', async () => {
     for (let seed = 1; seed <= 20; seed += 1) {
       const zone = new ZoneWorld(seed);
       zone.storeLoadsInOtherZones = () => (zone.random.next() < 0.5 ? 0 : LOADS_THAT_FILL_LINK);
--- a/packages/residency/test/store-link.test.ts
+++ b/packages/residency/test/store-link.test.ts
@@ -5,7 +5,7 @@
 /** Configured time of each load, in milliseconds. */
 const LOAD_MS = 6000;
 const STEP_MS = 50;
-/** Lag with which zones learn of each other's loads, in milliseconds: the pause between two reports. */
+/** Interval at which zones report their loads, in milliseconds. */
 const LOAD_REPORT_INTERVAL_MS = 300;
 
 interface Transfer {
@@ -13,12 +13,15 @@
   leftMs: number;
 }
 
-/** A shared link: beyond its capacity all transfers slow down in proportion. Every zone always has loads waiting. */
+/**
+ * A shared link on which all transfers slow down in proportion beyond its capacity. Every zone always has
+ * loads waiting.
+ */
 class SharedLink {
   readonly world = new SimulatedWorld();
   readonly zones: StoreLink[] = [];
   completed = 0;
-  /** Loads at once, summed over all steps. */
+  /** Number of concurrent loads, summed over all steps. */
   private concurrencySum = 0;
   private steps = 0;
   private readonly transfers = new Map<StoreLink, Transfer[]>();
@@ -41,7 +44,7 @@
     }
   }
 
-  /** Runs for a while and returns the throughput as a share of the best there is. */
+  /** Runs for some seconds and returns the throughput relative to the maximum. */
   async run(seconds: number): Promise<number> {
     const completedBefore = this.completed;
     const steps = (seconds * 1000) / STEP_MS;
@@ -56,7 +59,7 @@
     return ((this.completed - completedBefore) * LOAD_MS) / (seconds * 1000 * this.capacity);
   }
 
-  /** Mean number of loads at once in the last run. */
+  /** Mean number of concurrent loads in the last run. */
   get meanConcurrency(): number {
     return this.concurrencySum / this.steps;
   }
@@ -99,7 +102,7 @@
 
 describe('StoreLink', () => {
   for (const capacity of [1, 4, 8, 50]) {
-    it(`finds a link that bears ${String(capacity)} loads at once, and keeps to it`, async () => {
+    it(`estimates a link capacity of ${String(capacity)} concurrent loads and does not exceed it by much`, async () => {
       const link = new SharedLink(capacity, 1);
       await link.run(120);
       expect(await link.run(240)).to.be.at.least(0.9);
@@ -107,14 +110,14 @@
     });
   }
 
-  it('is shared by several zones that hear of each other late', async () => {
+  it("shares the link among several zones that learn of each other's loads with a delay", async () => {
     const link = new SharedLink(4, 6);
     await link.run(120);
     expect(await link.run(240)).to.be.at.least(0.9);
     expect(link.meanConcurrency).to.be.at.most(8);
   });
 
-  it('follows a link whose capacity changes', async () => {
+  it("adapts to a change of the link's capacity", async () => {
     const link = new SharedLink(8, 1);
     await link.run(120);
     link.capacity = 2;
@@ -126,7 +129,7 @@
     expect(await link.run(240)).to.be.at.least(0.9);
   });
 
-  it('does not wait for zones that no longer tell of their loads', () => {
+  it('does not wait for zones that no longer report loads', () => {
     let elsewhere = 20;
     const clock = new SimulatedProcess(new SimulatedWorld(), { name: 'd', zone: 'z', region: 'r' });
     const link = new StoreLink({
@@ -142,7 +145,7 @@
     expect(link.waitMs(LOAD_MS)).to.equal(0);
   });
 
-  it('learns nothing from loads that did not come about', async () => {
+  it('does not update the limit from failed loads', async () => {
     const world = new SimulatedWorld();
     const clock = new SimulatedProcess(world, { name: 'd', zone: 'z', region: 'r' });
     const link = new StoreLink({
@@ -159,7 +162,7 @@
     expect(link.ownLoads).to.equal(0);
   });
 
-  it('does not take the wait for what makes way for a slow load', async () => {
+  it('does not count the wait for an eviction as a slow load', async () => {
     const world = new SimulatedWorld();
     const clock = new SimulatedProcess(world, { name: 'd', zone: 'z', region: 'r' });
     const link = new StoreLink({
--- a/packages/residency/test/unserved-models.test.ts
+++ b/packages/residency/test/unserved-models.test.ts
@@ -36,7 +36,7 @@
     unserved = new UnservedModels(ZONE, clock, log);
   });
 
-  it('tells once of a model that is asked for in vain for seconds, with the cause', async () => {
+  it('logs one warning with the cause for a model that stays unserved for seconds', async () => {
     for (let second = 0; second < 12; second += 1) {
       unserved.recordRefusal(WANTED, 'no_victim');
       await world.run(world.now + 1000);
@@ -56,7 +56,7 @@
     expect([...unserved.byCause]).to.deep.equal([['no_victim', 12]]);
   });
 
-  it('forgets a model once it is resident, and one that nobody asks for any more', async () => {
+  it('removes models that are resident or no longer requested', async () => {
     unserved.recordRefusal(WANTED, 'no_victim');
     unserved.recordRefusal({ ...WANTED, model: 'm8' }, 'no_victim');
     unserved.removeServed((_service, model) => model === 'm9');
@@ -70,7 +70,7 @@
   });
 });
 
-describe('causes of a missing place', () => {
+describe('causes of a refusal for lack of capacity', () => {
   async function causesOf(prepare: (zone: ZoneWorld) => void, mayUseStore = true): Promise<string[]> {
     const zone = new ZoneWorld(51, 1);
     const coordinator = await zone.coordinator();
@@ -82,11 +82,11 @@
     return [...coordinator.unserved.noPlaceByCause.keys()];
   }
 
-  it('tells the weight store from a worker without copies', async () => {
+  it('reports store_barred when no worker has a local copy and the weight store may not be used', async () => {
     expect(await causesOf(() => undefined, false)).to.deep.equal(['store_barred']);
   });
 
-  it('tells models in use that cannot make way', async () => {
+  it('reports no_victim when all resident models are in high demand', async () => {
     const raiseDemand = (zone: ZoneWorld): void => {
       for (const model of ['m0', 'm1', 'm2'])
         for (let count = 0; count < 50; count += 1) zone.loads.noteDemand(model);
@@ -94,7 +94,7 @@
     expect(await causesOf(raiseDemand)).to.deep.equal(['no_victim']);
   });
 
-  it('tells that no worker is there', async () => {
+  it('reports no_worker when there is no worker', async () => {
     expect(
       await causesOf((zone) => {
         zone.directory.remove('w0');
--- a/packages/residency/test/worker-orders.test.ts
+++ b/packages/residency/test/worker-orders.test.ts
@@ -3,10 +3,10 @@
 import { LoadTimes, WorkerOrders, type SwapOrder } from '../src/index.js';
 import { ZONE, ZoneWorld } from './zone-world.js';
 
-/** Time that the worker of the tests takes for a load and an unload, in milliseconds. */
+/** Time of a load and of an unload on the test worker, in milliseconds. */
 const LOAD_MS = 600;
 const UNLOAD_MS = 80;
-/** Longest time after its end at which a load is noticed, in milliseconds: a pause of orders and a round trip. */
+/** Maximum delay until the end of a load is detected, in milliseconds: one poll interval and a round trip. */
 const MAX_NOTICE_DELAY_MS = 45;
 
 describe('WorkerOrders', () => {
@@ -46,7 +46,7 @@
     return zone.world.now - startedAt;
   }
 
-  it('notices the end of a load soon, whatever it was expected to take', async () => {
+  it('detects the end of a load promptly, whatever its expected time', async () => {
     for (const [index, loadMs] of [100, LOAD_MS, 5000].entries()) {
       const tookMs = await swapDurationMs({
         model: `m${String(index + 5)}`,
@@ -61,7 +61,7 @@
     expect(zone.violations()).to.deep.equal([]);
   });
 
-  it('tells when the worker has taken the load', async () => {
+  it('calls back when the worker has accepted the load', async () => {
     let takenAt = 0;
     const startedAt = zone.world.now;
     const onLoadTaken = (): void => {
@@ -72,7 +72,7 @@
     expect(tookMs - (takenAt - startedAt)).to.be.within(LOAD_MS, LOAD_MS + MAX_NOTICE_DELAY_MS);
   });
 
-  it('loads in the end where orders are left unanswered or carried out late', async () => {
+  it('eventually loads a model when orders are unanswered or executed late', async () => {
     for (let seed = 70; seed < 90; seed += 1) {
       const other = new ZoneWorld(seed);
       other.orders.faults = { answerLost: 0.3, appliedLate: 0.3 };
--- a/packages/residency/test/zone-residency.test.ts
+++ b/packages/residency/test/zone-residency.test.ts
@@ -4,7 +4,7 @@
 import { ENGINE, MODELS, SERVICE, WITHIN_MS, ZONE, ZoneWorld, demand } from './zone-world.js';
 
 describe('ZoneResidency', () => {
-  it('loads a model once for many demands at the same time', async () => {
+  it('loads a model once for many concurrent demands', async () => {
     const zone = new ZoneWorld(1);
     const coordinator = await zone.coordinator();
     const answers = await zone.settle(Promise.all(MODELS.map(() => demand(coordinator, 'm7'))));
@@ -13,7 +13,7 @@
     expect(holders).to.have.length(1);
   });
 
-  it('asks one report at a time of a worker it does not know, however many demands come', async () => {
+  it("does not exceed a worker's capacity when many demands arrive before its state is known", async () => {
     const zone = new ZoneWorld(2, 1);
     const coordinator = await zone.coordinator();
     const first = Array.from({ length: 8 }, (_, index) => demand(coordinator, `m${String(index + 2)}`));
@@ -21,7 +21,7 @@
     expect(zone.violations()).to.deep.equal([]);
   });
 
-  /** One worker that holds m0, m1 and m2, the first load of two under way. */
+  /** Sets up a worker with m0, m1 and m2 on which the first of two further loads is in progress. */
   async function fullWorkerWithTwoLoads(): Promise<{ zone: ZoneWorld; coordinator: ZoneResidency }> {
     const zone = new ZoneWorld(31, 1);
     const coordinator = await zone.coordinator();
@@ -37,7 +37,7 @@
     return ['m0', 'm1', 'm2'].filter((model) => zone.directory.holdersOf(SERVICE, { model }).length > 0);
   }
 
-  it('sends no new requests to what makes way next while the load before goes on', async () => {
+  it('retires the next victim while the current load is in progress', async () => {
     const { zone } = await fullWorkerWithTwoLoads();
     expect([...(zone.workers.get('w0')?.models.keys() ?? [])]).to.have.length(2);
     expect(holdersNow(zone)).to.have.length(1);
@@ -46,7 +46,7 @@
     expect(zone.violations()).to.deep.equal([]);
   });
 
-  it('lets requests in again for a model that was to make way, when it is asked for', async () => {
+  it('accepts requests again for a retired model when it is demanded', async () => {
     const { zone, coordinator } = await fullWorkerWithTwoLoads();
     const [kept] = holdersNow(zone);
     const held = [...(zone.workers.get('w0')?.models.keys() ?? [])];
@@ -58,7 +58,7 @@
     expect(zone.directory.holdersOf(SERVICE, { model: retired })).to.have.length(1);
   });
 
-  it('expects a load that takes longer than usual to take longer still', async () => {
+  it('quotes a positive remaining time for a load that exceeds its expected time', async () => {
     const zone = new ZoneWorld(32, 1);
     const coordinator = await zone.coordinator();
     await zone.settle(demand(coordinator, 'm1'));
@@ -84,7 +84,7 @@
     expect(quotes[1]).to.be.above(400);
   });
 
-  it('does not load what another zone is about to have, and sends those who wait for it there', async () => {
+  it('does not load a model that another zone is loading, and redirects the waiting demand there', async () => {
     const zone = new ZoneWorld(33, 1);
     const coordinator = await zone.coordinator();
     zone.expectedElsewhereInMs.set('m5', 800);
@@ -106,7 +106,7 @@
     expect(zone.workers.get('w0')?.models.has('m5')).to.equal(false);
   });
 
-  it('loads what another zone was about to have when it does not come there', async () => {
+  it('loads a model itself when the load in another zone fails', async () => {
     const zone = new ZoneWorld(34, 1);
     const coordinator = await zone.coordinator();
     zone.expectedElsewhereInMs.set('m5', 800);
@@ -116,7 +116,7 @@
     expect(await zone.settle(waiting)).to.include({ held: true, backEndId: 'w0' });
   });
 
-  it('answers with a refusal when nothing can make way in time', async () => {
+  it('refuses a demand when the model cannot be resident in time', async () => {
     const zone = new ZoneWorld(3);
     const coordinator = await zone.coordinator();
     const answer = await zone.settle(
@@ -134,7 +134,7 @@
     expect(answer.retryAfterMs).to.be.greaterThan(0);
   });
 
-  it('never orders more than a worker holds, with answers lost, orders late, and coordinators replaced', async () => {
+  it('never exceeds the capacity of a worker when answers are lost, orders are late and coordinators are replaced', async () => {
     for (let seed = 200; seed < 240; seed += 1) {
       const zone = new ZoneWorld(seed);
       let coordinator = await zone.coordinator();
@@ -144,7 +144,7 @@
         if (choice === 1) zone.orders.faults = { answerLost: 0, appliedLate: 0 };
         if (choice === 2) zone.orders.faults = { answerLost: 0, appliedLate: 0.95 };
         if (choice === 3) {
-          // The lease keeps its successor from acting before reports show what it did last.
+          // The handover pause keeps the successor from acting before reports reflect the last orders.
           await zone.world.run(zone.world.now + 500);
           coordinator = await zone.coordinator();
         }
@@ -158,7 +158,7 @@
     }
   });
 
-  it('starts a load for those that come next when it is too late for the one that asks', async () => {
+  it('starts a load for later requests when it is too late for the current one', async () => {
     const zone = new ZoneWorld(5);
     const coordinator = await zone.coordinator();
     zone.loads.noteDemand('m9');
@@ -179,7 +179,7 @@
     expect(await zone.settle(coordinator.demand(message))).to.include({ held: true });
   });
 
-  it('loads elsewhere what the only holder cannot serve', async () => {
+  it('loads a model on another worker when the only holder is excluded', async () => {
     const zone = new ZoneWorld(6);
     const coordinator = await zone.coordinator();
     const answer = await zone.settle(
@@ -196,7 +196,7 @@
     expect(answer).to.include({ held: true, backEndId: 'w1' });
   });
 
-  it('orders nothing of a worker that has stopped answering while others answer', async () => {
+  it('sends no orders to an unresponsive worker while others respond', async () => {
     const zone = new ZoneWorld(7);
     const coordinator = await zone.coordinator();
     await zone.settle(demand(coordinator, 'm0'));
@@ -207,7 +207,7 @@
     expect(answer).to.include({ held: true, backEndId: 'w1' });
   });
 
-  it('lets demands wait for a worker instead of refusing them', async () => {
+  it('queues demands for a busy worker instead of refusing them', async () => {
     const zone = new ZoneWorld(8, 1);
     const coordinator = await zone.coordinator();
     const answers = await zone.settle(
@@ -217,10 +217,10 @@
     expect(zone.violations()).to.deep.equal([]);
   });
 
-  it('keeps a model that was just loaded until those that waited for it are sent', async () => {
+  it('does not evict a model that was just loaded before the waiting requests are sent', async () => {
     const zone = new ZoneWorld(9, 1);
     const coordinator = await zone.coordinator();
-    // Everything else on the worker is in use: what was just loaded is the cheapest to take away.
+    // The other models are in high demand, so the one just loaded is the cheapest victim.
     for (const model of ['m0', 'm1', 'm2']) await zone.settle(demand(coordinator, model));
     for (const model of ['m0', 'm1'])
       for (let count = 0; count < 50; count += 1) zone.loads.noteDemand(model);
@@ -234,7 +234,7 @@
     expect((await zone.settle(second)).held).to.equal(true);
   });
 
-  it('holds a demand whose model comes after its target, and before its time is up', async () => {
+  it('queues a demand whose model is resident after its target but before its deadline', async () => {
     const zone = new ZoneWorld(10, 1);
     const coordinator = await zone.coordinator();
     const askedAt = zone.world.now;
@@ -254,7 +254,7 @@
     expect(zone.world.now - askedAt).to.be.within(600, 1000);
   });
 
-  it('tells one that cannot wait so long at once when its model will be there, and keeps the model for its return', async () => {
+  it('refuses at once with a retry delay when the model is late, and reserves the model for the retry', async () => {
     const zone = new ZoneWorld(10, 1);
     const coordinator = await zone.coordinator();
     const message = {
@@ -278,7 +278,7 @@
     expect(zone.world.now - askedAt).to.be.lessThan(100);
   });
 
-  it('does not use the weight store for what another worker has near', async () => {
+  it('does not use the weight store for a demand that does not allow it', async () => {
     const zone = new ZoneWorld(11, 1);
     const coordinator = await zone.coordinator();
     const message = {
@@ -297,11 +297,11 @@
     expect(zone.workers.get('w0')?.models.has('m9')).to.equal(false);
   });
 
-  it('begins no more loads from the weight store in a window than it bears', async () => {
+  it('limits the loads from the weight store that start in a window', async () => {
     const zone = new ZoneWorld(14, 6);
     zone.engine = { ...ENGINE, storeLoadsPerSecond: 0.2 };
     const coordinator = await zone.coordinator();
-    // (0.2 a second times 5 s, and 3 beside the rate) times the part of it that is used.
+    // (0.2 per second times 5 s plus 3 extra loads) times the safety factor, rounded down.
     const limit = 3;
     for (const model of ['m6', 'm7', 'm8', 'm9', 'm10', 'm11']) void demand(coordinator, model);
     await zone.world.run(zone.world.now + 3000);
@@ -310,7 +310,7 @@
     expect(fromStore).to.have.length(limit);
   });
 
-  it('loads an adapter that was asked for while its worker loaded a model', async () => {
+  it('loads an adapter that was requested while its worker loaded a model', async () => {
     const zone = new ZoneWorld(12, 1);
     const coordinator = await zone.coordinator();
     await zone.settle(demand(coordinator, 'm0'));
@@ -322,7 +322,7 @@
     expect(zone.violations()).to.deep.equal([]);
   });
 
-  it('goes on ordering loads while a run still uses an adapter that is to make way', async () => {
+  it('continues to order loads while a run still uses an adapter to be evicted', async () => {
     const zone = new ZoneWorld(13, 1);
     const coordinator = await zone.coordinator();
     for (const adapter of ['a1', 'a2', 'a3']) await zone.settle(demand(coordinator, 'm0', adapter));
@@ -335,7 +335,7 @@
     expect(zone.violations()).to.deep.equal([]);
   });
 
-  it('serves again once orders are answered again', async () => {
+  it('recovers once orders are answered again', async () => {
     const zone = new ZoneWorld(4);
     const coordinator = await zone.coordinator();
     zone.orders.faults = { answerLost: 0.5, appliedLate: 0.5 };
--- a/packages/residency/test/zone-world.ts
+++ b/packages/residency/test/zone-world.ts
@@ -14,7 +14,7 @@
   modelDefinition,
 } from './simulated-workers.js';
 
-/** The zone of the tests. */
+/** Name of the zone. */
 export const ZONE = 'zone-a';
 export const SERVICE = 'models';
 export const MODELS = Array.from({ length: 12 }, (_, index) => `m${String(index)}`);
@@ -29,10 +29,10 @@
   models: new Map(MODELS.map((name) => [name, modelDefinition(name)])),
 };
 
-/** Longer than any wait of the tests, in milliseconds. */
+/** Maximum wait for a result in virtual time, in milliseconds. */
 const SETTLE_TIMEOUT_MS = 90_000;
 
-/** A store that always answers at once. */
+/** A lease store in memory that answers immediately. */
 export function inMemoryLeaseStore(): LeaseRecordStore {
   let stored: StoredLease | undefined;
   return {
@@ -44,7 +44,7 @@
   };
 }
 
-/** One zone with its workers and a coordinator that can be replaced. */
+/** One zone with its workers and a replaceable coordinator. */
 export class ZoneWorld {
   readonly world = new SimulatedWorld();
   readonly workers = new Map<string, SimulatedWorker>();
@@ -55,9 +55,9 @@
   readonly loads: LoadBook;
   readonly quarantine: DaemonQuarantine;
   engine = ENGINE;
-  /** Models that another zone loads, with the time until they are there. */
+  /** Models that another zone is loading, with the milliseconds until they are resident there. */
   readonly expectedElsewhereInMs = new Map<string, number>();
-  /** Loads from the weight store that other zones have under way, as they tell. */
+  /** Loads from the weight store in other zones, as reported. */
   storeLoadsInOtherZones = (): number => 0;
   private readonly leases = inMemoryLeaseStore();
   private runs = 0;
@@ -88,7 +88,7 @@
     });
   }
 
-  /** A coordinator that knows nothing of earlier ones but what the workers report. */
+  /** Creates a coordinator that knows only what the workers report. */
   async coordinator(): Promise<ZoneResidency> {
     this.runs += 1;
     const lease = new StoreLease({
@@ -139,7 +139,7 @@
   }
 }
 
-/** A demand for a model that may wait {@link WITHIN_MS}. */
+/** Sends a demand for a model that may wait {@link WITHIN_MS}. */
 export function demand(
   zone: ZoneResidency,
   model: string,
