--- a/packages/residency/src/adapter-orders.ts
+++ b/packages/residency/src/adapter-orders.ts
@@ -1,4 +1,7 @@
-/** Adapters of one worker: loads those wanted, unloads those unused longest, never more than there are slots. */
+/**
+ * Manages the adapters of one worker: loads requested adapters and evicts the least recently used ones within
+ * the worker's slots.
+ */
 import {
   keysServedBy,
   servesTarget,
@@ -22,97 +25,104 @@
   readonly loads: LoadBook;
   readonly sender: OrderSender;
   readonly residents: ResidentSet;
-  /** Adapters that the worker holds at most. */
+  /** Maximum number of adapters that the worker holds. */
   readonly slots: () => number;
   readonly clock: Clock;
   readonly signal: AbortSignal;
   readonly announce: (target: ModelTarget, resident: boolean) => void;
-  /** Something did not go as expected: what the worker holds must be learnt anew. */
-  readonly onDoubt: () => void;
+  /** Called when an order failed or its outcome is unknown: the worker's state must be read again. */
+  readonly onUnknownOutcome: () => void;
 }
 
-/** First look after an order and the pause between looks, in milliseconds. */
+/** Delay before the first poll after an order, and between later polls, in milliseconds. */
 const FIRST_POLL_MS = 25;
 const POLL_MS = 40;
-/** Time that an adapter usually takes, and until one in use makes way, in milliseconds. */
-const EXPECTED_MS = 40;
-const SLOT_WAIT_MS = 400;
-/** Time that an adapter takes at most, in milliseconds. */
-const LIMIT_MS = 2000;
-/** Time that the runs which use an adapter take at most, in milliseconds. */
-const UNLOAD_LIMIT_MS = 12_000;
-
-/** Adapters of one incarnation of a worker. */
+/**
+ * Expected time of an adapter load, and expected wait for a slot while all adapters are in use, in
+ * milliseconds.
+ */
+const EXPECTED_ADAPTER_LOAD_MS = 40;
+const EXPECTED_SLOT_WAIT_MS = 400;
+/** Maximum time to wait for an adapter load, in milliseconds. */
+const ADAPTER_LOAD_TIMEOUT_MS = 2000;
+/** Maximum time to wait for the runs that use an adapter before its unload, in milliseconds. */
+const ADAPTER_UNLOAD_TIMEOUT_MS = 12_000;
+
+/** Adapter orders for one incarnation of a worker. */
 export class AdapterOrders {
   private readonly loading = new Map<string, Promise<boolean>>();
-  private lastTurn: Promise<unknown> = Promise.resolve();
+  private slotQueue: Promise<unknown> = Promise.resolve();
 
   constructor(private readonly options: AdapterOrdersOptions) {}
 
   /**
-   * Loads an adapter of a resident model. Resolves with whether it is resident.
+   * Loads an adapter of a resident model and resolves with whether it is resident.
    *
    * @param deadline Monotonic time until which it waits for a slot.
    */
   load(target: AdapterTarget, deadline: number): Promise<boolean> {
     const key = targetKey(target);
-    const known = this.loading.get(key);
-    if (known !== undefined) return known;
-    const loading = this.carryOut(target, deadline).finally(() => this.loading.delete(key));
+    const existing = this.loading.get(key);
+    if (existing !== undefined) return existing;
+    const loading = this.loadIntoSlot(target, deadline).finally(() => this.loading.delete(key));
     this.loading.set(key, loading);
     return loading;
   }
 
-  /** Expected wait for an adapter that is asked for now, in milliseconds: those before it, and a slot. */
+  /**
+   * Returns the expected wait for an adapter requested now, in milliseconds: loads queued before it, and a
+   * free slot.
+   */
   waitMs(): number {
     const { residents, slots } = this.options;
-    const isFull = residents.adapterCount >= slots() && this.longestUnused() === undefined;
-    return (this.loading.size + 1) * EXPECTED_MS + (isFull ? SLOT_WAIT_MS : 0);
+    const isFull = residents.adapterCount >= slots() && this.leastRecentlyUsed() === undefined;
+    return (this.loading.size + 1) * EXPECTED_ADAPTER_LOAD_MS + (isFull ? EXPECTED_SLOT_WAIT_MS : 0);
   }
 
-  private async carryOut(target: AdapterTarget, deadline: number): Promise<boolean> {
+  private async loadIntoSlot(target: AdapterTarget, deadline: number): Promise<boolean> {
     const { residents, sender } = this.options;
     if (residents.isResident(target)) return true;
-    if (!(await this.takeSlot(target, deadline))) return residents.isResident(target);
+    if (!(await this.acquireSlot(target, deadline))) return residents.isResident(target);
     let isLoaded = false;
     try {
-      isLoaded = await this.order(target);
+      isLoaded = await this.orderLoad(target);
     } finally {
-      sender.loadEnded(target, isLoaded);
+      sender.recordLoadResult(target, isLoaded);
     }
     return isLoaded;
   }
 
-  private async order(target: AdapterTarget): Promise<boolean> {
+  private async orderLoad(target: AdapterTarget): Promise<boolean> {
     const { residents, sender } = this.options;
     const outcome = await sender.send('load', target);
-    if (outcome === 'done') return this.finish(target);
+    if (outcome === 'done') return this.markResident(target);
     if (outcome === 'accepted') return this.awaitLoaded(target);
-    // After a refusal nothing is there; after anything else it may be, or may come: it stays counted.
+    // Only a refusal proves that nothing was loaded. After any other outcome the adapter may be there or
+    // still arrive, so it keeps its slot.
     if (outcome === 'refused') residents.dropAdapter(target);
-    else this.options.onDoubt();
+    else this.options.onUnknownOutcome();
     return false;
   }
 
-  /** Takes a slot for an adapter, in the order in which they were asked for. */
-  private takeSlot(target: AdapterTarget, deadline: number): Promise<boolean> {
-    const taken = this.lastTurn.then(() => this.takeSlotInTurn(target, deadline));
-    this.lastTurn = taken.catch(() => false);
+  /** Acquires a slot for an adapter, in order of request. */
+  private acquireSlot(target: AdapterTarget, deadline: number): Promise<boolean> {
+    const taken = this.slotQueue.then(() => this.waitForSlot(target, deadline));
+    this.slotQueue = taken.catch(() => false);
     return taken;
   }
 
-  private async takeSlotInTurn(target: AdapterTarget, deadline: number): Promise<boolean> {
+  private async waitForSlot(target: AdapterTarget, deadline: number): Promise<boolean> {
     const { clock, signal, residents, slots } = this.options;
     while (!signal.aborted) {
-      const isModelThere = residents.models.get(target.model)?.state === 'resident';
-      if (!isModelThere || residents.isResident(target)) return false;
-      const hasRoom = residents.adapterCount < slots() && residents.adapterOf(target) === undefined;
-      if (hasRoom) {
+      const isModelResident = residents.models.get(target.model)?.state === 'resident';
+      if (!isModelResident || residents.isResident(target)) return false;
+      const canAddAdapter = residents.adapterCount < slots() && residents.adapterOf(target) === undefined;
+      if (canAddAdapter) {
         residents.setAdapter(target, 'loading');
         return true;
       }
       if (clock.monotonic() >= deadline) return false;
-      if (!(await this.makeRoom())) await sleep(clock, POLL_MS, signal);
+      if (!(await this.freeSlot())) await sleep(clock, POLL_MS, signal);
     }
     return false;
   }
@@ -121,18 +131,19 @@
     const { clock, signal, sender } = this.options;
     const startedAt = clock.monotonic();
     let pauseMs = FIRST_POLL_MS;
-    while (!signal.aborted && clock.monotonic() - startedAt < LIMIT_MS) {
+    while (!signal.aborted && clock.monotonic() - startedAt < ADAPTER_LOAD_TIMEOUT_MS) {
       await sleep(clock, pauseMs, signal);
       pauseMs = POLL_MS;
       const report = await sender.report();
       const held = report?.models.find((model) => model.name === target.model);
-      if (held?.adapters.some((copy) => servesTarget(copy, target)) === true) return this.finish(target);
+      if (held?.adapters.some((copy) => servesTarget(copy, target)) === true)
+        return this.markResident(target);
     }
-    this.options.onDoubt();
+    this.options.onUnknownOutcome();
     return false;
   }
 
-  private finish(target: AdapterTarget): boolean {
+  private markResident(target: AdapterTarget): boolean {
     const { residents, announce } = this.options;
     if (residents.models.get(target.model)?.state !== 'resident') return false;
     residents.setAdapter(target, 'resident');
@@ -140,14 +151,14 @@
     return true;
   }
 
-  /** Unloads the adapter unused longest; false when those in use leave no room. */
-  private async makeRoom(): Promise<boolean> {
-    const victim = this.longestUnused();
+  /** Unloads the least recently used adapter; returns false when no slot was freed. */
+  private async freeSlot(): Promise<boolean> {
+    const victim = this.leastRecentlyUsed();
     return victim !== undefined && this.unload(victim);
   }
 
   private async unload(victim: AdapterTarget): Promise<boolean> {
-    const { residents, sender, announce, onDoubt } = this.options;
+    const { residents, sender, announce, onUnknownOutcome } = this.options;
     residents.setAdapter(victim, 'unloading');
     announce(victim, false);
     const outcome = await sender.send('unload', victim);
@@ -155,16 +166,16 @@
       residents.dropAdapter(victim);
       return true;
     }
-    // Taken, but a run still uses it: it holds its slot until a report shows it gone.
+    // A run still uses the adapter: it occupies its slot until a report no longer lists it.
     if (outcome === 'accepted') void this.awaitUnloaded(victim);
-    else onDoubt();
+    else onUnknownOutcome();
     return false;
   }
 
   private async awaitUnloaded(victim: AdapterTarget): Promise<void> {
-    const { clock, signal, sender, residents, onDoubt } = this.options;
+    const { clock, signal, sender, residents, onUnknownOutcome } = this.options;
     const startedAt = clock.monotonic();
-    while (!signal.aborted && clock.monotonic() - startedAt < UNLOAD_LIMIT_MS) {
+    while (!signal.aborted && clock.monotonic() - startedAt < ADAPTER_UNLOAD_TIMEOUT_MS) {
       await sleep(clock, REPORT_LAG_MS, signal);
       if (residents.adapterOf(victim)?.state !== 'unloading') return;
       const report = await this.tryReport(sender);
@@ -174,19 +185,19 @@
         return;
       }
     }
-    onDoubt();
+    onUnknownOutcome();
   }
 
   private async tryReport(sender: OrderSender): Promise<WorkerReport | undefined> {
     try {
       return await sender.report();
     } catch {
-      // The worker is gone.
+      // The worker is no longer in the directory.
       return undefined;
     }
   }
 
-  private longestUnused(): AdapterTarget | undefined {
+  private leastRecentlyUsed(): AdapterTarget | undefined {
     const { residents } = this.options;
     let victim: AdapterTarget | undefined;
     let longestIdleMs = -1;
@@ -201,7 +212,10 @@
     return victim;
   }
 
-  /** Time since a copy was last used, by requests for its version or for any; below 0 while it is in use. */
+  /**
+   * Returns the time since a copy was last used, by requests for its version or for any; negative while it is
+   * in use.
+   */
   private idleMs(model: string, copy: AdapterCopy): number {
     const { loads, backEndId } = this.options;
     const keys = keysServedBy(model, copy);
--- a/packages/residency/src/index.ts
+++ b/packages/residency/src/index.ts
@@ -1,5 +1,5 @@
-/** Which model is resident on which worker. */
-export * from './copies.js';
+/** Decides which model is resident on which worker. */
+export * from './local-copies.js';
 export * from './demand-router.js';
 export * from './lease-contacts.js';
 export * from './load-admission.js';
--- a/packages/residency/src/lease-contacts.ts
+++ b/packages/residency/src/lease-contacts.ts
@@ -1,6 +1,7 @@
 /**
- * What daemons say to each other about the leases of zones: holders keep in contact with their witnesses, candidates
- * have a holder refused that is out of contact, and a daemon that was started again is told of leases recorded as its own.
+ * Messages between daemons about the leases of zones: holders stay in contact with their witnesses,
+ * candidates have an unresponsive holder refused, and a restarted daemon is notified of leases recorded as
+ * its own.
  */
 import {
   LeaseWitness,
@@ -25,12 +26,12 @@
 } from '@woodbarrow/protocol';
 import { sleep, type Clock } from '@woodbarrow/runtime';
 
-/** A daemon with its present run. */
+/** A daemon and its current process instance. */
 export interface RunningMember extends Member {
   readonly instance: number;
 }
 
-/** A daemon that is known, be it present or lost. */
+/** A daemon that is known, whether present or lost. */
 export interface KnownMember extends RunningMember {
   readonly isPresent: boolean;
 }
@@ -38,31 +39,31 @@
 /** Options of {@link LeaseContacts}. */
 export interface LeaseContactsOptions {
   readonly self: Member;
-  /** This run of the process. */
+  /** Identifies this run of the process. */
   readonly instance: number;
-  /** Daemons present, this one included. */
+  /** Returns the daemons present, this one included. */
   readonly members: () => readonly RunningMember[];
-  /** All daemons that have not left for good, this one included. */
+  /** Returns all daemons that have not left for good, this one included. */
   readonly knownMembers: () => readonly KnownMember[];
   /** Whether this daemon holds a lease and may still act under it. */
   readonly mayStillAct: (lease: string) => boolean;
   readonly peers: PeerNetwork;
-  /** Called when another daemon says that a zone's lease is recorded as this machine's own. */
+  /** Called when another daemon reports that a zone's lease is recorded as held by this daemon. */
   readonly onResume: (zone: string) => void;
   readonly failures: CallFailures;
   readonly clock: Clock;
 }
 
-/** Witnesses of a lease where there are enough daemons: one may be lost. */
-const WITNESSES = 3;
-/** Milliseconds that a witness has to answer. */
-const ANSWER_LIMIT_MS = 300;
-/** Rounds in which a candidate asks for a refusal before it looks at the record again. */
-const REFUSAL_ROUNDS = 3;
-/** Least pause between two such rounds, in milliseconds. */
-const LEAST_ROUND_PAUSE_MS = 100;
+/** Number of witnesses of a lease if there are enough daemons; tolerates the loss of one. */
+const WITNESS_COUNT = 3;
+/** Timeout of a call to another daemon, in milliseconds. */
+const CALL_TIMEOUT_MS = 300;
+/** Rounds in which a candidate requests a refusal before it reads the lease record again. */
+const MAX_REFUSAL_ROUNDS = 3;
+/** Minimum pause between two such rounds, in milliseconds. */
+const MIN_ROUND_PAUSE_MS = 100;
 
-/** Contacts of one daemon. */
+/** Sends and answers the lease messages of one daemon. */
 export class LeaseContacts {
   private readonly witness: LeaseWitness;
 
@@ -70,11 +71,11 @@
     this.witness = new LeaseWitness(options.clock);
   }
 
-  /** Starts answering. */
+  /** Registers the message handlers. */
   start(): void {
     const { peers, instance, onResume } = this.options;
     peers.handle(leaseContactMethod, (message) => ({ accepted: this.witness.contact(message), instance }));
-    peers.handle(leaseRefusalMethod, (message) => this.refuseHere(message));
+    peers.handle(leaseRefusalMethod, (message) => this.answerRefusalRequest(message));
     peers.handle(leaseResumeMethod, ({ zone }) => {
       onResume(zone);
       return {};
@@ -82,14 +83,20 @@
   }
 
   /**
-   * Witnesses for a lease held here: those named that still answer, then daemons of the zone, then others.
+   * Chooses witnesses for a lease held here: responsive current witnesses first, then daemons of the zone,
+   * then others.
    *
-   * @param zone Zone that the lease is for: its daemons share the fate of its workers' links.
+   * @param zone Zone of the lease. Its daemons share the network links of its workers, so they are preferred.
    */
-  choose(zone: string, named: readonly WitnessId[], silent: readonly WitnessId[]): readonly WitnessId[] {
+  chooseWitnesses(
+    zone: string,
+    named: readonly WitnessId[],
+    unresponsive: readonly WitnessId[],
+  ): readonly WitnessId[] {
     const { self, members } = this.options;
-    const isSilent = ({ id }: RunningMember): boolean => silent.some((witness) => witness.id === id);
-    const usable = members().filter((member) => member.id !== self.id && !isSilent(member));
+    const isUnresponsive = ({ id }: RunningMember): boolean =>
+      unresponsive.some((witness) => witness.id === id);
+    const usable = members().filter((member) => member.id !== self.id && !isUnresponsive(member));
     const isNamed = (member: RunningMember): boolean =>
       named.some(({ id, instance }) => id === member.id && instance === member.instance);
     const rank = (member: RunningMember): number =>
@@ -97,22 +104,21 @@
     const ranked = rankByRendezvous(`witness ${zone}`, usable).sort(
       (left, right) => rank(right) - rank(left),
     );
-    const count = ranked.length >= WITNESSES ? WITNESSES : Math.min(1, ranked.length);
+    const count = ranked.length >= WITNESS_COUNT ? WITNESS_COUNT : Math.min(1, ranked.length);
     return ranked.slice(0, count).map(({ id, instance }) => ({ id, instance }));
   }
 
   /**
-   * Whether most witnesses of a lease may still answer: a daemon that was started again is another witness. Against waiting until they
-   * have long been silent: coordinators whose witnesses had been restarted did not act for 1.9 s (84 demands turned away, a play with
-   * all logs), and 0.25 s since (22).
+   * Whether a majority of a lease's witnesses can still answer. A restarted daemon does not count as the
+   * witness it was before. Lets the holder name new witnesses at once instead of waiting for a timeout.
    */
-  mayReachMajority({ witnesses }: StoreLease): boolean {
+  canReachMajority({ witnesses }: StoreLease): boolean {
     const running = witnesses.filter((witness) => this.runningMember(witness) !== undefined);
     return witnesses.length === 0 || running.length >= majorityOf(witnesses);
   }
 
-  /** Asks the witnesses of a lease held here to let it go on. */
-  async touch(name: string, lease: StoreLease): Promise<void> {
+  /** Contacts the witnesses of a lease held here so that the holder may keep acting. */
+  async contactWitnesses(name: string, lease: StoreLease): Promise<void> {
     const { clock, peers, failures } = this.options;
     const { era, revision } = lease.position;
     await Promise.all(
@@ -122,9 +128,9 @@
         const askedAt = clock.elapsed();
         const message = { lease: name, era, revision };
         const answer = await peers
-          .call(member.address, leaseContactMethod, message, { timeoutMs: ANSWER_LIMIT_MS })
+          .call(member.address, leaseContactMethod, message, { timeoutMs: CALL_TIMEOUT_MS })
           .catch((error: unknown) => {
-            // Noticed by the time since it last answered.
+            // A missing answer shows in the time since the witness last answered.
             failures.note('lease contact', witness.id, error);
             return undefined;
           });
@@ -134,8 +140,11 @@
     );
   }
 
-  /** Has the holder of a record refused by most of its witnesses; undefined when they do not agree in time. */
-  async refuse(
+  /**
+   * Requests a majority of a lease's witnesses to refuse its holder; undefined when they do not agree in
+   * time.
+   */
+  async requestRefusal(
     name: string,
     { record, era, revision }: StoredLease,
     signal: AbortSignal,
@@ -143,14 +152,14 @@
     const position = { era, revision };
     const needed = majorityOf(record.witnesses);
     if (record.witnesses.length === 0) return undefined;
-    for (let round = 0; round < REFUSAL_ROUNDS && !signal.aborted; round += 1) {
+    for (let round = 0; round < MAX_REFUSAL_ROUNDS && !signal.aborted; round += 1) {
       const answers = await Promise.all(
-        record.witnesses.map((witness) => this.askRefusal(name, position, witness)),
+        record.witnesses.map((witness) => this.requestWitnessRefusal(name, position, witness)),
       );
-      const known = answers.filter((answer) => answer !== undefined);
-      if (known.length < needed) return undefined;
-      const agreed = known.filter((answer) => answer.agreed);
-      const lastContactAgoMs = Math.min(...known.map((answer) => answer.lastContactAgoMs));
+      const received = answers.filter((answer) => answer !== undefined);
+      if (received.length < needed) return undefined;
+      const agreed = received.filter((answer) => answer.agreed);
+      const lastContactAgoMs = Math.min(...received.map((answer) => answer.lastContactAgoMs));
       if (agreed.length >= needed) {
         return {
           ...position,
@@ -158,21 +167,23 @@
           lastContactAgoMs: Math.min(...agreed.map((answer) => answer.lastContactAgoMs)),
         };
       }
-      const pauseMs = Math.max(LEAST_ROUND_PAUSE_MS, CONTACT_LIFETIME_MS - lastContactAgoMs);
+      const pauseMs = Math.max(MIN_ROUND_PAUSE_MS, CONTACT_LIFETIME_MS - lastContactAgoMs);
       await sleep(this.options.clock, pauseMs, signal);
     }
     return undefined;
   }
 
   /**
-   * Has whoever holds a lease refused by every daemon that is known, as the store was restored and does not tell which are its witnesses; undefined
-   * unless all agree.
+   * Requests every known daemon to refuse the holder of a lease, as a restored store does not record its
+   * witnesses; undefined unless all agree.
    */
-  async refuseEverywhere(name: string, position: StorePosition): Promise<RefusedHolder | undefined> {
+  async requestRefusalFromAll(name: string, position: StorePosition): Promise<RefusedHolder | undefined> {
     const known = this.options.knownMembers();
-    // One that is lost may only be out of reach, and be a witness, or the holder.
+    // A lost daemon may only be unreachable, and may be a witness or the holder.
     if (!known.every(({ isPresent }) => isPresent)) return undefined;
-    const answers = await Promise.all(known.map((member) => this.askMember(name, position, member)));
+    const answers = await Promise.all(
+      known.map((member) => this.requestMemberRefusal(name, position, member)),
+    );
     const agreed = answers.filter((answer) => answer?.agreed === true);
     if (agreed.length < known.length) return undefined;
     return {
@@ -182,21 +193,23 @@
     };
   }
 
-  /** Tells the holder of a record to take its lease back, if it has been started again since. */
-  resumeRestarted(zone: string, { record }: StoredLease): boolean {
+  /**
+   * Notifies the recorded holder of a lease to resume it, if it has restarted since. Returns whether it has.
+   */
+  notifyRestartedHolder(zone: string, { record }: StoredLease): boolean {
     const { members, peers, failures } = this.options;
     const holder = members().find(({ id }) => id === record.holder);
     if (holder === undefined || holder.instance === record.instance) return false;
     peers
-      .call(holder.address, leaseResumeMethod, { zone }, { timeoutMs: ANSWER_LIMIT_MS })
+      .call(holder.address, leaseResumeMethod, { zone }, { timeoutMs: CALL_TIMEOUT_MS })
       .catch((error: unknown) => {
-        // It is told again with the next look at the lease.
+        // The next check of the lease notifies it again.
         failures.note('lease resume', holder.id, error);
       });
     return true;
   }
 
-  private async askRefusal(
+  private async requestWitnessRefusal(
     name: string,
     position: StorePosition,
     witness: WitnessId,
@@ -204,19 +217,19 @@
     const { self, instance } = this.options;
     if (witness.id === self.id && witness.instance !== instance) return undefined;
     const member = this.runningMember(witness);
-    return member === undefined ? undefined : this.askMember(name, position, member);
+    return member === undefined ? undefined : this.requestMemberRefusal(name, position, member);
   }
 
-  private async askMember(
+  private async requestMemberRefusal(
     name: string,
     position: StorePosition,
     { id, address, instance }: RunningMember,
   ): Promise<LeaseRefusalAnswer | undefined> {
     const { peers, self, failures } = this.options;
     const message = { lease: name, ...position };
-    if (id === self.id) return this.refuseHere(message);
+    if (id === self.id) return this.answerRefusalRequest(message);
     const answer = await peers
-      .call(address, leaseRefusalMethod, message, { timeoutMs: ANSWER_LIMIT_MS })
+      .call(address, leaseRefusalMethod, message, { timeoutMs: CALL_TIMEOUT_MS })
       .catch((error: unknown) => {
         // A daemon that does not answer has not agreed.
         failures.note('lease refusal', id, error);
@@ -225,14 +238,14 @@
     return answer?.instance === instance ? answer : undefined;
   }
 
-  /** A holder that may still act agrees to no refusal, its own included. */
-  private refuseHere(message: LeaseRefusalMessage): LeaseRefusalAnswer {
+  /** Answers a refusal request. A holder that may still act does not agree. */
+  private answerRefusalRequest(message: LeaseRefusalMessage): LeaseRefusalAnswer {
     const { instance, mayStillAct } = this.options;
     if (mayStillAct(message.lease)) return { agreed: false, lastContactAgoMs: 0, instance };
     return { ...this.witness.refuse(message), instance };
   }
 
-  /** The witness in the run in which it was named. */
+  /** Returns the witness if it still runs the instance that was named. */
   private runningMember({ id, instance }: WitnessId): RunningMember | undefined {
     return this.options.members().find((member) => member.id === id && member.instance === instance);
   }
--- a/packages/residency/src/load-planner.ts
+++ b/packages/residency/src/load-planner.ts
@@ -1,13 +1,12 @@
 /**
- * Plans the loads of one zone from what is known now: which workers may load, what the weight store bears, how many
- * replicas there are and what is asked for. Decides nothing by itself: see {@link planLoads} and
- * {@link choosePlacement}.
+ * Plans the loads of one zone from the current state: available workers, capacity of the weight store,
+ * replicas and demand. The decisions are made by {@link planLoads} and {@link choosePlacement}.
  */
 import type { BackendDirectory, EngineDefinition, LoadBook, ServiceDefinition } from '@woodbarrow/backends';
 import type { Clock } from '@woodbarrow/runtime';
 import { planLoads, urgencyOf, type LoadPlan, type PlannedLoad } from './load-plan.js';
 import type { LoadTimes } from './load-times.js';
-import { RememberedLoads, remembered, type LoadView } from './load-view.js';
+import { MemoizedLoads, memoize, type LoadView } from './load-view.js';
 import { LoadWindow } from './load-window.js';
 import type { DemandGroup, NoPlaceCause } from './pending-demand.js';
 import {
@@ -19,15 +18,15 @@
   type RankedVictim,
 } from './placement-choice.js';
 import type { ResidentSet } from './resident-set.js';
-import type { ReturnPromises } from './return-promises.js';
+import type { RetryReservations } from './return-promises.js';
 import type { StoreLink, StoreLoad } from './store-link.js';
 import type { UnservedModels } from './unserved-models.js';
 import type { WorkerOrders } from './worker-orders.js';
 
-/** What the weight store bears. */
+/** Rate limit of the weight store. */
 export interface StoreWindowOptions {
   readonly windowMs: number;
-  /** Allowed excess over the rate, for example 1.1. */
+  /** Allowed factor over the configured rate, for example 1.1. */
   readonly overshoot: number;
 }
 
@@ -36,9 +35,9 @@
   readonly directory: BackendDirectory;
   readonly loads: LoadBook;
   readonly serviceOf: (name: string) => ServiceDefinition | undefined;
-  /** Workers of the zone that take requests, by service. */
+  /** Returns the workers of the zone that accept requests, by service. */
   readonly workersOf: (service: string) => readonly WorkerOrders[];
-  /** Zones with workers that run models: they share the weight store. */
+  /** Returns the zones with workers that run models; they share the weight store. */
   readonly zones: () => readonly string[];
   readonly storeWindow: StoreWindowOptions;
   readonly link: StoreLink;
@@ -47,72 +46,80 @@
 }
 
 /**
- * What one plan reads, each answer worked out once: all groups of a plan ask for the same victims on the same workers, and ranking
- * them anew for each group was 22 % of a coordinator's processor time (98 workers, 334 models, a hundred groups that wait).
+ * Inputs of one plan, each computed once: all groups of a plan need the same victims of the same workers, and
+ * ranking them again for each group dominates the cost of planning.
  */
-interface PlanView {
+interface PlanInputs {
   readonly engine: EngineDefinition;
   readonly loads: LoadView;
-  /** Workers in all zones that hold a model. */
+  /** Returns the number of workers in all zones that hold a model. */
   readonly replicasOf: (model: string) => number;
   readonly victimsOf: (candidate: PlacementCandidate) => readonly RankedVictim[];
 }
 
-/** A plan with all that it was made from, for groups that come a moment later. */
-export interface Outlook {
+/** A plan with its inputs, used to place groups that arrive shortly after it was made. */
+export interface PlanSnapshot {
   readonly plan: LoadPlan;
-  /** Monotonic time at which it was made. */
+  /** Monotonic time at which the plan was made. */
   readonly madeAt: number;
-  /** Places a group with what the groups before it leave; undefined when no worker can make room. */
+  /**
+   * Places a group with the capacity that more urgent groups leave; undefined when no worker has capacity.
+   */
   readonly place: (group: DemandGroup) => PlacementChoice | undefined;
-  /** Why there is no place for a group. */
-  readonly whyNoPlace: (group: DemandGroup) => NoPlaceCause;
+  /** Returns why a group cannot be placed. */
+  readonly noPlaceCause: (group: DemandGroup) => NoPlaceCause;
 }
 
-/** Limits of a placement that are set otherwise than usual. */
-type PlacementLimits = Partial<Pick<PlacementInputs, 'maximumVictimValue' | 'storeWaitMs'>>;
+/** Limits that override those of a usual placement. */
+type PlacementOverrides = Partial<Pick<PlacementInputs, 'maximumVictimValue' | 'storeWaitMs'>>;
 
-/** Loads allowed in a window beside the rate. */
+/** Number of loads allowed in a window in addition to the rate. */
 const WINDOW_EXTRA_LOADS = 3;
-/** Part of the allowed loads that is used; what other zones do at a change of hands is not known. */
-const WINDOW_SAFETY = 0.85;
-/** Another replica takes the place only of models that are asked for clearly less, by this factor. */
-const ANOTHER_REPLICA_SHARE = 0.5;
-/** Models that are asked for less than this make way for any request. */
-const LEAST_VICTIM_VALUE = 3;
+/** Share of the allowed loads that is used; leaves a reserve for loads that a change of coordinator hides. */
+const WINDOW_SAFETY_FACTOR = 0.85;
+/** An additional replica may evict only models whose demand is below this share of its own. */
+const REPLICA_VICTIM_VALUE_SHARE = 0.5;
+/** Models with less demand than this may always be evicted. */
+const MIN_VICTIM_VALUE_LIMIT = 3;
 /**
- * Time in which a model that is asked for in vain may displace twice as much, in milliseconds. Recent demand counts hundreds at
- * most, which is reached in seven seconds: less than clients of rarely used models wait, and more than a usual swap takes.
+ * Interval after which the victim limit of an unserved model doubles, in milliseconds. The limit exceeds any
+ * usual demand before typical clients give up.
  */
-const AGE_DOUBLING_MS = 1000;
-/** Part of the weight store's link that second replicas may use; the rest is for models that nobody has. */
-const ANOTHER_REPLICA_LINK_SHARE = 0.5;
+const VICTIM_LIMIT_DOUBLING_MS = 1000;
+/**
+ * Share of the weight store's link that additional replicas may use; the rest is for models without any
+ * replica.
+ */
+const REPLICA_LINK_SHARE = 0.5;
 
-/** Planner of one zone's loads. */
+/** Plans the loads of one zone. */
 export class LoadPlanner {
   private readonly window: LoadWindow;
-  private storeLimit = 1;
+  private storeWindowLimit = 1;
 
   constructor(
     private readonly options: LoadPlannerOptions,
-    private readonly promises: ReturnPromises,
+    private readonly reservations: RetryReservations,
     private readonly unserved: Pick<UnservedModels, 'waitedMs'>,
   ) {
     const { storeWindow, clock, zones } = options;
     this.window = new LoadWindow(
-      { windowMs: storeWindow.windowMs, limit: () => this.storeLimit, sharers: () => zones().length },
+      { windowMs: storeWindow.windowMs, limit: () => this.storeWindowLimit, zoneCount: () => zones().length },
       clock,
     );
   }
 
-  /** Plans the loads of groups of demands, the most urgent first; undefined for a service whose workers hold no models. */
-  plan(service: string, groups: readonly DemandGroup[]): Outlook | undefined {
+  /**
+   * Plans the loads of groups of demands, most urgent first; undefined for a service whose workers hold no
+   * models.
+   */
+  plan(service: string, groups: readonly DemandGroup[]): PlanSnapshot | undefined {
     const { clock, serviceOf, link } = this.options;
     const engine = serviceOf(service)?.engine;
     if (engine === undefined) return undefined;
-    link.account();
-    this.storeLimit = this.storeLimitOf(engine);
-    const view = this.viewOf(service, engine);
+    link.accumulateConcurrency();
+    this.storeWindowLimit = this.storeWindowLimitOf(engine);
+    const view = this.createView(service, engine);
     const candidates = this.candidates(service);
     const madeAt = clock.monotonic();
     const plan = planLoads({
@@ -125,14 +132,14 @@
       plan,
       madeAt,
       place: (group) => this.choose(group, plan.candidatesFor(urgencyOf(group, clock.monotonic())), view),
-      whyNoPlace: (group) => this.whyNoPlace(group, candidates, view),
+      noPlaceCause: (group) => this.noPlaceCause(group, candidates, view),
     };
   }
 
-  private whyNoPlace(
+  private noPlaceCause(
     group: DemandGroup,
     candidates: readonly PlacementCandidate[],
-    view: PlanView,
+    view: PlanInputs,
   ): NoPlaceCause {
     if (candidates.length === 0) return 'no_worker';
     if (this.choose(group, candidates, view, { maximumVictimValue: Infinity }) !== undefined)
@@ -141,17 +148,17 @@
     return this.choose(group, candidates, view, withStore) === undefined ? 'no_memory' : 'store_barred';
   }
 
-  private viewOf(service: string, engine: EngineDefinition): PlanView {
+  private createView(service: string, engine: EngineDefinition): PlanInputs {
     const { clock, times } = this.options;
-    const loads = new RememberedLoads(this.options.loads);
+    const loads = new MemoizedLoads(this.options.loads);
     const replicasOf = this.countReplicas(service);
     const now = clock.monotonic();
-    const promisedUntil = (name: string): number => this.promises.until(name);
+    const reservedUntil = (name: string): number => this.reservations.reservedUntil(name);
     const victims = new Map<ResidentSet, readonly RankedVictim[]>();
     const victimsOf = (candidate: PlacementCandidate): readonly RankedVictim[] => {
       let ranked = victims.get(candidate.residents);
       if (ranked === undefined) {
-        ranked = rankVictims(candidate, { loads, times, now, promisedUntil, replicasOf });
+        ranked = rankVictims(candidate, { loads, times, now, reservedUntil, replicasOf });
         victims.set(candidate.residents, ranked);
       }
       return ranked;
@@ -159,18 +166,18 @@
     return { engine, loads, replicasOf, victimsOf };
   }
 
-  /** Whether a worker could begin a load now. */
+  /** Whether a worker could start a load now. */
   hasFreeWorker(service: string): boolean {
     return this.candidates(service).some(({ busyMs }) => busyMs <= 0);
   }
 
-  /** Whether the weight store bears a load now; loads that begin in one pass count as well. */
-  storeAllows({ group, choice }: PlannedLoad): boolean {
+  /** Whether the weight store can take a load now, including loads already started in the same pass. */
+  canUseStore({ group, choice }: PlannedLoad): boolean {
     return choice.source !== 'store' || this.storeWaitMs(group, choice.loadMs) <= 0;
   }
 
-  /** Counts a load from the weight store that begins; undefined for any other. */
-  noteStart({ group, choice }: PlannedLoad): StoreLoad | undefined {
+  /** Records the start of a load from the weight store; undefined for any other source. */
+  recordStart({ group, choice }: PlannedLoad): StoreLoad | undefined {
     if (choice.source !== 'store') return undefined;
     this.window.record();
     const { link, serviceOf } = this.options;
@@ -178,30 +185,31 @@
     return link.begin(model?.storeLoadMs ?? choice.loadMs);
   }
 
-  /** Milliseconds until the weight store may be used for a group; Infinity when it may not. */
+  /** Returns the milliseconds until the weight store may be used for a group; Infinity when it may not. */
   private storeWaitMs(group: DemandGroup, loadMs: number): number {
     const { link } = this.options;
     if (!group.demands.some((demand) => demand.mayUseStore)) return Infinity;
-    if (group.another && link.atOnce >= link.limit * ANOTHER_REPLICA_LINK_SHARE) return Infinity;
+    if (group.isAdditionalReplica && link.concurrentLoads >= link.loadLimit * REPLICA_LINK_SHARE)
+      return Infinity;
     return Math.max(this.window.waitMs(), link.waitMs(loadMs));
   }
 
-  private storeLimitOf(engine: EngineDefinition): number {
+  private storeWindowLimitOf(engine: EngineDefinition): number {
     const { windowMs, overshoot } = this.options.storeWindow;
     const allowed = (engine.storeLoadsPerSecond * windowMs * overshoot) / 1000;
-    return Math.floor((allowed + WINDOW_EXTRA_LOADS) * WINDOW_SAFETY);
+    return Math.floor((allowed + WINDOW_EXTRA_LOADS) * WINDOW_SAFETY_FACTOR);
   }
 
   private choose(
     group: DemandGroup,
     available: readonly PlacementCandidate[],
-    { engine, loads, replicasOf, victimsOf }: PlanView,
-    limits: PlacementLimits = {},
+    { engine, loads, replicasOf, victimsOf }: PlanInputs,
+    limits: PlacementOverrides = {},
   ): PlacementChoice | undefined {
     const model = engine.models.get(group.model);
     if (model === undefined) return undefined;
     const isUsable = (candidate: PlacementCandidate): boolean =>
-      mayHold(candidate, model.name) &&
+      canLoad(candidate, model.name) &&
       group.demands.some((demand) => !demand.without.includes(candidate.backEnd.id));
     const wanted = loads.demandFor(model.name) + group.demands.length;
     const share = wanted / (replicasOf(model.name) + 1);
@@ -213,22 +221,22 @@
       times: this.options.times,
       storeWaitMs: this.storeWaitMs(group, model.storeLoadMs),
       storeSlowdown: this.options.link.slowdown(),
-      maximumVictimValue: group.another
-        ? share * ANOTHER_REPLICA_SHARE
-        : Math.max(LEAST_VICTIM_VALUE * this.ageFactor(group), share),
+      maximumVictimValue: group.isAdditionalReplica
+        ? share * REPLICA_VICTIM_VALUE_SHARE
+        : Math.max(MIN_VICTIM_VALUE_LIMIT * this.waitFactor(group), share),
       ...limits,
     });
   }
 
-  /** How much more a model may displace that has been asked for in vain for a while. */
-  private ageFactor({ service, model }: DemandGroup): number {
-    return 2 ** (this.unserved.waitedMs(service, model) / AGE_DOUBLING_MS);
+  /** Returns the factor by which the victim limit of a model has grown since it was first refused. */
+  private waitFactor({ service, model }: DemandGroup): number {
+    return 2 ** (this.unserved.waitedMs(service, model) / VICTIM_LIMIT_DOUBLING_MS);
   }
 
   private candidates(service: string): PlacementCandidate[] {
     const { directory, workersOf } = this.options;
     return workersOf(service)
-      .filter((worker) => worker.isKnown && worker.isResponsive)
+      .filter((worker) => worker.isSynchronized && worker.isResponsive)
       .flatMap((worker) => {
         const backEnd = directory.get(worker.backEndId);
         return backEnd === undefined ? [] : [{ backEnd, residents: worker.residents, busyMs: worker.busyMs }];
@@ -238,12 +246,15 @@
   private countReplicas(service: string): (model: string) => number {
     const counts = new Map<string, number>();
     const { directory } = this.options;
-    return (model) => remembered(counts, model, () => directory.holdersOf(service, { model }).length);
+    return (model) => memoize(counts, model, () => directory.holdersOf(service, { model }).length);
   }
 }
 
-/** Whether a worker can load a model now, or once it is free: one that unloads it is soon without it. */
-function mayHold({ residents, busyMs }: PlacementCandidate, model: string): boolean {
+/**
+ * Whether a worker can load a model now, or once it is free: a model that is being unloaded will be gone by
+ * then.
+ */
+function canLoad({ residents, busyMs }: PlacementCandidate, model: string): boolean {
   const state = residents.models.get(model)?.state;
   return state === undefined || (state === 'unloading' && busyMs > 0);
 }
--- a/packages/residency/src/worker-orders.ts
+++ b/packages/residency/src/worker-orders.ts
@@ -1,4 +1,4 @@
-/** What one worker is to hold: loads, unloads, and what is known of their outcome. */
+/** Loads and unloads models on one worker and tracks their outcome. */
 import {
   remainingMs,
   type AdapterTarget,
@@ -25,67 +25,67 @@
   readonly orders: OrderClient;
   readonly authority: OrderAuthority;
   readonly engine: () => EngineDefinition | undefined;
-  /** Told how long loads and unloads have taken. */
+  /** Records the duration of loads and unloads. */
   readonly times: LoadTimes;
   readonly quarantine: LoadQuarantine;
   readonly clock: Clock;
   readonly log: EventLog;
   readonly signal: AbortSignal;
-  /** Tells all daemons. */
+  /** Notifies all daemons of a change of residency. */
   readonly announce: (target: ModelTarget, resident: boolean) => void;
 }
 
-/** A load to carry out, with the models that make way for it first. Times in milliseconds, as expected. */
+/** A load with the models to evict first. Times are expected values in milliseconds. */
 export interface SwapOrder {
   readonly model: string;
   readonly victims: readonly string[];
   readonly unloadMs: number;
   readonly loadMs: number;
   readonly source: WeightSource;
-  /** Called when the worker has taken the load: what made way is gone. */
+  /** Called when the worker has accepted the load: the victims are gone. */
   readonly onLoadTaken?: () => void;
 }
 
-/** A swap under way. */
+/** A swap in progress. */
 interface SwapUnderWay {
   readonly beganAt: number;
   readonly expectedMs: number;
 }
 
-/** How the models of a swap made way. */
-interface UnloadFacts {
-  /** Foretold end of the last run of any of them, in milliseconds; 0 without runs. */
+/** Statistics on the evictions of a swap. */
+interface UnloadStatistics {
+  /** Predicted time until the last run of any victim ends, in milliseconds; 0 without runs. */
   readonly endsInMs: number;
-  /** Longest time for which one of them had taken no requests before. */
+  /** Longest time for which a victim had been retired before, in milliseconds. */
   readonly retiredMs: number;
 }
 
-/** Pause between two reports while a model is unloaded, in milliseconds. */
-const MODEL_POLL_MS = 60;
-/** Time that an unload takes at most: runs must end first, in milliseconds. */
-const UNLOAD_LIMIT_MS = 12_000;
-/** A load that takes this many times its expected time is given up, in addition to a fixed time. */
-const LOAD_LIMIT_FACTOR = 4;
-const LOAD_LIMIT_MS = 3000;
-/** Time that a worker is left to adapters after a load that they waited for, in milliseconds. */
-const ADAPTERS_TURN_MS = 60;
-/** Pause between two attempts to learn what a worker holds, in milliseconds. */
-const LEARN_PAUSE_MS = 400;
-
-/** One incarnation of a worker under orders. */
+/** Interval between reports while a model is unloaded, in milliseconds. */
+const UNLOAD_POLL_MS = 60;
+/** Maximum time of an unload, in milliseconds; includes the end of its runs. */
+const UNLOAD_TIMEOUT_MS = 12_000;
+/** A load times out after this multiple of its expected time plus a fixed extra. */
+const LOAD_TIMEOUT_FACTOR = 4;
+const LOAD_TIMEOUT_EXTRA_MS = 3000;
+/** Time reserved for adapters after a load that they waited for, in milliseconds. */
+const ADAPTER_WINDOW_MS = 60;
+/** Interval between attempts to read a worker's state, in milliseconds. */
+const RESYNC_INTERVAL_MS = 400;
+
+/** Orders to one incarnation of a worker. */
 export class WorkerOrders {
   readonly residents = new ResidentSet();
   private readonly sender: OrderSender;
   private readonly adapters: AdapterOrders;
-  private known = false;
-  private learning: Promise<void> | undefined;
-  private preparing: Promise<void> | undefined;
+  private synchronized = false;
+  private resynchronizing: Promise<void> | undefined;
+  private synchronizing: Promise<void> | undefined;
   private swapping: Promise<unknown> = Promise.resolve();
   private queuedSwaps = 0;
-  /** Monotonic time until which adapters have their turn. */
-  private adaptersUntil = 0;
-  private current: SwapUnderWay | undefined;
-  /** Adapters wanted that wait for the end of a load or unload. */
+  /** Monotonic time until which adapters take precedence over loads of models. */
+  private adapterWindowUntil = 0;
+  private currentSwap: SwapUnderWay | undefined;
+  /** Number of adapter loads that wait for the end of a swap. */
   private adaptersWaiting = 0;
 
   constructor(private readonly options: WorkerOrdersOptions) {
@@ -95,7 +95,7 @@
       sender: this.sender,
       residents: this.residents,
       slots: () => options.engine()?.adapterSlots ?? 0,
-      onDoubt: () => void this.learn(),
+      onUnknownOutcome: () => void this.resynchronize(),
     });
   }
 
@@ -103,86 +103,87 @@
     return this.options.backEndId;
   }
 
-  /** Whether what it holds is known well enough to order anything. */
-  get isKnown(): boolean {
-    return this.known;
+  /** Whether its state is known well enough for new orders. */
+  get isSynchronized(): boolean {
+    return this.synchronized;
   }
 
-  /** Whether it has answered of late. */
+  /** Whether it has answered recently. */
   get isResponsive(): boolean {
     return this.sender.isResponsive;
   }
 
-  /** Milliseconds until all loads and unloads decided so far are expected to be done. */
+  /** Expected milliseconds until all swaps decided so far are done. */
   get busyMs(): number {
     const now = this.options.clock.monotonic();
-    if (this.current !== undefined) return remainingMs(this.current.expectedMs, now - this.current.beganAt);
-    return Math.max(0, this.adaptersUntil - now);
+    if (this.currentSwap !== undefined)
+      return remainingMs(this.currentSwap.expectedMs, now - this.currentSwap.beganAt);
+    return Math.max(0, this.adapterWindowUntil - now);
   }
 
-  /** Milliseconds until an adapter of a model that it holds is expected to be resident. */
+  /** Returns the expected milliseconds until an adapter of a resident model is resident. */
   adapterReadyMs(target: AdapterTarget): number {
     return this.residents.isResident(target) ? 0 : this.busyMs + this.adapters.waitMs();
   }
 
-  /** Loads and unloads that are decided and not done. */
+  /** Number of swaps decided but not done. */
   get pendingSwaps(): number {
     return this.queuedSwaps;
   }
 
-  /** Learns what the worker holds, if that is not known. Resolves when it has been tried once. */
-  prepare(): Promise<void> {
-    if (this.known || this.learning !== undefined) return Promise.resolve();
-    this.preparing ??= this.prepareOnce().finally(() => {
-      this.preparing = undefined;
+  /** Reads the worker's state if it is unknown. Resolves after one attempt. */
+  synchronize(): Promise<void> {
+    if (this.synchronized || this.resynchronizing !== undefined) return Promise.resolve();
+    this.synchronizing ??= this.synchronizeOnce().finally(() => {
+      this.synchronizing = undefined;
     });
-    return this.preparing;
+    return this.synchronizing;
   }
 
-  /** Unloads the victims and loads the model. Resolves with whether it is resident. */
+  /** Evicts the victims and loads the model. Resolves with whether it is resident. */
   swap(order: SwapOrder): Promise<boolean> {
     const { clock, loads, backEndId } = this.options;
     const now = clock.monotonic();
-    this.current ??= { beganAt: now, expectedMs: order.unloadMs + order.loadMs };
+    this.currentSwap ??= { beganAt: now, expectedMs: order.unloadMs + order.loadMs };
     const unloads = {
       endsInMs: Math.max(0, ...order.victims.map((victim) => loads.endsInMs(backEndId, victim))),
       retiredMs: Math.max(0, ...order.victims.map((victim) => this.retiredMs(victim))),
     };
-    this.reserve(order.model, order.victims);
+    this.markSwapStarted(order.model, order.victims);
     this.queuedSwaps += 1;
     const result = this.swapping.then(() => this.carryOutSwap(order, unloads));
     this.swapping = result
       .catch(() => undefined)
       .finally(() => {
         this.queuedSwaps -= 1;
-        this.letAdaptersIn();
+        this.openAdapterWindow();
       });
     return result;
   }
 
   /**
-   * Stops new requests for just these models and lets requests for all others in again. They make way for the load
-   * that is planned next here, so that their runs end while the worker is still occupied by the load before.
+   * Stops new requests for exactly these models and accepts requests for all others again. Their runs can
+   * then end while the current load is still in progress.
    */
   retire(models: readonly string[]): void {
     const now = this.options.clock.monotonic();
     for (const [name, held] of this.residents.models) {
       if (held.state !== 'resident') continue;
-      const retires = models.includes(name);
-      if ((held.retiredAt !== undefined) === retires) continue;
-      held.retiredAt = retires ? now : undefined;
-      this.options.announce({ model: name }, !retires);
+      const shouldRetire = models.includes(name);
+      if ((held.retiredAt !== undefined) === shouldRetire) continue;
+      held.retiredAt = shouldRetire ? now : undefined;
+      this.options.announce({ model: name }, !shouldRetire);
     }
   }
 
-  /** Milliseconds for which a model has taken no new requests. */
+  /** Returns the milliseconds for which a model has been retired. */
   private retiredMs(model: string): number {
     const retiredAt = this.residents.models.get(model)?.retiredAt;
     return retiredAt === undefined ? 0 : this.options.clock.monotonic() - retiredAt;
   }
 
-  /** Lets requests for a model in again, which is asked for after all. */
-  keep(model: string): void {
+  /** Accepts requests again for a retired model that is still requested. */
+  cancelRetirement(model: string): void {
     const held = this.residents.models.get(model);
     if (held?.state !== 'resident' || held.retiredAt === undefined) return;
     held.retiredAt = undefined;
@@ -190,13 +191,13 @@
   }
 
   /**
-   * Loads an adapter of a resident model. Resolves with whether it is resident. Waits while the worker loads or
-   * unloads a model, as it takes no adapter then.
+   * Loads an adapter of a resident model and resolves with whether it is resident. Waits for the end of
+   * swaps, as the worker accepts no adapter meanwhile.
    */
   async loadAdapter(target: AdapterTarget, withinMs: number): Promise<boolean> {
     const { clock } = this.options;
     const deadline = clock.monotonic() + withinMs;
-    if (!this.known) await this.prepare();
+    if (!this.synchronized) await this.synchronize();
     if (this.residents.isResident(target)) return true;
     this.adaptersWaiting += 1;
     try {
@@ -206,26 +207,27 @@
     } finally {
       this.adaptersWaiting -= 1;
     }
-    if (!this.known || this.queuedSwaps > 0) return this.residents.isResident(target);
+    if (!this.synchronized || this.queuedSwaps > 0) return this.residents.isResident(target);
     return this.adapters.load(target, deadline);
   }
 
-  /** Adapters that have waited for a load go before the next one. */
-  private letAdaptersIn(): void {
+  /** Lets adapters that waited for a swap go before the next one. */
+  private openAdapterWindow(): void {
     if (this.queuedSwaps > 0) return;
-    this.current = undefined;
-    if (this.adaptersWaiting > 0) this.adaptersUntil = this.options.clock.monotonic() + ADAPTERS_TURN_MS;
+    this.currentSwap = undefined;
+    if (this.adaptersWaiting > 0)
+      this.adapterWindowUntil = this.options.clock.monotonic() + ADAPTER_WINDOW_MS;
   }
 
-  /** One report is enough for a worker that nothing was ordered of. */
-  private async prepareOnce(): Promise<void> {
+  /** A single report suffices for a worker without outstanding orders. */
+  private async synchronizeOnce(): Promise<void> {
     const report = await this.tryReport();
     if (report === undefined) return;
-    if (this.sender.isSettled(report)) this.adopt(report);
-    else void this.learn();
+    if (this.sender.isSettled(report)) this.adoptReport(report);
+    else void this.resynchronize();
   }
 
-  private reserve(model: string, victims: readonly string[]): void {
+  private markSwapStarted(model: string, victims: readonly string[]): void {
     const { clock, engine, announce } = this.options;
     const now = clock.monotonic();
     const definition = engine()?.models.get(model);
@@ -239,7 +241,7 @@
     if (definition !== undefined) this.residents.setModel(definition, 'loading', now);
   }
 
-  private async carryOutSwap(order: SwapOrder, unloads: UnloadFacts): Promise<boolean> {
+  private async carryOutSwap(order: SwapOrder, unloads: UnloadStatistics): Promise<boolean> {
     const { clock, log, backEndId, times, engine } = this.options;
     const { model, victims, source } = order;
     const startedAt = clock.monotonic();
@@ -248,12 +250,12 @@
         await this.unload(victim, index === victims.length - 1);
       }
       const orderedAt = await this.load(order);
-      this.sender.loadEnded({ model }, true);
+      this.sender.recordLoadResult({ model }, true);
       const unloadMs = orderedAt - startedAt;
       const loadMs = clock.monotonic() - orderedAt;
-      if (victims.length > 0) times.noteUnload(unloads.endsInMs, unloadMs);
+      if (victims.length > 0) times.recordUnload(unloads.endsInMs, unloadMs);
       const definition = engine()?.models.get(model);
-      if (definition !== undefined) times.noteLoad(definition, source, loadMs);
+      if (definition !== undefined) times.recordLoad(definition, source, loadMs);
       log.changed('load_finished', {
         backEnd: backEndId,
         model,
@@ -268,13 +270,16 @@
       return true;
     } catch (error) {
       log.warned('load_failed', { backEnd: backEndId, model, cause: messageOf(error) });
-      this.sender.loadEnded({ model }, false);
-      void this.learn();
+      this.sender.recordLoadResult({ model }, false);
+      void this.resynchronize();
       return false;
     }
   }
 
-  /** The last unload before a load is not waited for: the worker takes the load as soon as it is done. */
+  /**
+   * Unloads a model. The last unload before a load is not awaited: the worker accepts the load as soon as it
+   * is done.
+   */
   private async unload(victim: string, isLast: boolean): Promise<void> {
     if (!this.residents.models.has(victim)) return;
     const outcome = await this.sender.send('unload', { model: victim });
@@ -284,11 +289,11 @@
     this.residents.models.delete(victim);
   }
 
-  /** @returns When the worker had taken the order, monotonic: what makes way is gone then. */
+  /** @returns Monotonic time at which the worker had accepted the order; the victims are gone by then. */
   private async load(order: SwapOrder): Promise<number> {
     const { clock } = this.options;
     const { model, victims } = order;
-    const outcome = await this.sender.send('load', { model }, victims.length > 0 ? UNLOAD_LIMIT_MS : 0);
+    const outcome = await this.sender.send('load', { model }, victims.length > 0 ? UNLOAD_TIMEOUT_MS : 0);
     if (outcome !== 'accepted' && outcome !== 'done') throw failedOrder(`load of ${model}`, outcome);
     const orderedAt = clock.monotonic();
     order.onLoadTaken?.();
@@ -303,66 +308,66 @@
   }
 
   /**
-   * Waits for the end of a load. The worker is asked from the shortest time on that a load can take, never later because it was
-   * expected to take longer, or what was expected would always come true.
+   * Waits for the end of a load. Polling starts at the minimum load time rather than the expected one:
+   * otherwise no load could be measured as faster than expected.
    */
   private async awaitLoad({ model, source, loadMs }: SwapOrder): Promise<void> {
     const { clock, signal, times, engine } = this.options;
     const definition = engine()?.models.get(model);
     const shortestMs = definition === undefined ? 0 : times.shortestLoadMs(definition, source);
     await sleep(clock, shortestMs, signal);
-    const limitMs = Math.max(shortestMs, loadMs) * LOAD_LIMIT_FACTOR + LOAD_LIMIT_MS;
+    const limitMs = Math.max(shortestMs, loadMs) * LOAD_TIMEOUT_FACTOR + LOAD_TIMEOUT_EXTRA_MS;
     const outcome = await this.sender.awaitLoaded({ model }, limitMs);
     if (outcome !== 'done') throw failedOrder(`end of the load of ${model}`, outcome);
   }
 
-  /** Waits until reports no longer show a model. */
+  /** Waits until reports no longer list a model. */
   private async awaitUnload(model: string): Promise<void> {
     const { clock, signal } = this.options;
     const startedAt = clock.monotonic();
-    while (!signal.aborted && clock.monotonic() - startedAt < UNLOAD_LIMIT_MS) {
-      await sleep(clock, MODEL_POLL_MS, signal);
+    while (!signal.aborted && clock.monotonic() - startedAt < UNLOAD_TIMEOUT_MS) {
+      await sleep(clock, UNLOAD_POLL_MS, signal);
       const report = await this.sender.report();
       if (report === undefined || report.sequence < (this.sender.expectedSequence ?? 0)) continue;
       const isListed = report.models.some((held) => held.name === model);
       if (!isListed && !report.busy) return;
     }
-    throw new WoodbarrowError('engine_refused', `${model} not unloaded in time`);
+    throw new WoodbarrowError('engine_refused', `unload of ${model} timed out`);
   }
 
   /**
-   * Learns what the worker holds from a report that shows the outcome of every order sent. Until then nothing
-   * more is ordered, and all that may be there stays counted.
+   * Reads the worker's state from a report that reflects every order sent. Until then nothing is ordered, and
+   * everything that may be resident stays counted.
    */
-  private learn(): Promise<void> {
-    this.known = false;
-    this.learning ??= this.learnUntilSettled().finally(() => {
-      this.learning = undefined;
+  private resynchronize(): Promise<void> {
+    this.synchronized = false;
+    this.resynchronizing ??= this.resynchronizeUntilSettled().finally(() => {
+      this.resynchronizing = undefined;
     });
-    return this.learning;
+    return this.resynchronizing;
   }
 
-  private async learnUntilSettled(): Promise<void> {
+  private async resynchronizeUntilSettled(): Promise<void> {
     const { signal, clock, directory, backEndId } = this.options;
     await sleep(clock, REPORT_LAG_MS, signal);
     while (!signal.aborted && directory.get(backEndId) !== undefined) {
       const report = this.queuedSwaps > 0 ? undefined : await this.tryReport();
       if (report !== undefined && this.sender.isSettled(report)) {
-        this.adopt(report);
+        this.adoptReport(report);
         return;
       }
-      await sleep(clock, LEARN_PAUSE_MS, signal);
+      await sleep(clock, RESYNC_INTERVAL_MS, signal);
     }
   }
 
-  private adopt(report: WorkerReport): void {
+  private adoptReport(report: WorkerReport): void {
     const { clock, engine, announce, log, backEndId } = this.options;
     const definitions = engine()?.models;
     if (definitions === undefined) return;
     const before = [...this.residents.models.keys()];
-    this.sender.adopt(report);
+    this.sender.adoptSequence(report);
     this.residents.replace(report.models, definitions, clock.monotonic());
-    this.known = true;
+    this.synchronized = true;
     const names = report.models.map((held) => held.name);
     for (const gone of before.filter((name) => !names.includes(name))) announce({ model: gone }, false);
     for (const held of report.models) announce({ model: held.name }, true);
--- a/packages/residency/src/zone-residency.ts
+++ b/packages/residency/src/zone-residency.ts
@@ -1,4 +1,4 @@
-/** The coordinator of one zone: answers demands for models on its workers while it holds the zone's lease. */
+/** Coordinates one zone: answers demands for models on its workers while it holds the zone's lease. */
 import {
   hasAdapter,
   targetKey,
@@ -42,37 +42,40 @@
   readonly random: Random;
   readonly log: EventLog;
   readonly signal: AbortSignal;
-  /** Zones with workers that run models: they share the weight store. */
+  /** Returns the zones with workers that run models; they share the weight store. */
   readonly zones: () => readonly string[];
   readonly storeWindow: StoreWindowOptions;
-  /** Loads from the weight store that the coordinators of other zones have under way. */
-  readonly storeLoadsElsewhere: () => number;
-  /** Milliseconds until a model that another zone loads now is expected there; Infinity when none does. */
-  readonly comesElsewhereInMs: (model: string) => number;
+  /** Returns the number of weight store loads in progress in other zones. */
+  readonly storeLoadsInOtherZones: () => number;
+  /**
+   * Returns the milliseconds until a model that another zone is loading should be resident there; Infinity
+   * when none is loading it.
+   */
+  readonly expectedElsewhereInMs: (model: string) => number;
   readonly quarantine: LoadQuarantine;
-  /** Tells all daemons. */
+  /** Notifies all daemons of a change of residency. */
   readonly announce: (change: ResidencyChange) => void;
 }
 
 /** What a zone's coordinator could not serve. */
 export interface UnservedDemands {
-  /** Models that are asked for in vain now. */
+  /** Number of models that are currently unserved. */
   readonly models: number;
-  /** Milliseconds since the first of them was first asked for in vain. */
+  /** Longest wait of an unserved model, in milliseconds. */
   readonly longestMs: number;
-  /** Answers and quotes without a place since the start. */
+  /** Refusals and quotes for lack of capacity since the start. */
   readonly noPlaceByCause: ReadonlyMap<string, number>;
-  /** Demands turned down since the start. */
+  /** Demands refused since the start. */
   readonly refusalsByReason: ReadonlyMap<string, number>;
 }
 
 const RETRY_AFTER_BUSY_MS = 500;
-/** Reason of an answer that only tells how long it would take. */
+/** Reason of an answer that is only a quote. */
 export const QUOTE_REASON = 'quote';
 
 const LOAD_QUARANTINED: RefusedDemandReason = 'load_quarantined';
 
-/** One zone's coordinator. */
+/** Coordinator of one zone. */
 export class ZoneResidency {
   private readonly workers = new Map<string, WorkerOrders>();
   private readonly scheduler: LoadScheduler;
@@ -83,37 +86,37 @@
     this.link = new StoreLink({
       clock: options.clock,
       random: options.random,
-      elsewhere: options.storeLoadsElsewhere,
-      sharers: () => options.zones().length,
+      loadsInOtherZones: options.storeLoadsInOtherZones,
+      zoneCount: () => options.zones().length,
     });
     this.scheduler = new LoadScheduler({
       ...options,
       times: this.times,
       link: this.link,
       admission: new LoadAdmission(options),
-      workersOf: (service) => this.openWorkers(service).map((backEnd) => this.workerOf(backEnd.id)),
+      workersOf: (service) => this.availableWorkers(service).map((backEnd) => this.workerOf(backEnd.id)),
       mayAct: () => options.lease.mayAct(),
     });
   }
 
-  /** Loads from the weight store that this coordinator has under way. */
+  /** Number of weight store loads in progress. */
   get storeLoads(): number {
-    return this.link.own;
+    return this.link.ownLoads;
   }
 
-  /** Loads under way, for other zones to know. */
+  /** Loads in progress, as advertised to other zones. */
   get loadsUnderWay(): readonly LoadUnderWay[] {
     return this.scheduler.loadsUnderWay();
   }
 
-  /** What it could not serve, for metrics. */
+  /** What could not be served, for metrics. */
   get unserved(): UnservedDemands {
     const { unserved, refusalsByReason } = this.scheduler;
     const { count, longestMs, byCause } = unserved;
     return { models: count, longestMs, noPlaceByCause: byCause, refusalsByReason };
   }
 
-  /** Answers a demand once the target is resident, or when it will not be in time; a quote at once. */
+  /** Answers a demand once the target is resident or cannot be in time; answers a quote at once. */
   async demand(message: ResidencyDemandMessage): Promise<ResidencyDemandAnswer> {
     const { clock } = this.options;
     const deadline = clock.monotonic() + message.withinMs;
@@ -121,8 +124,8 @@
     if (this.options.serviceOf(message.service)?.engine === undefined)
       return refused('no_engine', RETRY_AFTER_BUSY_MS);
     if (!(await this.waitUntilActing(leftMs()))) return refused('not_acting', RETRY_AFTER_BUSY_MS);
-    await this.prepareWorkers(message.service);
-    const verdict = this.verdictOn(message);
+    await this.synchronizeWorkers(message.service);
+    const verdict = this.quarantineVerdict(message);
     if (verdict !== undefined) return refused(LOAD_QUARANTINED, verdict.retryAfterMs);
     if (message.quote === true) return this.quote(message);
     const placed = await this.placeModel(message, leftMs());
@@ -130,8 +133,11 @@
     return this.placeAdapter(placed.backEndId, message, leftMs());
   }
 
-  /** Why what a demand needs is not loaded; undefined where nothing has to be loaded, or it may be. */
-  private verdictOn(message: ResidencyDemandMessage): Verdict | undefined {
+  /**
+   * Returns the verdict that forbids a load which a demand needs; undefined when no load is needed or it is
+   * allowed.
+   */
+  private quarantineVerdict(message: ResidencyDemandMessage): Verdict | undefined {
     const { quarantine } = this.options;
     const { service, model } = message;
     const target = targetOf(message);
@@ -144,20 +150,20 @@
     );
   }
 
-  /** What is done without being asked: learns of workers, begins what time alone has made possible. */
-  tend(service: string): void {
-    void this.prepareWorkers(service);
+  /** Runs periodic maintenance: reads the state of new workers and starts loads that have become possible. */
+  maintain(service: string): void {
+    void this.synchronizeWorkers(service);
     this.scheduler.schedule();
   }
 
-  /** Learns what the workers hold; waits for it only while none is known. */
-  private async prepareWorkers(service: string): Promise<void> {
-    const workers = this.openWorkers(service).map((worker) => this.workerOf(worker.id));
-    const prepared = Promise.all(workers.map((worker) => worker.prepare()));
-    if (!workers.some((worker) => worker.isKnown)) await prepared;
+  /** Reads the state of workers; waits for it only while no worker's state is known. */
+  private async synchronizeWorkers(service: string): Promise<void> {
+    const workers = this.availableWorkers(service).map((worker) => this.workerOf(worker.id));
+    const prepared = Promise.all(workers.map((worker) => worker.synchronize()));
+    if (!workers.some((worker) => worker.isSynchronized)) await prepared;
   }
 
-  /** Drops the workers that are gone. */
+  /** Removes a worker that is gone. */
   forget(backEndId: string): void {
     this.workers.delete(backEndId);
   }
@@ -172,26 +178,26 @@
   private quote(message: ResidencyDemandMessage): ResidencyDemandAnswer {
     const { service, model } = message;
     const holder = this.holderOf(message);
-    if (holder !== undefined) return refused(QUOTE_REASON, readyOn(holder, message));
+    if (holder !== undefined) return refused(QUOTE_REASON, readyMsOn(holder, message));
     const { readyMs, occupiesMs } = this.scheduler.quote(
-      { service, model, another: false },
+      { service, model, isAdditionalReplica: false },
       message.targetMs ?? message.withinMs,
       message,
     );
     return { ...refused(QUOTE_REASON, readyMs), occupiesMs };
   }
 
-  /** The worker that holds the model, now or after a load. */
+  /** Returns the worker that holds the model, waiting for a load if needed. */
   private async placeModel(message: ResidencyDemandMessage, withinMs: number): Promise<Placement> {
     const { service, model, targetMs } = message;
-    const another = message.another === true;
-    const holder = another ? undefined : this.holderOf(message);
+    const isAdditionalReplica = message.another === true;
+    const holder = isAdditionalReplica ? undefined : this.holderOf(message);
     if (holder !== undefined) {
-      holder.keep(model);
+      holder.cancelRetirement(model);
       return { kind: 'resident', backEndId: holder.backEndId };
     }
     return this.scheduler.wait(
-      { service, model, another },
+      { service, model, isAdditionalReplica },
       { targetMs: targetMs ?? withinMs, withinMs },
       { without: message.without, mayUseStore: message.mayUseStore },
     );
@@ -205,13 +211,19 @@
     const target = targetOf(message);
     if (!hasAdapter(target)) return held(backEndId);
     const worker = this.workerOf(backEndId);
-    const loaded = await this.settle(this.loadAdapter(worker, message.service, target, withinMs), withinMs);
+    const loaded = await this.resultWithin(
+      this.loadAdapter(worker, message.service, target, withinMs),
+      withinMs,
+    );
     return loaded === true
       ? held(backEndId)
       : refused('adapter_not_loaded', Math.max(RETRY_AFTER_BUSY_MS, worker.busyMs));
   }
 
-  /** Loads an adapter, one that is suspected to end workers on one worker at a time. Resolves with whether it is resident. */
+  /**
+   * Loads an adapter and resolves with whether it is resident. One suspected of crashing workers is loaded on
+   * one worker at a time.
+   */
   private async loadAdapter(
     worker: WorkerOrders,
     service: string,
@@ -220,11 +232,11 @@
   ): Promise<boolean> {
     const { clock, quarantine } = this.options;
     const deadline = clock.monotonic() + withinMs;
-    const timeUp = new AbortController();
+    const timeout = new AbortController();
     const cancelTimer = clock.schedule(withinMs, () => {
-      timeUp.abort();
+      timeout.abort();
     });
-    const turn = await quarantine.takeTurn(service, target, timeUp.signal);
+    const turn = await quarantine.takeTurn(service, target, timeout.signal);
     try {
       const leftMs = deadline - clock.monotonic();
       if (leftMs <= 0 || quarantine.verdictOf(service, target) !== undefined) return false;
@@ -235,27 +247,27 @@
     }
   }
 
-  /** The worker that has the target first among those that hold the model; always the same one where equal. */
+  /** Returns the holder of the model that has the target ready first; ties are resolved in a stable order. */
   private holderOf(message: ResidencyDemandMessage): WorkerOrders | undefined {
-    const holders = this.openWorkers(message.service)
+    const holders = this.availableWorkers(message.service)
       .filter((backEnd) => !message.without.includes(backEnd.id))
       .filter((backEnd) => this.workerOf(backEnd.id).residents.isResident({ model: message.model }));
     const ranked = rankByRendezvous(targetKey(targetOf(message)), holders);
     return leastBy(
       ranked.map((backEnd) => this.workerOf(backEnd.id)),
-      (worker) => readyOn(worker, message),
+      (worker) => readyMsOn(worker, message),
     );
   }
 
-  private openWorkers(service: string): BackEnd[] {
+  private availableWorkers(service: string): BackEnd[] {
     return this.options.directory
       .ofService(service)
       .filter((backEnd) => backEnd.zone === this.options.zone && !backEnd.draining);
   }
 
   private workerOf(backEndId: string): WorkerOrders {
-    const known = this.workers.get(backEndId);
-    if (known !== undefined) return known;
+    const existing = this.workers.get(backEndId);
+    if (existing !== undefined) return existing;
     const { directory, loads, orders, quarantine, clock, log, signal, holder } = this.options;
     const service = directory.get(backEndId)?.service ?? '';
     const worker = new WorkerOrders({
@@ -281,11 +293,11 @@
   private currentFence(): number {
     const { lease } = this.options;
     if (!lease.mayAct())
-      throw new WoodbarrowError('lease_lost', `the lease on ${this.options.zone} may not be used now`);
+      throw new WoodbarrowError('lease_lost', `the lease on ${this.options.zone} does not allow orders now`);
     return lease.fence;
   }
 
-  private async settle<T>(promise: Promise<T>, withinMs: number): Promise<T | undefined> {
+  private async resultWithin<T>(promise: Promise<T>, withinMs: number): Promise<T | undefined> {
     try {
       const settled = await settleWithin(this.options.clock, Math.max(0, withinMs), promise);
       return settled.timedOut ? undefined : settled.value;
@@ -300,8 +312,8 @@
   return adapterVersion === undefined ? { model, adapter } : { model, adapter, adapterVersion };
 }
 
-/** Milliseconds until a worker that holds the model has the adapter as well, if one is wanted. */
-function readyOn(worker: WorkerOrders, message: ResidencyDemandMessage): number {
+/** Returns the milliseconds until a worker that holds the model also has the requested adapter. */
+function readyMsOn(worker: WorkerOrders, message: ResidencyDemandMessage): number {
   const target = targetOf(message);
   return hasAdapter(target) ? worker.adapterReadyMs(target) : 0;
 }
--- a/packages/residency/test/crashing-loads-world.ts
+++ b/packages/residency/test/crashing-loads-world.ts
@@ -1,4 +1,6 @@
-/** Zones with a coordinator each, on virtual time, and loads that end each worker that begins them. */
+/**
+ * Several zones with a coordinator each, on virtual time, and loads that crash every worker that starts them.
+ */
 import { BackendDirectory, LoadBook, NO_NEARBY_COPIES, type ModelTarget } from '@woodbarrow/backends';
 import { StoreLease } from '@woodbarrow/coordination';
 import { silentLog } from '@woodbarrow/observability';
@@ -13,45 +15,45 @@
 import { ZoneResidency } from '../src/index.js';
 import { daemonQuarantine, type DaemonQuarantine } from './load-quarantines.js';
 import { SimulatedOrderClient, SimulatedWorker } from './simulated-workers.js';
-import { ENGINE, SERVICE, plainLeaseStore } from './zone-world.js';
+import { ENGINE, SERVICE, inMemoryLeaseStore } from './zone-world.js';
 
-/** Time after which another process runs in the place of one that has ended, in milliseconds. */
+/** Time until another process replaces one that has exited, in milliseconds. */
 const RESTART_MS = 1500;
-/** Pause between two words of a coordinator on what it loads, in milliseconds. */
-const CLAIM_PAUSE_MS = 300;
-/** Pause between two looks of a coordinator at what it can do without being asked, in milliseconds. */
-const TEND_PAUSE_MS = 500;
-/** Time that word of an end takes to all daemons, in milliseconds. */
-const WORD_MS = 300;
-/** Workers of each zone. */
+/** Interval at which coordinators report their loads, in milliseconds. */
+const CLAIM_INTERVAL_MS = 300;
+/** Interval of the coordinators' periodic maintenance, in milliseconds. */
+const MAINTENANCE_INTERVAL_MS = 500;
+/** Delay until all daemons know of a crash, in milliseconds. */
+const CRASH_REPORT_DELAY_MS = 300;
+/** Number of workers in each zone. */
 export const WORKERS_PER_ZONE = 4;
-/** Time that a request for a model may wait, in milliseconds. */
+/** Time for which a request for a model may wait, in milliseconds. */
 const WITHIN_MS = 8000;
 
-/** A zone with the daemon that coordinates it. */
+/** A zone with its coordinator. */
 export interface CoordinatedZone {
   readonly name: string;
   readonly coordinator: ZoneResidency;
   readonly quarantine: DaemonQuarantine;
 }
 
-/** Several zones; every daemon sees the same records at once, and hears of others' loads with a delay. */
+/** Several zones. All daemons see the same records at once, and learn of other zones' loads with a delay. */
 export class CrashingLoadsWorld {
   readonly world = new SimulatedWorld();
   readonly zones: CoordinatedZone[] = [];
-  /** Ids of the workers that have ended, in order. */
-  readonly ended: string[] = [];
-  /** Answers to all demands that were settled. */
+  /** Ids of the workers that have exited, in order. */
+  readonly exitedWorkers: string[] = [];
+  /** Answers to all settled demands. */
   readonly answers: ResidencyDemandAnswer[] = [];
   readonly workers = new Map<string, SimulatedWorker>();
   readonly directory: BackendDirectory;
-  /** Verdicts in the store. */
+  /** Entries in the store. */
   private readonly entries = new Map<string, QuarantineEntry>();
   private readonly process: SimulatedProcess;
   private readonly random: Random;
-  private readonly told = new Map<string, readonly LoadUnderWay[]>();
-  private started = 0;
-  /** The records' store, as operators and daemons use it. */
+  private readonly reportedLoads = new Map<string, readonly LoadUnderWay[]>();
+  private startedWorkers = 0;
+  /** Store of the quarantine records, as used by operators and daemons. */
   readonly store: QuarantineStore = {
     create: (record) => {
       if (!this.entries.has(record.content)) this.entries.set(record.content, record);
@@ -66,71 +68,71 @@
     },
   };
 
-  /** Verdicts that the store holds. */
+  /** Verdicts in the store. */
   get records(): ReadonlyMap<string, QuarantineRecord> {
     const verdicts = [...this.entries.values()].filter(isVerdict);
     return new Map(verdicts.map((record) => [record.content, record]));
   }
 
-  /** @param endsUnder Loads that end the worker which begins them. */
+  /** @param crashesUnder Whether a load crashes the worker that starts it. */
   constructor(
     seed: number,
-    private readonly endsUnder: (target: ModelTarget) => boolean,
+    private readonly crashesUnder: (target: ModelTarget) => boolean,
   ) {
     this.random = new Random(seed);
     this.process = new SimulatedProcess(this.world, { name: 'scene', zone: 'a', region: 'r' });
     this.directory = new BackendDirectory(this.process);
   }
 
-  /** Adds zones, each with workers and a coordinator of its own. */
+  /** Adds zones, each with its own workers and coordinator. */
   async start(zoneCount: number): Promise<void> {
     const names = Array.from({ length: zoneCount }, (_, index) => `zone-${String(index)}`);
     for (const name of names) {
       for (let index = 0; index < WORKERS_PER_ZONE; index += 1) this.addWorker(name);
     }
     for (const name of names) this.zones.push(await this.coordinate(name, names));
-    this.repeat(CLAIM_PAUSE_MS, () => {
-      for (const { name, coordinator } of this.zones) this.told.set(name, coordinator.loadsUnderWay);
+    this.repeat(CLAIM_INTERVAL_MS, () => {
+      for (const { name, coordinator } of this.zones) this.reportedLoads.set(name, coordinator.loadsUnderWay);
     });
-    this.repeat(TEND_PAUSE_MS, () => {
-      for (const { coordinator } of this.zones) coordinator.tend(SERVICE);
+    this.repeat(MAINTENANCE_INTERVAL_MS, () => {
+      for (const { coordinator } of this.zones) coordinator.maintain(SERVICE);
     });
   }
 
-  /** All coordinators are killed, and others take their place: what they knew is lost, but for the store. */
+  /** Replaces all coordinators; only the store retains its data. */
   async restartAll(): Promise<void> {
     const names = this.zones.splice(0).map(({ name }) => name);
     for (const name of names) this.zones.push(await this.coordinate(name, names));
   }
 
-  /** Whether any daemon refuses to have a target loaded. */
+  /** Whether any daemon refuses to load a target. */
   isQuarantined(target: ModelTarget): boolean {
     return this.zones.some(({ quarantine }) => quarantine.loads.verdictOf(SERVICE, target) !== undefined);
   }
 
-  async pass(durationMs: number): Promise<void> {
+  async advance(durationMs: number): Promise<void> {
     await this.world.run(this.world.now + durationMs);
   }
 
-  /** A target is asked for again and again, in all zones or in some. */
+  /** Requests a target repeatedly, in all zones or in some. */
   async keepAsking(target: ModelTarget, durationMs: number, zones = this.zones): Promise<void> {
     const until = this.world.now + durationMs;
     while (this.world.now < until) {
       for (const zone of zones) this.ask(zone, target);
-      await this.pass(400);
+      await this.advance(400);
     }
   }
 
-  /** Ids of the workers of a zone that hold a model. */
+  /** Returns the ids of the workers of a zone that hold a model. */
   holdersIn({ name }: CoordinatedZone, model: string): string[] {
-    const holders = [...this.workers].filter(([, worker]) => !worker.hasEnded && worker.models.has(model));
+    const holders = [...this.workers].filter(([, worker]) => !worker.hasExited && worker.models.has(model));
     return holders.map(([id]) => id).filter((id) => this.directory.get(id)?.zone === name);
   }
 
   /**
-   * A target is asked for once; the answer is among {@link answers} when it has come.
+   * Requests a target once; the answer is added to {@link answers}.
    *
-   * @param without Workers that cannot be used.
+   * @param without Ids of workers that must not be used.
    */
   ask({ name, coordinator }: CoordinatedZone, target: ModelTarget, without: readonly string[] = []): void {
     const message = {
@@ -153,12 +155,12 @@
   }
 
   private addWorker(zone: string): void {
-    this.started += 1;
-    const id = `w${String(this.started)}`;
+    this.startedWorkers += 1;
+    const id = `w${String(this.startedWorkers)}`;
     const worker = new SimulatedWorker(this.world, [], {
-      under: this.endsUnder,
-      onEnd: () => {
-        this.ended.push(id);
+      crashesUnder: this.crashesUnder,
+      onExit: () => {
+        this.exitedWorkers.push(id);
         this.world.schedule(RESTART_MS, () => {
           this.replace(id, zone);
         });
@@ -193,7 +195,7 @@
       instance: 1,
       lifetimeMs: 3_600_000,
       handoverPauseMs: 0,
-      store: plainLeaseStore(),
+      store: inMemoryLeaseStore(),
       clock: process,
     });
     await lease.tryAcquire();
@@ -212,9 +214,9 @@
       signal: new AbortController().signal,
       zones: () => zones,
       storeWindow: { windowMs: 5000, overshoot: 1 },
-      storeLoadsElsewhere: () => 0,
+      storeLoadsInOtherZones: () => 0,
       quarantine: quarantine.loads,
-      comesElsewhereInMs: (model) => this.comesElsewhereInMs(name, model),
+      expectedElsewhereInMs: (model) => this.expectedElsewhereInMs(name, model),
       announce: ({ backEndId, resident, ...target }) => {
         this.directory.announce(backEndId, target, resident);
       },
@@ -226,7 +228,7 @@
     const quarantine = daemonQuarantine(clock, this.directory, this.workers, this.store);
     quarantine.contents.recordsListed([...this.entries.values()]);
     quarantine.contents.onNews = () => {
-      this.world.schedule(WORD_MS, () => {
+      this.world.schedule(CRASH_REPORT_DELAY_MS, () => {
         for (const { quarantine: other } of this.zones) {
           if (other !== quarantine) other.contents.merge(quarantine.contents.entries());
         }
@@ -235,8 +237,8 @@
     return quarantine;
   }
 
-  private comesElsewhereInMs(zone: string, model: string): number {
-    const others = [...this.told].filter(([name]) => name !== zone).flatMap(([, loads]) => loads);
+  private expectedElsewhereInMs(zone: string, model: string): number {
+    const others = [...this.reportedLoads].filter(([name]) => name !== zone).flatMap(([, loads]) => loads);
     const times = others.filter((load) => load.model === model).map(({ readyInMs }) => readyInMs);
     return Math.min(Infinity, ...times);
   }
--- a/packages/residency/test/zone-world.ts
+++ b/packages/residency/test/zone-world.ts
@@ -14,7 +14,7 @@
   modelDefinition,
 } from './simulated-workers.js';
 
-/** The zone of the tests. */
+/** Name of the zone. */
 export const ZONE = 'zone-a';
 export const SERVICE = 'models';
 export const MODELS = Array.from({ length: 12 }, (_, index) => `m${String(index)}`);
@@ -29,22 +29,22 @@
   models: new Map(MODELS.map((name) => [name, modelDefinition(name)])),
 };
 
-/** Longer than any wait of the tests, in milliseconds. */
-const SETTLE_LIMIT_MS = 90_000;
+/** Maximum wait for a result in virtual time, in milliseconds. */
+const SETTLE_TIMEOUT_MS = 90_000;
 
-/** A store that always answers at once. */
-export function plainLeaseStore(): LeaseRecordStore {
-  let kept: StoredLease | undefined;
+/** A lease store in memory that answers immediately. */
+export function inMemoryLeaseStore(): LeaseRecordStore {
+  let stored: StoredLease | undefined;
   return {
     currentEra: () => ({ era: 0, knownForMs: Infinity }),
-    read: () => Promise.resolve(kept),
-    create: (_name, record) => Promise.resolve((kept = { record, revision: 1, era: 0 })),
+    read: () => Promise.resolve(stored),
+    create: (_name, record) => Promise.resolve((stored = { record, revision: 1, era: 0 })),
     replace: (_name, record, revision) =>
-      Promise.resolve((kept = { record, revision: revision + 1, era: 0 })),
+      Promise.resolve((stored = { record, revision: revision + 1, era: 0 })),
   };
 }
 
-/** One zone with its workers and a coordinator that can be replaced. */
+/** One zone with its workers and a replaceable coordinator. */
 export class ZoneWorld {
   readonly world = new SimulatedWorld();
   readonly workers = new Map<string, SimulatedWorker>();
@@ -55,11 +55,11 @@
   readonly loads: LoadBook;
   readonly quarantine: DaemonQuarantine;
   engine = ENGINE;
-  /** Models that another zone loads, with the time until they are there. */
-  readonly comesElsewhere = new Map<string, number>();
-  /** Loads from the weight store that other zones have under way, as they tell. */
-  storeLoadsElsewhere = (): number => 0;
-  private readonly leases = plainLeaseStore();
+  /** Models that another zone is loading, with the milliseconds until they are resident there. */
+  readonly expectedElsewhereInMs = new Map<string, number>();
+  /** Loads from the weight store in other zones, as reported. */
+  storeLoadsInOtherZones = (): number => 0;
+  private readonly leases = inMemoryLeaseStore();
   private runs = 0;
 
   constructor(seed: number, workerCount = 2) {
@@ -88,7 +88,7 @@
     });
   }
 
-  /** A coordinator that knows nothing of earlier ones but what the workers report. */
+  /** Creates a coordinator that knows only what the workers report. */
   async coordinator(): Promise<ZoneResidency> {
     this.runs += 1;
     const lease = new StoreLease({
@@ -115,9 +115,9 @@
       signal: new AbortController().signal,
       zones: () => [ZONE],
       storeWindow: { windowMs: 5000, overshoot: 1 },
-      storeLoadsElsewhere: () => this.storeLoadsElsewhere(),
+      storeLoadsInOtherZones: () => this.storeLoadsInOtherZones(),
       quarantine: this.quarantine.loads,
-      comesElsewhereInMs: (model) => this.comesElsewhere.get(model) ?? Infinity,
+      expectedElsewhereInMs: (model) => this.expectedElsewhereInMs.get(model) ?? Infinity,
       announce: ({ backEndId, resident, ...target }) => {
         this.directory.announce(backEndId, target, resident);
       },
@@ -129,8 +129,8 @@
     const marked = promise.finally(() => {
       settled = true;
     });
-    await this.world.run(this.world.now + SETTLE_LIMIT_MS, () => settled);
-    if (!settled) throw new Error(`not settled within ${String(SETTLE_LIMIT_MS)} ms of virtual time`);
+    await this.world.run(this.world.now + SETTLE_TIMEOUT_MS, () => settled);
+    if (!settled) throw new Error(`not settled within ${String(SETTLE_TIMEOUT_MS)} ms of virtual time`);
     return marked;
   }
 
@@ -139,7 +139,7 @@
   }
 }
 
-/** A demand for a model that may wait {@link WITHIN_MS}. */
+/** Sends a demand for a model that may wait {@link WITHIN_MS}. */
 export function demand(
   zone: ZoneResidency,
   model: string,
