--- a/packages/backends/src/backend-directory.ts
+++ b/packages/backends/src/backend-directory.ts
@@ -33,22 +33,22 @@
  * Milliseconds after a restoration within which a back end whose record had vanished before counts as leaving when it is shown again: longer than
  * the store keeps a record that nobody writes.
  */
-export const RESTORED_DISTRUST_MS = 6000;
+export const RESTORED_LEAVING_MS = 6000;
 /** Milliseconds for which it is remembered that a record has vanished: copies are some seconds old. */
-const VANISHED_MEMORY_MS = 60_000;
+const VANISHED_RETENTION_MS = 60_000;
 /**
  * Milliseconds for which another daemon's word that a back end leaves goes before its record: it ends within seconds, or this daemon
  * hears it itself. What it told this daemon holds for as long as it lives.
  */
-export const TOLD_LEAVING_MS = 20_000;
+export const PEER_LEAVING_TTL_MS = 20_000;
 /** Milliseconds for which it is remembered that a back end leaves whose record has vanished: it may come back. */
-const LEAVING_MEMORY_MS = 600_000;
+const LEAVING_RETENTION_MS = 600_000;
 /** Milliseconds during which an incarnation that is proven to have ended is not believed to be back. */
-const ENDED_MEMORY_MS = 60_000;
+const ENDED_RETENTION_MS = 60_000;
 
 interface Announcement {
-  readonly resident: boolean;
-  readonly at: number;
+  readonly isResident: boolean;
+  readonly announcedAt: number;
 }
 
 interface Entry {
@@ -58,7 +58,7 @@
   record: BackEnd;
   readonly announcements: Map<string, Announcement>;
   /** Targets in the record. */
-  recorded: ReadonlySet<string>;
+  recordedKeys: ReadonlySet<string>;
   /** When the record last changed, monotonic. */
   changedAt: number;
   /** Set while the record has vanished and the grace runs. */
@@ -72,7 +72,7 @@
   /** Back ends by service, put together when asked for after a change. */
   private readonly byService = new Map<string, BackEnd[]>();
   /** Back ends that are said to hold a target, in their record or by word that may have run out. */
-  private readonly saidToHold = new TargetIndex();
+  private readonly holderIndex = new TargetIndex();
   private readonly endedAt = new Map<string, number>();
   /** Back ends that have said that they leave: monotonic time until which that is believed. */
   private readonly leavingUntil = new Map<string, number>();
@@ -126,37 +126,37 @@
   /** Enters a back end or a newer record of it. Another incarnation under its name has ended. */
   put(backEnd: BackEnd): void {
     if (this.endedAt.has(backEnd.id)) return;
-    const other = this.named(backEnd.name);
-    if (other !== undefined && other.id !== backEnd.id) {
+    const previous = this.named(backEnd.name);
+    if (previous !== undefined && previous.id !== backEnd.id) {
       // What an incarnation wrote before its end may arrive after the first word of the next.
-      if ((backEnd.startedAt ?? -Infinity) < (other.startedAt ?? -Infinity)) return;
-      this.remove(other.id);
+      if ((backEnd.startedAt ?? -Infinity) < (previous.startedAt ?? -Infinity)) return;
+      this.remove(previous.id);
     }
     this.idByName.set(backEnd.name, backEnd.id);
     const now = this.clock.monotonic();
-    this.rememberLeaving(backEnd, now);
-    const known = this.entries.get(backEnd.id);
-    const recorded = recordedTargets(backEnd);
-    if (known === undefined) {
+    this.recordLeaving(backEnd, now);
+    const existing = this.entries.get(backEnd.id);
+    const recordedKeys = recordedTargets(backEnd);
+    if (existing === undefined) {
       this.entries.set(backEnd.id, {
-        backEnd: this.withLeaving(backEnd),
+        backEnd: this.applyLeaving(backEnd),
         record: backEnd,
         announcements: new Map(),
-        recorded,
+        recordedKeys,
         changedAt: now,
         cancelRemoval: undefined,
       });
     } else {
-      known.cancelRemoval?.();
-      known.cancelRemoval = undefined;
-      known.backEnd = this.withLeaving(backEnd);
-      known.record = backEnd;
-      known.recorded = recorded;
-      known.changedAt = now;
+      existing.cancelRemoval?.();
+      existing.cancelRemoval = undefined;
+      existing.backEnd = this.applyLeaving(backEnd);
+      existing.record = backEnd;
+      existing.recordedKeys = recordedKeys;
+      existing.changedAt = now;
     }
-    for (const key of recorded) this.saidToHold.add(key, backEnd.id);
+    for (const key of recordedKeys) this.holderIndex.add(key, backEnd.id);
     this.byService.delete(backEnd.service);
-    void this.events.emit('changed', this.withLeaving(backEnd));
+    void this.events.emit('changed', this.applyLeaving(backEnd));
   }
 
   /**
@@ -166,40 +166,40 @@
    */
   noteLeaving(id: string, source: 'answer' | 'peer'): boolean {
     const now = this.clock.monotonic();
-    this.forgetLeaving(now);
+    this.removeExpiredLeaving(now);
     const isKnown = this.isLeaving(id);
-    const until = source === 'answer' ? now + LEAVING_MEMORY_MS : now + TOLD_LEAVING_MS;
-    this.believeLeaving(id, until);
-    if (source === 'peer') this.clock.schedule(TOLD_LEAVING_MS + 1, () => this.refresh(id));
-    this.refresh(id);
+    const until = source === 'answer' ? now + LEAVING_RETENTION_MS : now + PEER_LEAVING_TTL_MS;
+    this.extendLeaving(id, until);
+    if (source === 'peer') this.clock.schedule(PEER_LEAVING_TTL_MS + 1, () => this.updateDraining(id));
+    this.updateDraining(id);
     return !isKnown;
   }
 
   /** The record of a name has vanished: its back end is removed unless the record comes back within a grace. */
   recordVanished(name: string): void {
-    this.removeLater(name, ABSENCE_GRACE_MS, (id) => this.vanishedAt.set(id, this.clock.monotonic()));
+    this.scheduleRemoval(name, ABSENCE_GRACE_MS, (id) => this.vanishedAt.set(id, this.clock.monotonic()));
   }
 
-  private removeLater(
+  private scheduleRemoval(
     name: string,
     graceMs: number,
-    onRemoved: (id: string) => void = () => undefined,
+    beforeRemoval: (id: string) => void = () => undefined,
   ): void {
     const id = this.idByName.get(name);
     const entry = id === undefined ? undefined : this.entries.get(id);
     if (id === undefined || entry === undefined || entry.cancelRemoval !== undefined) return;
     entry.cancelRemoval = this.clock.schedule(graceMs, () => {
-      onRemoved(id);
-      this.delete(id);
+      beforeRemoval(id);
+      this.removeEntry(id);
     });
   }
 
   /** An incarnation is proven to have ended: it is removed at once and for good. */
   remove(id: string): void {
     const now = this.clock.monotonic();
-    this.forgetEnded(now);
+    this.removeExpiredEnded(now);
     this.endedAt.set(id, now);
-    this.delete(id);
+    this.removeEntry(id);
   }
 
   /** Makes the directory hold just these back ends. */
@@ -211,7 +211,7 @@
   /** The same as a copy shows them from which the store was restored: newer ones are missing there, and some that had gone are back. */
   restoreAll(backEnds: readonly BackEnd[]): void {
     this.restoredAt = this.clock.monotonic();
-    for (const name of this.namesMissingIn(backEnds)) this.removeLater(name, RESTORED_ABSENCE_GRACE_MS);
+    for (const name of this.namesMissingIn(backEnds)) this.scheduleRemoval(name, RESTORED_ABSENCE_GRACE_MS);
     for (const backEnd of backEnds) this.put(backEnd);
   }
 
@@ -221,32 +221,33 @@
   }
 
   /** Notes that a target is, or is no longer, resident on a back end. */
-  announce(id: string, target: ModelTarget, resident: boolean): void {
+  announce(id: string, target: ModelTarget, isResident: boolean): void {
     const entry = this.entries.get(id);
     if (entry === undefined) return;
-    const at = this.clock.elapsed();
+    const announcedAt = this.clock.elapsed();
     const key = targetKey(target);
-    entry.announcements.set(key, { resident, at });
-    if (resident) this.saidToHold.add(key, id);
-    if (target.adapterVersion !== undefined && hasAdapter(target)) this.announceAnyVersion(entry, target, at);
-    void this.events.emit('residency', { backEndId: id, target, resident });
+    entry.announcements.set(key, { isResident, announcedAt });
+    if (isResident) this.holderIndex.add(key, id);
+    if (target.adapterVersion !== undefined && hasAdapter(target))
+      this.announceAnyVersion(entry, target, announcedAt);
+    void this.events.emit('residency', { backEndId: id, target, resident: isResident });
   }
 
   /** Whether a target is believed to be resident on a back end. */
   holds(id: string, target: ModelTarget): boolean {
     const entry = this.entries.get(id);
     if (entry === undefined) return false;
-    if (target.adapter !== undefined && !this.believes(entry, target.model)) return false;
-    return this.believes(entry, targetKey(target));
+    if (target.adapter !== undefined && !this.isResident(entry, target.model)) return false;
+    return this.isResident(entry, targetKey(target));
   }
 
   /** Back ends of a service that take requests and hold a target. */
   holdersOf(service: string, target: ModelTarget): BackEnd[] {
     const holders: BackEnd[] = [];
     const key = targetKey(target);
-    for (const id of this.saidToHold.of(key)) {
+    for (const id of this.holderIndex.backEndsFor(key)) {
       const entry = this.entries.get(id);
-      if (entry === undefined || !isSaidToHold(entry, key)) this.saidToHold.remove(key, id);
+      if (entry === undefined || !mayHold(entry, key)) this.holderIndex.remove(key, id);
       else if (entry.backEnd.service === service && !entry.backEnd.draining && this.holds(id, target))
         holders.push(entry.backEnd);
     }
@@ -254,39 +255,40 @@
   }
 
   /** After word of one version: whether a request that takes any is served. */
-  private announceAnyVersion(entry: Entry, { model, adapter }: AdapterTarget, at: number): void {
+  private announceAnyVersion(entry: Entry, { model, adapter }: AdapterTarget, announcedAt: number): void {
     const anyVersion = targetKey({ model, adapter });
-    const known = [...entry.recorded, ...entry.announcements.keys()];
-    const resident = known.some((key) => key.startsWith(`${anyVersion}@`) && this.believes(entry, key));
-    entry.announcements.set(anyVersion, { resident, at });
-    if (resident) this.saidToHold.add(anyVersion, entry.backEnd.id);
+    const keys = [...entry.recordedKeys, ...entry.announcements.keys()];
+    const isResident = keys.some((key) => key.startsWith(`${anyVersion}@`) && this.isResident(entry, key));
+    entry.announcements.set(anyVersion, { isResident, announcedAt });
+    if (isResident) this.holderIndex.add(anyVersion, entry.backEnd.id);
   }
 
-  private believes(entry: Entry, key: string): boolean {
-    const word = entry.announcements.get(key);
-    if (word === undefined) return entry.recorded.has(key);
-    if (this.clock.elapsed() - word.at <= ANNOUNCEMENT_PRECEDENCE_MS) return word.resident;
+  private isResident(entry: Entry, key: string): boolean {
+    const announcement = entry.announcements.get(key);
+    if (announcement === undefined) return entry.recordedKeys.has(key);
+    if (this.clock.elapsed() - announcement.announcedAt <= ANNOUNCEMENT_PRECEDENCE_MS)
+      return announcement.isResident;
     entry.announcements.delete(key);
-    return entry.recorded.has(key);
+    return entry.recordedKeys.has(key);
   }
 
   /**
    * What an incarnation has said of its leaving, or the store of its end, is never taken back; a copy from which the store was restored shows
    * what was before.
    */
-  private rememberLeaving({ id, draining }: BackEnd, now: number): void {
+  private recordLeaving({ id, draining }: BackEnd, now: number): void {
     if (draining) {
-      this.believeLeaving(id, now + LEAVING_MEMORY_MS);
+      this.extendLeaving(id, now + LEAVING_RETENTION_MS);
       return;
     }
     for (const [vanished, at] of this.vanishedAt)
-      if (now - at > VANISHED_MEMORY_MS) this.vanishedAt.delete(vanished);
-    if (!this.vanishedAt.has(id) || now - this.restoredAt > RESTORED_DISTRUST_MS) return;
-    this.believeLeaving(id, this.restoredAt + RESTORED_DISTRUST_MS);
-    this.clock.schedule(this.restoredAt + RESTORED_DISTRUST_MS - now + 1, () => this.refresh(id));
+      if (now - at > VANISHED_RETENTION_MS) this.vanishedAt.delete(vanished);
+    if (!this.vanishedAt.has(id) || now - this.restoredAt > RESTORED_LEAVING_MS) return;
+    this.extendLeaving(id, this.restoredAt + RESTORED_LEAVING_MS);
+    this.clock.schedule(this.restoredAt + RESTORED_LEAVING_MS - now + 1, () => this.updateDraining(id));
   }
 
-  private believeLeaving(id: string, until: number): void {
+  private extendLeaving(id: string, until: number): void {
     this.leavingUntil.set(id, Math.max(until, this.leavingUntil.get(id) ?? 0));
   }
 
@@ -294,26 +296,26 @@
     return (this.leavingUntil.get(id) ?? -Infinity) > this.clock.monotonic();
   }
 
-  private withLeaving(backEnd: BackEnd): BackEnd {
+  private applyLeaving(backEnd: BackEnd): BackEnd {
     return backEnd.draining || !this.isLeaving(backEnd.id) ? backEnd : { ...backEnd, draining: true };
   }
 
   /** Works out anew whether a back end counts as draining. */
-  private refresh(id: string): void {
+  private updateDraining(id: string): void {
     const entry = this.entries.get(id);
     if (entry === undefined) return;
-    const before = entry.backEnd.draining;
-    entry.backEnd = this.withLeaving(entry.record);
-    if (entry.backEnd.draining === before) return;
+    const wasDraining = entry.backEnd.draining;
+    entry.backEnd = this.applyLeaving(entry.record);
+    if (entry.backEnd.draining === wasDraining) return;
     this.byService.delete(entry.record.service);
     void this.events.emit('changed', entry.backEnd);
   }
 
-  private forgetLeaving(now: number): void {
+  private removeExpiredLeaving(now: number): void {
     for (const [id, until] of this.leavingUntil) if (until <= now) this.leavingUntil.delete(id);
   }
 
-  private delete(id: string): void {
+  private removeEntry(id: string): void {
     const entry = this.entries.get(id);
     if (entry === undefined) return;
     entry.cancelRemoval?.();
@@ -323,16 +325,16 @@
     void this.events.emit('removed', entry.backEnd);
   }
 
-  private forgetEnded(now: number): void {
+  private removeExpiredEnded(now: number): void {
     for (const [id, at] of this.endedAt) {
-      if (now - at > ENDED_MEMORY_MS) this.endedAt.delete(id);
+      if (now - at > ENDED_RETENTION_MS) this.endedAt.delete(id);
     }
   }
 }
 
 /** Whether a target stands in the record of a back end, or there is word of it. */
-function isSaidToHold({ recorded, announcements }: Entry, key: string): boolean {
-  return recorded.has(key) || announcements.has(key);
+function mayHold({ recordedKeys, announcements }: Entry, key: string): boolean {
+  return recordedKeys.has(key) || announcements.has(key);
 }
 
 function recordedTargets(backEnd: BackEnd): ReadonlySet<string> {
--- a/packages/backends/src/load-report.ts
+++ b/packages/backends/src/load-report.ts
@@ -36,7 +36,7 @@
   | 'all';
 
 /** Demand below this is not reported. */
-export const LEAST_DEMAND = 0.02;
+export const MIN_REPORTED_DEMAND = 0.02;
 
 /** Adds reports up, by back end and target. */
 export class LoadSum {
@@ -50,8 +50,8 @@
 
   addLoad(load: TargetLoad): void {
     const key = `${load.backEndId} ${load.target}`;
-    const before = this.loads.get(key);
-    this.loads.set(key, before === undefined ? load : sumOf(before, load));
+    const existing = this.loads.get(key);
+    this.loads.set(key, existing === undefined ? load : sumLoads(existing, load));
   }
 
   addDemand(model: string, weight: number): void {
@@ -60,7 +60,10 @@
 
   report(): LoadReport {
     const demand = [...this.demand].map(([model, weight]) => ({ model, weight }));
-    return { loads: [...this.loads.values()], demand: demand.filter(({ weight }) => weight >= LEAST_DEMAND) };
+    return {
+      loads: [...this.loads.values()],
+      demand: demand.filter(({ weight }) => weight >= MIN_REPORTED_DEMAND),
+    };
   }
 }
 
@@ -73,7 +76,7 @@
   return sum.report();
 }
 
-function sumOf(left: TargetLoad, right: TargetLoad): TargetLoad {
+function sumLoads(left: TargetLoad, right: TargetLoad): TargetLoad {
   return {
     ...left,
     requests: left.requests + right.requests,
--- a/packages/backends/src/load-book.ts
+++ b/packages/backends/src/load-tracker.ts
@@ -4,9 +4,9 @@
  * that is lost or comes twice does no harm.
  */
 import type { Clock } from '@woodbarrow/runtime';
-import { LEAST_REMAINING_MS, remainingMs } from './expected-time.js';
+import { MIN_REMAINING_MS, remainingMs } from './remaining-time.js';
 import {
-  LEAST_DEMAND,
+  MIN_REPORTED_DEMAND,
   LoadSum,
   type LoadReport,
   type ModelDemand,
@@ -42,34 +42,34 @@
 /** Milliseconds after which a report of demand no longer counts; until then it decays. */
 const DEMAND_LIFETIME_MS = 12_000;
 /** A target with no request under way is reported for this long after its last one began, in milliseconds. */
-const RECENT_USE_MS = 600;
+const RECENT_USE_REPORT_MS = 600;
 /** Half-life of the demand for a model, in milliseconds. */
 const DEMAND_HALF_LIFE_MS = 4000;
 
 /** Word of a request may be this late, in milliseconds. */
-const REPORT_DELAY_MS = 700;
+const MAX_REPORT_DELAY_MS = 700;
 /** Of a model that has not been asked for of late, at most this divided by the milliseconds since is counted. */
-const SILENCE_WEIGHT_MS = 12_000;
+const IDLE_DEMAND_BOUND_MS = 12_000;
 /** Growth of a reported demand that stands for a request. */
-const LEAST_GROWTH = 0.3;
+const MIN_DEMAND_INCREASE = 0.3;
 
 interface MutableLoad {
   requests: number;
   unreadTokens: number;
   heldTokens: number;
-  startedAt: number;
+  lastStartedAt: number;
   readonly runs: Set<Run>;
 }
 
 /** A request under way. */
 interface Run {
-  readonly beganAt: number;
+  readonly startedAt: number;
   readonly expectedMs: number;
 }
 
 interface SourceReport {
   readonly scope: ReportScope;
-  readonly at: number;
+  readonly receivedAt: number;
   readonly loads: ReadonlyMap<string, readonly TargetLoad[]>;
   readonly demand: ReadonlyMap<string, number>;
 }
@@ -78,7 +78,7 @@
 interface Demand {
   /** Decayed number. */
   readonly weight: number;
-  readonly at: number;
+  readonly updatedAt: number;
 }
 
 const NO_LOAD: BackEndLoad = { requests: 0, unreadTokens: 0, heldTokens: 0 };
@@ -88,10 +88,10 @@
   private readonly own = new Map<string, Map<string, MutableLoad>>();
   private readonly reports = new Map<string, SourceReport>();
   /** When each target was last used on each back end, monotonic. */
-  private readonly lastUsed = new Map<string, number>();
+  private readonly lastUsedAt = new Map<string, number>();
   private readonly demand = new Map<string, Demand>();
   /** When each model was last asked for, as far as reports tell, monotonic. */
-  private readonly lastAsked = new Map<string, number>();
+  private readonly lastRequestedAt = new Map<string, number>();
 
   constructor(private readonly clock: Clock) {}
 
@@ -99,29 +99,29 @@
   start(backEndId: string, target: ModelTarget | undefined, size: WorkSize): WorkTicket {
     const key = target === undefined ? '' : targetKey(target);
     const load = this.ownLoad(backEndId, key);
-    const held = size.promptTokens + size.outputTokens;
+    const heldTokens = size.promptTokens + size.outputTokens;
     load.requests += 1;
     load.unreadTokens += size.promptTokens;
-    load.heldTokens += held;
-    load.startedAt = this.clock.monotonic();
-    const run = { beganAt: load.startedAt, expectedMs: size.expectedMs ?? 0 };
+    load.heldTokens += heldTokens;
+    load.lastStartedAt = this.clock.monotonic();
+    const run = { startedAt: load.lastStartedAt, expectedMs: size.expectedMs ?? 0 };
     load.runs.add(run);
-    this.noteUse(backEndId, key);
-    let unread = size.promptTokens;
-    let open = true;
+    this.recordUse(backEndId, key);
+    let unreadTokens = size.promptTokens;
+    let isOpen = true;
     const begun = (): void => {
-      load.unreadTokens -= unread;
-      unread = 0;
+      load.unreadTokens -= unreadTokens;
+      unreadTokens = 0;
     };
     return {
       begun,
       ended: () => {
-        if (!open) return;
-        open = false;
+        if (!isOpen) return;
+        isOpen = false;
         begun();
         load.runs.delete(run);
         load.requests -= 1;
-        load.heldTokens -= held;
+        load.heldTokens -= heldTokens;
       },
     };
   }
@@ -129,8 +129,8 @@
   /** Notes a request that asks for a model, whether or not a back end can take it. */
   noteDemand(model: string): void {
     const now = this.clock.monotonic();
-    this.demand.set(model, { weight: this.ownDemand(model, now) + 1, at: now });
-    this.lastAsked.set(model, now);
+    this.demand.set(model, { weight: this.ownDemand(model, now) + 1, updatedAt: now });
+    this.lastRequestedAt.set(model, now);
   }
 
   /**
@@ -140,15 +140,16 @@
   demandFor(model: string): number {
     const now = this.clock.monotonic();
     const weight = this.decayedDemand(model, now);
-    const silentMs = now - (this.lastAsked.get(model) ?? now) - REPORT_DELAY_MS;
-    return silentMs > 0 ? Math.min(weight, SILENCE_WEIGHT_MS / silentMs) : weight;
+    const msWithoutRequests = now - (this.lastRequestedAt.get(model) ?? now) - MAX_REPORT_DELAY_MS;
+    return msWithoutRequests > 0 ? Math.min(weight, IDLE_DEMAND_BOUND_MS / msWithoutRequests) : weight;
   }
 
   private decayedDemand(model: string, now: number): number {
     let weight = this.ownDemand(model, now);
     for (const report of this.reports.values()) {
       const reported = report.demand.get(model);
-      if (reported !== undefined) weight += decayed({ weight: reported, at: report.at }, now);
+      if (reported !== undefined)
+        weight += decayedWeight({ weight: reported, updatedAt: report.receivedAt }, now);
     }
     return weight;
   }
@@ -182,11 +183,11 @@
   requestsFor(backEndId: string, model: string): number {
     let requests = 0;
     for (const [key, load] of this.own.get(backEndId) ?? []) {
-      if (belongsTo(key, model)) requests += load.requests;
+      if (isTargetOfModel(key, model)) requests += load.requests;
     }
     for (const report of this.freshReports()) {
       for (const load of report.loads.get(backEndId) ?? []) {
-        if (belongsTo(load.target, model)) requests += load.requests;
+        if (isTargetOfModel(load.target, model)) requests += load.requests;
       }
     }
     return requests;
@@ -200,12 +201,12 @@
     const now = this.clock.monotonic();
     let latestMs = 0;
     for (const [key, load] of this.own.get(backEndId) ?? []) {
-      if (belongsTo(key, model)) latestMs = Math.max(latestMs, endOf(load, now));
+      if (isTargetOfModel(key, model)) latestMs = Math.max(latestMs, remainingRunMs(load, now));
     }
     for (const report of this.freshReports()) {
       for (const load of report.loads.get(backEndId) ?? []) {
-        if (load.requests === 0 || !belongsTo(load.target, model)) continue;
-        latestMs = Math.max(latestMs, endSeenLater(load, now - report.at));
+        if (load.requests === 0 || !isTargetOfModel(load.target, model)) continue;
+        latestMs = Math.max(latestMs, agedRemainingMs(load, now - report.receivedAt));
       }
     }
     return latestMs;
@@ -213,7 +214,7 @@
 
   /** Milliseconds since a target was last used on a back end; Infinity when never. */
   idleMs(backEndId: string, target: string): number {
-    const at = this.lastUsed.get(useKey(backEndId, target));
+    const at = this.lastUsedAt.get(lastUsedKey(backEndId, target));
     return at === undefined ? Infinity : this.clock.monotonic() - at;
   }
 
@@ -223,19 +224,19 @@
   }
 
   /** This daemon's own work and that of sources of the given scopes, one of which may be left out. */
-  combinedReport(scopes: readonly ReportScope[], without?: string): LoadReport {
+  combinedReport(scopes: readonly ReportScope[], excludedSource?: string): LoadReport {
     const sum = new LoadSum();
     sum.add(this.ownReport());
     const now = this.clock.monotonic();
     for (const [source, report] of this.reports) {
-      if (source === without || !scopes.includes(report.scope)) continue;
+      if (source === excludedSource || !scopes.includes(report.scope)) continue;
       for (const [model, weight] of report.demand) {
-        sum.addDemand(model, decayed({ weight, at: report.at }, now));
+        sum.addDemand(model, decayedWeight({ weight, updatedAt: report.receivedAt }, now));
       }
-      if (now - report.at > REPORT_LIFETIME_MS) continue;
-      const ageMs = now - report.at;
+      if (now - report.receivedAt > REPORT_LIFETIME_MS) continue;
+      const ageMs = now - report.receivedAt;
       for (const loads of report.loads.values()) {
-        for (const load of loads) sum.addLoad({ ...load, endsInMs: endSeenLater(load, ageMs) });
+        for (const load of loads) sum.addLoad({ ...load, endsInMs: agedRemainingMs(load, ageMs) });
       }
     }
     return sum.report();
@@ -245,15 +246,20 @@
   accept(source: string, scope: ReportScope, { loads, demand }: LoadReport): void {
     const byBackEnd = new Map<string, TargetLoad[]>();
     for (const load of loads) {
-      const known = byBackEnd.get(load.backEndId);
-      if (known === undefined) byBackEnd.set(load.backEndId, [load]);
-      else known.push(load);
-      if (load.target !== '') this.noteUse(load.backEndId, load.target);
+      const backEndLoads = byBackEnd.get(load.backEndId);
+      if (backEndLoads === undefined) byBackEnd.set(load.backEndId, [load]);
+      else backEndLoads.push(load);
+      if (load.target !== '') this.recordUse(load.backEndId, load.target);
     }
     const weights = new Map(demand.map(({ model, weight }) => [model, weight]));
-    this.noteAsked(source, weights);
-    this.reports.set(source, { scope, at: this.clock.monotonic(), loads: byBackEnd, demand: weights });
-    this.forgetOld();
+    this.recordDemandIncreases(source, weights);
+    this.reports.set(source, {
+      scope,
+      receivedAt: this.clock.monotonic(),
+      loads: byBackEnd,
+      demand: weights,
+    });
+    this.removeExpired();
   }
 
   /** Drops all reports of others, when they are to come another way. */
@@ -263,8 +269,8 @@
 
   /** Drops what is known of a back end that is gone. */
   forget(backEndId: string): void {
-    for (const key of this.lastUsed.keys()) {
-      if (key.startsWith(`${backEndId} `)) this.lastUsed.delete(key);
+    for (const key of this.lastUsedAt.keys()) {
+      if (key.startsWith(`${backEndId} `)) this.lastUsedAt.delete(key);
     }
   }
 
@@ -276,7 +282,7 @@
     }
     let load = targets.get(key);
     if (load === undefined) {
-      load = { requests: 0, unreadTokens: 0, heldTokens: 0, startedAt: -Infinity, runs: new Set() };
+      load = { requests: 0, unreadTokens: 0, heldTokens: 0, lastStartedAt: -Infinity, runs: new Set() };
       targets.set(key, load);
     }
     return load;
@@ -298,45 +304,48 @@
   private *freshReports(): Generator<SourceReport> {
     const oldest = this.clock.monotonic() - REPORT_LIFETIME_MS;
     for (const report of this.reports.values()) {
-      if (report.at >= oldest) yield report;
+      if (report.receivedAt >= oldest) yield report;
     }
   }
 
   /** A demand that is larger than what is left of the one before has grown since. */
-  private noteAsked(source: string, weights: ReadonlyMap<string, number>): void {
+  private recordDemandIncreases(source: string, weights: ReadonlyMap<string, number>): void {
     const now = this.clock.monotonic();
-    const before = this.reports.get(source);
+    const previous = this.reports.get(source);
     for (const [model, weight] of weights) {
-      const left = decayed({ weight: before?.demand.get(model) ?? 0, at: before?.at ?? now }, now);
-      if (weight > left + LEAST_GROWTH) this.lastAsked.set(model, now);
+      const remaining = decayedWeight(
+        { weight: previous?.demand.get(model) ?? 0, updatedAt: previous?.receivedAt ?? now },
+        now,
+      );
+      if (weight > remaining + MIN_DEMAND_INCREASE) this.lastRequestedAt.set(model, now);
     }
   }
 
-  private forgetOld(): void {
-    for (const [model, at] of this.lastAsked) {
-      if (this.clock.monotonic() - at > DEMAND_LIFETIME_MS) this.lastAsked.delete(model);
+  private removeExpired(): void {
+    for (const [model, at] of this.lastRequestedAt) {
+      if (this.clock.monotonic() - at > DEMAND_LIFETIME_MS) this.lastRequestedAt.delete(model);
     }
     const oldest = this.clock.monotonic() - DEMAND_LIFETIME_MS;
     for (const [source, report] of this.reports) {
-      if (report.at < oldest) this.reports.delete(source);
+      if (report.receivedAt < oldest) this.reports.delete(source);
     }
   }
 
   private ownLoads(): TargetLoad[] {
     const loads: TargetLoad[] = [];
     const now = this.clock.monotonic();
-    const oldest = now - RECENT_USE_MS;
+    const oldest = now - RECENT_USE_REPORT_MS;
     for (const [backEndId, targets] of this.own) {
       for (const [target, load] of targets) {
-        const { requests, unreadTokens, heldTokens, startedAt } = load;
-        if (requests > 0 || startedAt >= oldest) {
+        const { requests, unreadTokens, heldTokens, lastStartedAt } = load;
+        if (requests > 0 || lastStartedAt >= oldest) {
           loads.push({
             backEndId,
             target,
             requests,
             unreadTokens,
             heldTokens,
-            endsInMs: Math.round(endOf(load, now)),
+            endsInMs: Math.round(remainingRunMs(load, now)),
           });
         } else targets.delete(target);
       }
@@ -349,8 +358,8 @@
     const now = this.clock.monotonic();
     const demands: ModelDemand[] = [];
     for (const [model, demand] of this.demand) {
-      const weight = decayed(demand, now);
-      if (weight >= LEAST_DEMAND) demands.push({ model, weight });
+      const weight = decayedWeight(demand, now);
+      if (weight >= MIN_REPORTED_DEMAND) demands.push({ model, weight });
       else this.demand.delete(model);
     }
     return demands;
@@ -358,35 +367,35 @@
 
   private ownDemand(model: string, now: number): number {
     const demand = this.demand.get(model);
-    return demand === undefined ? 0 : decayed(demand, now);
+    return demand === undefined ? 0 : decayedWeight(demand, now);
   }
 
-  private noteUse(backEndId: string, target: string): void {
-    this.lastUsed.set(useKey(backEndId, target), this.clock.monotonic());
+  private recordUse(backEndId: string, target: string): void {
+    this.lastUsedAt.set(lastUsedKey(backEndId, target), this.clock.monotonic());
   }
 }
 
 /** Milliseconds until the last run is expected to have ended. */
-function endOf({ runs }: MutableLoad, now: number): number {
+function remainingRunMs({ runs }: MutableLoad, now: number): number {
   let latestMs = 0;
-  for (const { beganAt, expectedMs } of runs)
-    latestMs = Math.max(latestMs, remainingMs(expectedMs, now - beganAt));
+  for (const { startedAt, expectedMs } of runs)
+    latestMs = Math.max(latestMs, remainingMs(expectedMs, now - startedAt));
   return latestMs;
 }
 
 /** What is left of an expected end that was told some time ago, while the requests are still believed to run. */
-function endSeenLater({ requests, endsInMs }: TargetLoad, ageMs: number): number {
-  return requests === 0 ? 0 : Math.max(LEAST_REMAINING_MS, endsInMs - ageMs);
+function agedRemainingMs({ requests, endsInMs }: TargetLoad, ageMs: number): number {
+  return requests === 0 ? 0 : Math.max(MIN_REMAINING_MS, endsInMs - ageMs);
 }
 
-function useKey(backEndId: string, target: string): string {
+function lastUsedKey(backEndId: string, target: string): string {
   return `${backEndId} ${target}`;
 }
 
-function belongsTo(key: string, model: string): boolean {
+function isTargetOfModel(key: string, model: string): boolean {
   return key === model || (key.startsWith(model) && key.charAt(model.length) === '/');
 }
 
-function decayed(demand: Demand, now: number): number {
-  return demand.weight * 0.5 ** ((now - demand.at) / DEMAND_HALF_LIFE_MS);
+function decayedWeight(demand: Demand, now: number): number {
+  return demand.weight * 0.5 ** ((now - demand.updatedAt) / DEMAND_HALF_LIFE_MS);
 }
--- a/packages/backends/src/target-index.ts
+++ b/packages/backends/src/target-index.ts
@@ -15,7 +15,7 @@
     ids.add(backEndId);
   }
 
-  /** It is not any more; it may be removed while {@link of} is gone through. */
+  /** It is not any more; it may be removed while {@link backEndsFor} is gone through. */
   remove(key: string, backEndId: string): void {
     const ids = this.ids.get(key);
     if (ids === undefined) return;
@@ -24,9 +24,9 @@
   }
 
   /** Back ends that are said to hold a target, in the order in which it was first said. */
-  of(key: string): Iterable<string> {
-    return this.ids.get(key) ?? NOBODY;
+  backEndsFor(key: string): Iterable<string> {
+    return this.ids.get(key) ?? NO_BACK_ENDS;
   }
 }
 
-const NOBODY: readonly string[] = [];
+const NO_BACK_ENDS: readonly string[] = [];
--- a/packages/backends/test/backend-directory.test.ts
+++ b/packages/backends/test/backend-directory.test.ts
@@ -6,8 +6,8 @@
   BackendDirectory,
   NO_NEARBY_COPIES,
   RESTORED_ABSENCE_GRACE_MS,
-  RESTORED_DISTRUST_MS,
-  TOLD_LEAVING_MS,
+  RESTORED_LEAVING_MS,
+  PEER_LEAVING_TTL_MS,
   type BackEnd,
 } from '../src/index.js';
 
@@ -80,7 +80,7 @@
       directory.restoreAll([worker('one'), worker('two')]);
       expect(directory.get('one')?.draining).to.equal(true);
       expect(directory.get('two')?.draining).to.equal(false);
-      await world.run(world.now + RESTORED_DISTRUST_MS + 1);
+      await world.run(world.now + RESTORED_LEAVING_MS + 1);
       expect(directory.get('one')?.draining).to.equal(false);
     });
 
@@ -115,13 +115,13 @@
     directory.put(worker('one'));
     directory.noteLeaving('one', 'peer');
     directory.put(worker('one'));
-    await world.run(world.now + TOLD_LEAVING_MS - 1);
+    await world.run(world.now + PEER_LEAVING_TTL_MS - 1);
     expect(directory.get('one')?.draining).to.equal(true);
     await world.run(world.now + 10);
     expect(directory.get('one')?.draining).to.equal(false);
     directory.noteLeaving('one', 'peer');
     directory.noteLeaving('one', 'answer');
-    await world.run(world.now + 2 * TOLD_LEAVING_MS);
+    await world.run(world.now + 2 * PEER_LEAVING_TTL_MS);
     expect(directory.get('one')?.draining).to.equal(true);
   });
 
--- a/packages/placement/src/eviction.ts
+++ b/packages/placement/src/eviction.ts
@@ -10,9 +10,9 @@
 }
 
 /** What evictions are judged by. */
-export interface EvictionRules {
+export interface EvictionCriteria {
   /** Memory that is free on a worker, or will be once unloads under way are done, in GiB. */
-  readonly freeingGib: (worker: WorkerView) => number;
+  readonly freeGibAfterUnloads: (worker: WorkerView) => number;
   /** Whether a replica may be given up. */
   readonly isEvictable: (worker: WorkerView, model: string) => boolean;
   /** Expected load time lost by giving up a replica. */
@@ -23,7 +23,7 @@
 export function cheapestEviction(
   workers: readonly WorkerView[],
   neededGib: number,
-  rules: EvictionRules,
+  rules: EvictionCriteria,
 ): Eviction | undefined {
   let best: Eviction | undefined;
   for (const worker of workers) {
@@ -33,12 +33,12 @@
   return best;
 }
 
-function evictionOn(worker: WorkerView, neededGib: number, rules: EvictionRules): Eviction | undefined {
+function evictionOn(worker: WorkerView, neededGib: number, rules: EvictionCriteria): Eviction | undefined {
   const candidates = (worker.inventory?.models ?? [])
     .filter((entry) => rules.isEvictable(worker, entry.model))
     .map((entry) => ({ ...entry, cost: rules.costOf(entry.model) }))
     .sort((left, right) => left.cost - right.cost);
-  let free = rules.freeingGib(worker);
+  let free = rules.freeGibAfterUnloads(worker);
   let cost = 0;
   const victims: string[] = [];
   for (const candidate of candidates) {
--- a/packages/placement/src/keep-alive.ts
+++ b/packages/placement/src/gap-histogram.ts
@@ -5,9 +5,9 @@
   1, 2, 5, 10, 20, 30, 45, 60, 90, 120, 180, 240, 300, 450, 600, 900, 1800, 3600,
 ];
 /** Older observations fade by this factor with each new one. */
-const FADING = 0.98;
+const DECAY_PER_OBSERVATION = 0.98;
 /** One second of cold start weighs as much as this many idle seconds at equal weights. */
-const COLD_SECOND_IN_IDLE_SECONDS = 6;
+const IDLE_SECONDS_PER_COLD_SECOND = 6;
 /** Observations that the starting guess counts for. */
 const PRIOR_OBSERVATIONS = 2;
 
@@ -47,22 +47,26 @@
    * The duration with the least expected cost: idle seconds until the next arrival or the unload, plus the load
    * time times the chance that the next arrival comes too late, each by its weight.
    */
-  bestKeepAlive(loadSeconds: number, coldStartWeight: number, bounds: KeepAliveBounds): number {
+  optimalKeepAliveSeconds(loadSeconds: number, coldStartWeight: number, bounds: KeepAliveBounds): number {
     const inputs = `${String(loadSeconds)}/${String(coldStartWeight)}/${String(bounds.minimumSeconds)}/${String(bounds.maximumSeconds)}`;
     if (this.cached?.inputs === inputs) return this.cached.seconds;
-    const seconds = this.calculateKeepAlive(loadSeconds, coldStartWeight, bounds);
+    const seconds = this.calculateKeepAliveSeconds(loadSeconds, coldStartWeight, bounds);
     this.cached = { inputs, seconds };
     return seconds;
   }
 
-  private calculateKeepAlive(loadSeconds: number, coldStartWeight: number, bounds: KeepAliveBounds): number {
+  private calculateKeepAliveSeconds(
+    loadSeconds: number,
+    coldStartWeight: number,
+    bounds: KeepAliveBounds,
+  ): number {
     const candidates = BUCKET_BOUNDS_SECONDS.filter(
       (seconds) => seconds > bounds.minimumSeconds && seconds < bounds.maximumSeconds,
     );
     let best = bounds.minimumSeconds;
     let bestCost = Infinity;
     for (const seconds of [bounds.minimumSeconds, ...candidates, bounds.maximumSeconds]) {
-      const cost = this.cost(seconds, loadSeconds, coldStartWeight);
+      const cost = this.expectedCost(seconds, loadSeconds, coldStartWeight);
       if (cost >= bestCost) continue;
       best = seconds;
       bestCost = cost;
@@ -70,7 +74,7 @@
     return best;
   }
 
-  private cost(seconds: number, loadSeconds: number, coldStartWeight: number): number {
+  private expectedCost(seconds: number, loadSeconds: number, coldStartWeight: number): number {
     const coldShare = this.shareLongerThan(seconds);
     let idle = coldShare * seconds;
     let lower = 0;
@@ -80,18 +84,18 @@
       idle += share * ((lower + bound) / 2);
       lower = bound;
     }
-    const coldCost = coldShare * loadSeconds * COLD_SECOND_IN_IDLE_SECONDS;
+    const coldCost = coldShare * loadSeconds * IDLE_SECONDS_PER_COLD_SECOND;
     return coldStartWeight * coldCost + (1 - coldStartWeight) * idle;
   }
 
   private recordGap(gapSeconds: number): void {
     this.cached = undefined;
-    const found = BUCKET_BOUNDS_SECONDS.findIndex((bound) => gapSeconds <= bound);
-    const bucket = found < 0 ? BUCKET_BOUNDS_SECONDS.length : found;
+    const matchingBucket = BUCKET_BOUNDS_SECONDS.findIndex((bound) => gapSeconds <= bound);
+    const bucket = matchingBucket < 0 ? BUCKET_BOUNDS_SECONDS.length : matchingBucket;
     for (let index = 0; index < this.counts.length; index += 1) {
-      this.counts[index] = (this.counts[index] ?? 0) * FADING;
+      this.counts[index] = (this.counts[index] ?? 0) * DECAY_PER_OBSERVATION;
     }
-    this.total = this.total * FADING + 1;
+    this.total = this.total * DECAY_PER_OBSERVATION + 1;
     this.counts[bucket] = (this.counts[bucket] ?? 0) + 1;
   }
 }
--- a/packages/placement/src/index.ts
+++ b/packages/placement/src/index.ts
@@ -1,8 +1,8 @@
 /** Placement: what is loaded where, decided by one coordinator a zone. */
-export * from './demand-book.js';
-export * from './keep-alive.js';
-export * from './keep-warm.js';
-export * from './load-cost.js';
+export * from './model-activity.js';
+export * from './gap-histogram.js';
+export * from './warm-hours.js';
+export * from './load-estimate.js';
 export * from './load-permits.js';
 export * from './placement-planner.js';
 export * from './worker-view.js';
--- a/packages/placement/src/load-cost.ts
+++ b/packages/placement/src/load-estimate.ts
@@ -14,7 +14,7 @@
 }
 
 /** Time to copy from a peer's cache, as a share of the time from the weight store. */
-const PEER_COPY_SHARE = 0.4;
+const PEER_COPY_TIME_RATIO = 0.4;
 
 /** Name of a model's checkpoint in the workers' caches. */
 export function checkpointOf(model: CatalogModel): string {
@@ -31,9 +31,9 @@
     if (worker.inventory === undefined || worker.machineState !== 'live') continue;
     const { hostCache, diskCache } = worker.inventory;
     for (const checkpoint of new Set([...hostCache, ...diskCache])) {
-      const known = copies.get(checkpoint);
-      if (known === undefined) copies.set(checkpoint, [worker.id]);
-      else known.push(worker.id);
+      const holders = copies.get(checkpoint);
+      if (holders === undefined) copies.set(checkpoint, [worker.id]);
+      else holders.push(worker.id);
     }
   }
   return copies;
@@ -53,5 +53,5 @@
     return { source: 'disk', seconds: loadSeconds.disk };
   const peer = copies.get(checkpoint)?.find((id) => id !== worker.id);
   if (peer === undefined) return { source: 'remote', seconds: loadSeconds.remote };
-  return { source: 'peer', seconds: loadSeconds.remote * PEER_COPY_SHARE, copyFrom: peer };
+  return { source: 'peer', seconds: loadSeconds.remote * PEER_COPY_TIME_RATIO, copyFrom: peer };
 }
--- a/packages/placement/src/load-permits.ts
+++ b/packages/placement/src/load-permits.ts
@@ -31,7 +31,7 @@
   }
 
   /** Takes a permit for the load named by `key`; false when there is none now. */
-  tryTake(key: string, limits: LoadPermitLimits): boolean {
+  tryAcquire(key: string, limits: LoadPermitLimits): boolean {
     this.refill(limits);
     if (this.active.size >= limits.concurrent || this.tokens < 1) return false;
     this.tokens -= 1;
@@ -40,7 +40,7 @@
   }
 
   /** Ends all loads for which `isActive` does not hold. */
-  keepOnly(isActive: (key: string) => boolean): void {
+  retainOnly(isActive: (key: string) => boolean): void {
     for (const key of this.active) {
       if (!isActive(key)) this.active.delete(key);
     }
--- a/packages/placement/src/demand-book.ts
+++ b/packages/placement/src/model-activity.ts
@@ -1,9 +1,9 @@
 /** What queue owners have reported of each model, and when it was last used. */
 import type { ModelDemand } from '@woodbarrow/protocol';
-import { GapHistogram } from './keep-alive.js';
+import { GapHistogram } from './gap-histogram.js';
 
 /** Reports older than this count as nothing waiting: the owner reports again while something does. */
-const REPORT_VALID_MS = 3000;
+const REPORT_TTL_MS = 3000;
 
 /** Demand for one model. */
 export class ModelActivity {
@@ -18,7 +18,7 @@
   }
 
   /** Takes in an owner's report. */
-  report(owner: string, demand: ModelDemand, now: number): void {
+  recordReport(owner: string, demand: ModelDemand, now: number): void {
     this.reports.set(owner, { demand, at: now });
     if (demand.arrivals > 0) this.gaps.recordArrival(now);
     const busy = demand.arrivals > 0 || demand.running > 0 || demand.waiting.some((entry) => entry.count > 0);
@@ -26,10 +26,10 @@
   }
 
   /** Reports that still count. */
-  current(now: number): ModelDemand[] {
+  currentDemands(now: number): ModelDemand[] {
     const demands: ModelDemand[] = [];
     for (const [owner, { demand, at }] of this.reports) {
-      if (now - at > REPORT_VALID_MS) this.reports.delete(owner);
+      if (now - at > REPORT_TTL_MS) this.reports.delete(owner);
       else demands.push(demand);
     }
     return demands;
--- a/packages/placement/src/placement-planner.ts
+++ b/packages/placement/src/placement-planner.ts
@@ -1,17 +1,17 @@
 /** Decides what a zone should load and unload, from what it holds and what is asked of it. Decides only. */
 import type { CatalogModel } from '@woodbarrow/configuration';
 import type { ModelDemand } from '@woodbarrow/protocol';
-import type { ModelActivity } from './demand-book.js';
-import { totalDemand, type TotalDemand } from './demand-book.js';
+import type { ModelActivity } from './model-activity.js';
+import { totalDemand, type TotalDemand } from './model-activity.js';
 import { cheapestEviction } from './eviction.js';
-import { isWarmTime } from './keep-warm.js';
+import { isWarmTime } from './warm-hours.js';
 import {
   checkpointOf,
   estimateLoad,
   findCopies,
   type CheckpointCopies,
   type LoadEstimate,
-} from './load-cost.js';
+} from './load-estimate.js';
 import type { BlockedReason } from './replica-publisher.js';
 import type { WorkerView } from './worker-view.js';
 
@@ -53,9 +53,9 @@
 /** What the planner looks at. */
 export interface PlacementState {
   readonly zone: string;
-  readonly now: number;
+  readonly nowMs: number;
   /** Wall clock, for hours of the day. */
-  readonly wall: number;
+  readonly wallMs: number;
   /** False while workers of a former coordinator may hold what is not known. */
   readonly recovered: boolean;
   readonly workers: readonly WorkerView[];
@@ -71,9 +71,9 @@
 const DEFERRABLE_LOAD_MARGIN = 2;
 
 /** Checkpoints are brought near only for models whose cold starts weigh at least this much. */
-const WARMING_WEIGHT = 0.5;
+const MIN_WARMING_WEIGHT = 0.5;
 /** Share of a worker's memory that must be free for that. */
-const WARMING_FREE_SHARE = 0.4;
+const MIN_WARMING_FREE_SHARE = 0.4;
 
 interface WantedLoad {
   readonly model: CatalogModel;
@@ -83,10 +83,10 @@
 /** Plans one step. */
 export function planPlacement(state: PlacementState): PlacementPlan {
   const plan = new PlanBuilder(state);
-  plan.retireUnwanted();
+  plan.planUnwantedUnloads();
   plan.planModels();
-  plan.placeLoads();
-  plan.warmOneCheckpoint();
+  plan.planLoads();
+  plan.planCheckpointWarming();
   return plan.result();
 }
 
@@ -99,22 +99,22 @@
   private readonly blocked = new Map<string, BlockedReason>();
   private readonly wanted: WantedLoad[] = [];
   /** Memory that this plan commits or frees, by worker, in GiB. */
-  private readonly planned = new Map<string, number>();
+  private readonly plannedGib = new Map<string, number>();
 
   /** Workers by model that they hold or may hold by order. */
   private readonly holders = new Map<string, WorkerView[]>();
   /** Workers of which nothing is known: they may hold any model. */
-  private readonly unknown: readonly WorkerView[];
-  private knownCopies: CheckpointCopies | undefined;
+  private readonly unobservedWorkers: readonly WorkerView[];
+  private cachedCopies: CheckpointCopies | undefined;
 
   constructor(private readonly state: PlacementState) {
-    this.unknown = state.workers.filter((worker) => worker.mayHoldAnything);
+    this.unobservedWorkers = state.workers.filter((worker) => worker.hasUnknownHoldings);
     for (const worker of state.workers) {
-      if (worker.mayHoldAnything) continue;
+      if (worker.hasUnknownHoldings) continue;
       for (const { model } of worker.holdings()) {
-        const known = this.holders.get(model);
-        if (known === undefined) this.holders.set(model, [worker]);
-        else known.push(worker);
+        const holders = this.holders.get(model);
+        if (holders === undefined) this.holders.set(model, [worker]);
+        else holders.push(worker);
       }
     }
   }
@@ -125,12 +125,12 @@
   }
 
   /** Replicas on leaving workers, and of models that no template has. */
-  retireUnwanted(): void {
+  planUnwantedUnloads(): void {
     for (const worker of this.state.workers) {
       for (const entry of worker.inventory?.models ?? []) {
         if (entry.state === 'unloading') continue;
         if (!this.state.models.has(entry.model)) this.unload(entry.model, worker, 'unknown_model');
-        else if (worker.leaving) this.unload(entry.model, worker, 'leaving');
+        else if (worker.isLeaving) this.unload(entry.model, worker, 'leaving');
       }
     }
   }
@@ -141,7 +141,7 @@
       const holders = this.holdersOf(model.id);
       if (allotment === 0 && holders.length === 0) continue;
       const demand = totalDemand(this.state.demandsOf(model.id));
-      if (holders.length === 0 && demand.waiting === 0 && this.floorOf(model) === 0) continue;
+      if (holders.length === 0 && demand.waiting === 0 && this.minimumReplicas(model) === 0) continue;
       const serving = holders.filter((worker) => this.isServing(worker, model.id));
       const desired = Math.min(allotment, this.desiredReplicas(model, demand, serving));
       if (desired > 0 || serving.length > 0) this.decided.set(model.id, Math.max(desired, serving.length));
@@ -152,14 +152,14 @@
   }
 
   /** Most urgent first: by class, then by deadline. */
-  placeLoads(): void {
+  planLoads(): void {
     const ordered = this.wanted.sort(
       (left, right) =>
         left.demand.topPriority - right.demand.topPriority ||
         left.demand.firstDeadlineMs - right.demand.firstDeadlineMs ||
         (left.model.id < right.model.id ? -1 : 1),
     );
-    for (const { model, demand } of ordered) this.place(model, demand);
+    for (const { model, demand } of ordered) this.planLoad(model, demand);
   }
 
   /**
@@ -167,22 +167,24 @@
    * its next cold start comes from a disk rather than from the weight store. Only in the model's first zone, and only
    * where cold starts weigh at least as much as idle hours.
    */
-  warmOneCheckpoint(): void {
+  planCheckpointWarming(): void {
     const { state } = this;
-    const busy = this.wanted.length > 0 || state.warming.size > 0 || !state.recovered;
-    if (busy || state.workers.some((worker) => loadingCount(worker) > 0)) return;
-    const roomy = state.workers.filter((worker) => worker.accepting && this.isRoomy(worker));
-    if (roomy.length === 0) return;
+    const isBusy = this.wanted.length > 0 || state.warming.size > 0 || !state.recovered;
+    if (isBusy || state.workers.some((worker) => loadingCount(worker) > 0)) return;
+    const spaciousWorkers = state.workers.filter(
+      (worker) => worker.isAccepting && this.hasMemoryForWarming(worker),
+    );
+    if (spaciousWorkers.length === 0) return;
     for (const model of state.models.values()) {
       const isCandidate =
-        model.coldStartWeight >= WARMING_WEIGHT &&
+        model.coldStartWeight >= MIN_WARMING_WEIGHT &&
         model.allotments[0]?.zone === state.zone &&
         !this.copies().has(checkpointOf(model)) &&
         this.holdersOf(model.id).length === 0;
       if (!isCandidate) continue;
-      const best = this.fastest(
+      const best = this.fastestLoad(
         model,
-        roomy.filter((worker) => this.freeGib(worker) >= model.parameters.memoryGib),
+        spaciousWorkers.filter((worker) => this.freeGib(worker) >= model.parameters.memoryGib),
       );
       if (best === undefined) continue;
       this.warming.push(best);
@@ -192,48 +194,48 @@
 
   /** Copies in the zone; found when the first estimate needs them. */
   private copies(): CheckpointCopies {
-    this.knownCopies ??= findCopies(this.state.workers);
-    return this.knownCopies;
+    this.cachedCopies ??= findCopies(this.state.workers);
+    return this.cachedCopies;
   }
 
-  private isRoomy(worker: WorkerView): boolean {
-    return this.freeGib(worker) >= (worker.inventory?.memoryGib ?? 0) * WARMING_FREE_SHARE;
+  private hasMemoryForWarming(worker: WorkerView): boolean {
+    return this.freeGib(worker) >= (worker.inventory?.memoryGib ?? 0) * MIN_WARMING_FREE_SHARE;
   }
 
   private holdersOf(model: string): readonly WorkerView[] {
-    const known = this.holders.get(model) ?? [];
-    return this.unknown.length === 0 ? known : [...known, ...this.unknown];
+    const holders = this.holders.get(model) ?? [];
+    return this.unobservedWorkers.length === 0 ? holders : [...holders, ...this.unobservedWorkers];
   }
 
   private isServing(worker: WorkerView, model: string): boolean {
-    if (worker.retiring.has(model) || !worker.accepting) return false;
+    if (worker.retiring.has(model) || !worker.isAccepting) return false;
     const entry = worker.loaded(model);
     return entry === undefined ? worker.intents.has(model) : entry.state !== 'unloading';
   }
 
   private desiredReplicas(model: CatalogModel, demand: TotalDemand, serving: readonly WorkerView[]): number {
-    const floor = this.floorOf(model);
+    const minimum = this.minimumReplicas(model);
     const ready = serving.filter((worker) => worker.loaded(model.id)?.state === 'ready').length;
     const loading = serving.length - ready;
     if (demand.waiting > 0) {
-      if (serving.length === 0 && demand.deferrable && !this.isDeferralOver(model, demand)) return floor;
-      if (loading > 0) return Math.max(floor, serving.length);
+      if (serving.length === 0 && demand.deferrable && !this.isDeferralOver(model, demand)) return minimum;
+      if (loading > 0) return Math.max(minimum, serving.length);
       const busy = demand.running + demand.waiting;
-      return Math.max(floor, serving.length, Math.ceil(busy / model.parameters.concurrency), 1);
+      return Math.max(minimum, serving.length, Math.ceil(busy / model.parameters.concurrency), 1);
     }
-    if (this.state.warming.has(model.id) && loading === 0) return floor;
+    if (this.state.warming.has(model.id) && loading === 0) return minimum;
     const activity = this.state.activityOf(model.id);
     const running = serving.reduce((total, worker) => total + (worker.loaded(model.id)?.running ?? 0), 0);
-    if (running > 0 || demand.running > 0) return Math.max(floor, serving.length);
+    if (running > 0 || demand.running > 0) return Math.max(minimum, serving.length);
     const load = model.parameters.loadSeconds;
-    const keepAlive = activity.gaps.bestKeepAlive(
+    const keepAlive = activity.gaps.optimalKeepAliveSeconds(
       load.disk,
       model.coldStartWeight,
       model.parameters.keepAlive,
     );
-    const idleSeconds = (this.state.now - activity.lastUsedAt) / 1000;
-    if (loading > 0 || idleSeconds < keepAlive) return Math.max(floor, serving.length);
-    return floor;
+    const idleSeconds = (this.state.nowMs - activity.lastUsedAt) / 1000;
+    if (loading > 0 || idleSeconds < keepAlive) return Math.max(minimum, serving.length);
+    return minimum;
   }
 
   private isDeferralOver(model: CatalogModel, demand: TotalDemand): boolean {
@@ -241,13 +243,13 @@
   }
 
   /** Replicas that this zone keeps whatever the traffic. */
-  private floorOf(model: CatalogModel): number {
-    const warm = isWarmTime(model.parameters.keepWarm, this.state.wall) ? 1 : 0;
-    let floor = Math.max(model.parameters.replicas.minimum, warm);
+  private minimumReplicas(model: CatalogModel): number {
+    const warmReplicas = isWarmTime(model.parameters.keepWarm, this.state.wallMs) ? 1 : 0;
+    let remainingMinimum = Math.max(model.parameters.replicas.minimum, warmReplicas);
     for (const allotment of model.allotments) {
-      const share = Math.min(floor, allotment.replicas);
+      const share = Math.min(remainingMinimum, allotment.replicas);
       if (allotment.zone === this.state.zone) return share;
-      floor -= share;
+      remainingMinimum -= share;
     }
     return 0;
   }
@@ -278,26 +280,26 @@
     this.wanted.push({ model, demand });
   }
 
-  private place(model: CatalogModel, demand: TotalDemand): void {
+  private planLoad(model: CatalogModel, demand: TotalDemand): void {
     const candidates = this.state.workers.filter(
-      (worker) => worker.accepting && !worker.outcomeOpen && !worker.mayHold(model.id),
+      (worker) => worker.isAccepting && !worker.hasUnknownOutcome && !worker.mayHold(model.id),
     );
     if (candidates.length === 0) {
       this.blocked.set(model.id, 'no_worker');
       return;
     }
     const fitting = candidates.filter((worker) => this.freeGib(worker) >= model.parameters.memoryGib);
-    const best = this.fastest(model, fitting);
+    const best = this.fastestLoad(model, fitting);
     if (best !== undefined) {
       this.loads.push(best);
-      this.commit(best.worker, model.parameters.memoryGib);
+      this.commitMemory(best.worker, model.parameters.memoryGib);
       return;
     }
     this.blocked.set(model.id, 'memory');
-    if (demand.waiting > 0) this.evictFor(model, candidates);
+    if (demand.waiting > 0) this.planEviction(model, candidates);
   }
 
-  private fastest(model: CatalogModel, workers: readonly WorkerView[]): LoadAction | undefined {
+  private fastestLoad(model: CatalogModel, workers: readonly WorkerView[]): LoadAction | undefined {
     const actions = workers.map((worker) => ({
       model,
       worker,
@@ -314,11 +316,11 @@
   }
 
   /** Makes room where the idle replicas that are cheapest to do without suffice, unless room is being made already. */
-  private evictFor(model: CatalogModel, candidates: readonly WorkerView[]): void {
+  private planEviction(model: CatalogModel, candidates: readonly WorkerView[]): void {
     const neededGib = model.parameters.memoryGib;
-    if (candidates.some((worker) => this.freeingGib(worker) >= neededGib)) return;
+    if (candidates.some((worker) => this.freeGibAfterUnloads(worker) >= neededGib)) return;
     const eviction = cheapestEviction(candidates, neededGib, {
-      freeingGib: (worker) => this.freeingGib(worker),
+      freeGibAfterUnloads: (worker) => this.freeGibAfterUnloads(worker),
       isEvictable: (worker, candidate) => this.isEvictable(worker, candidate),
       costOf: (candidate) => this.evictionCost(candidate),
     });
@@ -330,7 +332,7 @@
     const model = this.state.models.get(modelId);
     const entry = worker.loaded(modelId);
     if (model === undefined || entry?.state !== 'ready' || entry.running > 0) return false;
-    if (worker.retiring.has(modelId) || this.floorOf(model) > 0) return false;
+    if (worker.retiring.has(modelId) || this.minimumReplicas(model) > 0) return false;
     const demand = totalDemand(this.state.demandsOf(modelId));
     return demand.waiting === 0 && demand.running === 0;
   }
@@ -339,7 +341,7 @@
   private evictionCost(modelId: string): number {
     const model = this.state.models.get(modelId);
     const activity = this.state.activityOf(modelId);
-    const idleSeconds = (this.state.now - activity.lastUsedAt) / 1000;
+    const idleSeconds = (this.state.nowMs - activity.lastUsedAt) / 1000;
     return (model?.parameters.loadSeconds.host ?? 1) / (1 + idleSeconds);
   }
 
@@ -352,7 +354,7 @@
       const worker = ready.find((candidate) => this.freeGib(candidate) >= adapter.memoryGib);
       if (worker === undefined) continue;
       this.adapters.push({ model, worker, adapter: name, memoryGib: adapter.memoryGib });
-      this.commit(worker, adapter.memoryGib);
+      this.commitMemory(worker, adapter.memoryGib);
     }
   }
 
@@ -361,23 +363,23 @@
     this.unloads.push({ model, worker, reason });
   }
 
-  private commit(worker: WorkerView, memoryGib: number): void {
-    this.planned.set(worker.id, (this.planned.get(worker.id) ?? 0) + memoryGib);
+  private commitMemory(worker: WorkerView, memoryGib: number): void {
+    this.plannedGib.set(worker.id, (this.plannedGib.get(worker.id) ?? 0) + memoryGib);
   }
 
   private freeGib(worker: WorkerView): number {
-    return worker.freeGib - (this.planned.get(worker.id) ?? 0);
+    return worker.freeGib - (this.plannedGib.get(worker.id) ?? 0);
   }
 
   /** Free memory once the unloads under way are done. */
-  private freeingGib(worker: WorkerView): number {
-    const leaving = (worker.inventory?.models ?? []).filter(
+  private freeGibAfterUnloads(worker: WorkerView): number {
+    const unloadingModels = (worker.inventory?.models ?? []).filter(
       (entry) =>
         entry.state === 'unloading' ||
         worker.retiring.has(entry.model) ||
         this.unloads.some((action) => action.worker === worker && action.model === entry.model),
     );
-    return this.freeGib(worker) + leaving.reduce((total, entry) => total + entry.memoryGib, 0);
+    return this.freeGib(worker) + unloadingModels.reduce((total, entry) => total + entry.memoryGib, 0);
   }
 }
 
--- a/packages/placement/src/replica-publisher.ts
+++ b/packages/placement/src/replica-publisher.ts
@@ -23,7 +23,7 @@
 /** Publishes the replicas of one zone for as long as one lease lasts. */
 export class ReplicaPublisher {
   /** Digest of what was last published of each model. */
-  private readonly published = new Map<string, string>();
+  private readonly publishedDigests = new Map<string, string>();
 
   constructor(private readonly options: ReplicaPublisherOptions) {}
 
@@ -43,7 +43,7 @@
         adapters: entry.adapters,
         concurrency: entry.concurrency,
         running: entry.running,
-        accepting: worker.accepting && !worker.retiring.has(model),
+        accepting: worker.isAccepting && !worker.retiring.has(model),
       });
     }
     const blockedBy = this.options.blockedBy(model);
@@ -54,11 +54,11 @@
   publishChanges(): void {
     const { peers, zone, fence } = this.options;
     const changed = new Map<string, ModelReplicas[]>();
-    for (const model of this.knownModels()) {
+    for (const model of this.modelsToPublish()) {
       const replicas = this.replicasOf(model);
       const digest = digestOf(replicas);
-      if (this.published.get(model) === digest) continue;
-      this.published.set(model, digest);
+      if (this.publishedDigests.get(model) === digest) continue;
+      this.publishedDigests.set(model, digest);
       const owner = this.queueOwnerOf(model);
       if (owner !== undefined) changed.set(owner, [...(changed.get(owner) ?? []), replicas]);
     }
@@ -67,8 +67,8 @@
     }
   }
 
-  private knownModels(): Set<string> {
-    const models = new Set(this.published.keys());
+  private modelsToPublish(): Set<string> {
+    const models = new Set(this.publishedDigests.keys());
     for (const worker of this.options.workers.values()) {
       for (const holding of worker.holdings()) models.add(holding.model);
     }
--- a/packages/placement/src/worker-agent.ts
+++ b/packages/placement/src/worker-agent.ts
@@ -4,8 +4,8 @@
 import type { EngineClient, EngineOrder, Inventory } from '@woodbarrow/engine';
 import { isKind } from '@woodbarrow/errors';
 import { Wakeup, type Clock } from '@woodbarrow/runtime';
-import { checkpointOf, type LoadEstimate } from './load-cost.js';
-import { UNANSWERED_LIMIT, workerRecordKey, type Holding, type WorkerView } from './worker-view.js';
+import { checkpointOf, type LoadEstimate } from './load-estimate.js';
+import { MAX_UNANSWERED_CALLS, workerRecordKey, type Holding, type WorkerView } from './worker-view.js';
 
 /** Options of {@link WorkerAgent}. */
 export interface WorkerAgentOptions {
@@ -32,7 +32,7 @@
   readonly holding?: Holding;
 }
 
-const UNREACHED_RETRY_MS = 500;
+const UNREACHABLE_RETRY_MS = 500;
 
 /** Sends orders to one worker and follows its inventory. */
 export class WorkerAgent {
@@ -68,10 +68,10 @@
 
   /** Queues the load of an adapter. */
   loadAdapter(model: string, adapter: string, memoryGib: number): void {
-    const already = this.queue.some(
+    const isQueued = this.queue.some(
       ({ order }) => order.type === 'load_adapter' && order.adapter === adapter,
     );
-    if (already) return;
+    if (isQueued) return;
     const base = this.options.worker.loaded(model)?.memoryGib ?? 0;
     this.enqueue({
       holding: { model, memoryGib: base + memoryGib },
@@ -81,7 +81,7 @@
 
   /** Asks for the inventory now: a request was refused or failed there. */
   pollSoon(): void {
-    if (this.options.worker.unanswered === 0) this.wakeup.wake();
+    if (this.options.worker.unansweredCalls === 0) this.wakeup.wake();
   }
 
   /** Ends the task. */
@@ -95,8 +95,8 @@
     const { lease } = this.options;
     while (!signal.aborted && !this.stopped && lease.isValid) {
       const next = this.queue[0];
-      if (!this.options.worker.reached || this.options.worker.outcomeOpen) await this.raiseFence();
-      else if (next !== undefined) await this.carryOut(next);
+      if (!this.options.worker.isReached || this.options.worker.hasUnknownOutcome) await this.raiseFence();
+      else if (next !== undefined) await this.execute(next);
       else await this.poll();
       await this.pause(signal);
     }
@@ -105,18 +105,18 @@
   private enqueue(order: QueuedOrder): void {
     this.queue.push(order);
     // A worker that does not answer is asked again in its own time.
-    if (this.options.worker.unanswered === 0) this.wakeup.wake();
+    if (this.options.worker.unansweredCalls === 0) this.wakeup.wake();
   }
 
   private async pause(signal: AbortSignal): Promise<void> {
     const { worker, clock } = this.options;
-    if (this.queue.length > 0 && worker.unanswered === 0 && !worker.outcomeOpen) return;
+    if (this.queue.length > 0 && worker.unansweredCalls === 0 && !worker.hasUnknownOutcome) return;
     await this.wakeup.wait(clock, this.pauseMs(), signal);
   }
 
   private pauseMs(): number {
     const { worker, idlePollMs, busyPollMs } = this.options;
-    if (worker.unanswered > 0 || worker.outcomeOpen) return UNREACHED_RETRY_MS;
+    if (worker.unansweredCalls > 0 || worker.hasUnknownOutcome) return UNREACHABLE_RETRY_MS;
     const busy = worker.inventory?.models.some((entry) => entry.state !== 'ready') ?? false;
     return busy || worker.retiring.size > 0 ? busyPollMs : idlePollMs();
   }
@@ -128,14 +128,14 @@
     try {
       const order: EngineOrder = { type: 'raise_fence' };
       const inventory = await engines.order(worker.origin, lease.nextOrderNumber(), order, worker.inventory);
-      worker.outcomeOpen = false;
-      this.confirm(inventory);
+      worker.hasUnknownOutcome = false;
+      this.applyInventory(inventory);
     } catch (error) {
-      this.noteFailure(error);
+      this.handleFailure(error);
     }
   }
 
-  private async carryOut(next: QueuedOrder): Promise<void> {
+  private async execute(next: QueuedOrder): Promise<void> {
     const { worker, lease, engines, counters } = this.options;
     this.queue.shift();
     if (next.holding !== undefined) {
@@ -147,11 +147,13 @@
     if (next.order.type === 'load') counters.loadsOrdered += 1;
     if (next.order.type === 'unload') counters.unloadsOrdered += 1;
     try {
-      this.confirm(await engines.order(worker.origin, lease.nextOrderNumber(), next.order, worker.inventory));
+      this.applyInventory(
+        await engines.order(worker.origin, lease.nextOrderNumber(), next.order, worker.inventory),
+      );
     } catch (error) {
-      worker.outcomeOpen = true;
+      worker.hasUnknownOutcome = true;
       if (next.order.type === 'unload') worker.retiring.delete(next.order.model);
-      this.noteFailure(error);
+      this.handleFailure(error);
     }
   }
 
@@ -169,24 +171,24 @@
   private async poll(): Promise<void> {
     const { worker, engines } = this.options;
     try {
-      this.confirm(await engines.inventory(worker.origin, worker.inventory));
+      this.applyInventory(await engines.inventory(worker.origin, worker.inventory));
     } catch (error) {
-      this.noteFailure(error);
+      this.handleFailure(error);
     }
   }
 
-  private confirm(inventory: Inventory): void {
+  private applyInventory(inventory: Inventory): void {
     const { worker, clock, onChange } = this.options;
-    const before = worker.inventory?.generation;
-    const wasOpen = worker.mayHoldAnything || worker.intents.size > 0 || worker.unanswered > 0;
-    worker.confirm(inventory, clock.monotonic());
+    const previousGeneration = worker.inventory?.generation;
+    const wasUncertain = worker.hasUnknownHoldings || worker.intents.size > 0 || worker.unansweredCalls > 0;
+    worker.applyInventory(inventory, clock.monotonic());
     for (const { holding } of this.queue) {
       if (holding !== undefined) worker.intents.set(holding.model, holding);
     }
-    if (wasOpen || before !== inventory.generation) onChange();
+    if (wasUncertain || previousGeneration !== inventory.generation) onChange();
   }
 
-  private noteFailure(error: unknown): void {
+  private handleFailure(error: unknown): void {
     const { worker, counters, lease, onChange } = this.options;
     if (isKind(error, 'fence_too_low')) {
       // Another coordinator has been at this worker: this lease is over, whatever the clock says.
@@ -199,7 +201,7 @@
       return;
     }
     counters.ordersUnanswered += 1;
-    worker.unanswered += 1;
-    if (worker.unanswered === UNANSWERED_LIMIT) onChange();
+    worker.unansweredCalls += 1;
+    if (worker.unansweredCalls === MAX_UNANSWERED_CALLS) onChange();
   }
 }
--- a/packages/placement/src/worker-view.ts
+++ b/packages/placement/src/worker-view.ts
@@ -20,7 +20,7 @@
 }
 
 /** After this many calls without an answer a worker takes no new work until it answers. */
-export const UNANSWERED_LIMIT = 2;
+export const MAX_UNANSWERED_CALLS = 2;
 
 const MIB_PER_GIB = 1024;
 
@@ -37,32 +37,32 @@
   /** Models that may appear on the worker besides its inventory: orders without a known outcome. */
   readonly intents = new Map<string, Holding>();
   /** True when an order's outcome is not known: nothing counts as absent until the fence was raised again. */
-  outcomeOpen = false;
+  hasUnknownOutcome = false;
   /** Models that are to be unloaded as soon as possible; they take no new work. */
   readonly retiring = new Set<string>();
   /** Calls in a row that the worker did not answer. */
-  unanswered = 0;
+  unansweredCalls = 0;
 
-  /** @param origin Origin of the engine. @param mayHoldAnything True while nothing is known of the worker. */
+  /** @param origin Origin of the engine. @param hasUnknownHoldings True while nothing is known of the worker. */
   constructor(
     readonly id: string,
     public origin: string,
-    public mayHoldAnything: boolean,
+    public hasUnknownHoldings: boolean,
   ) {}
 
   /** Whether the worker was reached under the present lease. */
-  get reached(): boolean {
+  get isReached(): boolean {
     return this.inventory !== undefined;
   }
 
   /** Whether the worker is about to go, by the machine list or by its own word. */
-  get leaving(): boolean {
+  get isLeaving(): boolean {
     return this.machineState !== 'live' || this.inventory?.draining === true;
   }
 
   /** Whether new work may go to the worker. */
-  get accepting(): boolean {
-    return this.reached && !this.leaving && this.unanswered < UNANSWERED_LIMIT;
+  get isAccepting(): boolean {
+    return this.isReached && !this.isLeaving && this.unansweredCalls < MAX_UNANSWERED_CALLS;
   }
 
   /** The model's entry in the inventory. */
@@ -72,15 +72,15 @@
 
   /** Whether the worker holds or may hold the model. */
   mayHold(model: string): boolean {
-    return this.mayHoldAnything || this.intents.has(model) || this.loaded(model) !== undefined;
+    return this.hasUnknownHoldings || this.intents.has(model) || this.loaded(model) !== undefined;
   }
 
   /** Everything the worker holds or may hold. */
   holdings(): Holding[] {
     const holdings = new Map<string, Holding>(this.intents);
     for (const entry of this.inventory?.models ?? []) {
-      const intended = this.intents.get(entry.model)?.memoryGib ?? 0;
-      holdings.set(entry.model, { model: entry.model, memoryGib: Math.max(intended, entry.memoryGib) });
+      const intendedGib = this.intents.get(entry.model)?.memoryGib ?? 0;
+      holdings.set(entry.model, { model: entry.model, memoryGib: Math.max(intendedGib, entry.memoryGib) });
     }
     return [...holdings.values()];
   }
@@ -94,17 +94,17 @@
 
   /** Accelerator memory not committed, in GiB; none while the worker is unknown. */
   get freeGib(): number {
-    if (this.inventory === undefined || this.mayHoldAnything) return 0;
+    if (this.inventory === undefined || this.hasUnknownHoldings) return 0;
     return this.inventory.memoryGib - this.committedGib;
   }
 
   /** Takes in an inventory that was obtained after every order had been answered. */
-  confirm(inventory: Inventory, now: number): void {
+  applyInventory(inventory: Inventory, now: number): void {
     this.inventory = inventory;
     this.inventoryAt = now;
-    this.unanswered = 0;
-    if (this.outcomeOpen) return;
-    this.mayHoldAnything = false;
+    this.unansweredCalls = 0;
+    if (this.hasUnknownOutcome) return;
+    this.hasUnknownHoldings = false;
     this.intents.clear();
     for (const model of this.retiring) {
       if (this.loaded(model) === undefined) this.retiring.delete(model);
--- a/packages/placement/src/zone-coordinator.ts
+++ b/packages/placement/src/zone-coordinator.ts
@@ -19,7 +19,7 @@
 } from '@woodbarrow/protocol';
 import { WoodbarrowError } from '@woodbarrow/errors';
 import { TaskGroup, Wakeup, sleep, type Clock } from '@woodbarrow/runtime';
-import { ModelActivity } from './demand-book.js';
+import { ModelActivity } from './model-activity.js';
 import { LoadPermits, permitLimitsOfZone } from './load-permits.js';
 import {
   allotmentOf,
@@ -82,8 +82,8 @@
 
 const PERMIT_SEPARATOR = '\u0000';
 /** Idle workers are asked in turn, at most one in this many milliseconds. */
-const POLL_SPACING_MS = 125;
-const MINIMUM_PLAN_PAUSE_MS = 20;
+const IDLE_POLL_SPACING_MS = 125;
+const MIN_PLAN_PAUSE_MS = 20;
 
 /** Everything that lasts as long as one lease. */
 interface Tenure {
@@ -94,7 +94,7 @@
   readonly absentSince: Map<string, number>;
   readonly permits: LoadPermits;
   readonly warming: Set<string>;
-  machinesRead: boolean;
+  hasReadMachines: boolean;
   lastPlan: PlacementPlan | undefined;
   readonly publisher: ReplicaPublisher;
 }
@@ -126,10 +126,10 @@
   start(): void {
     const { lease, peers } = this.options;
     lease.events.on('acquired', (held) => {
-      this.begin(held);
+      this.beginTenure(held);
     });
     lease.events.on('lost', () => {
-      this.end();
+      this.endTenure();
     });
     peers.handle(reportDemandMethod, (request) => this.onDemand(request));
     peers.handle(describePlacementMethod, () => this.describe());
@@ -137,11 +137,11 @@
 
   /** Stops without a word, as a crash would. */
   abort(): void {
-    this.end();
+    this.endTenure();
   }
 
-  private begin(lease: Lease): void {
-    this.end();
+  private beginTenure(lease: Lease): void {
+    this.endTenure();
     this.counters.takeovers += 1;
     const { clock } = this.options;
     const workers = new Map<string, WorkerView>();
@@ -153,7 +153,7 @@
       absentSince: new Map(),
       permits: new LoadPermits(clock),
       warming: new Set(),
-      machinesRead: false,
+      hasReadMachines: false,
       lastPlan: undefined,
       publisher: new ReplicaPublisher({
         zone: this.options.zone,
@@ -166,7 +166,7 @@
     };
     this.tenure = tenure;
     this.restoreRecords(tenure);
-    this.event('coordinator_started', { fence: lease.fence, complete: lease.isComplete });
+    this.emitEvent('coordinator_started', { fence: lease.fence, complete: lease.isComplete });
     tenure.tasks.loop(
       'placement.machines',
       () => this.timings.machineListIntervalMs,
@@ -175,12 +175,12 @@
     tenure.tasks.spawn('placement.plan', (signal) => this.planLoop(tenure, signal));
   }
 
-  private end(): void {
+  private endTenure(): void {
     const tenure = this.tenure;
     if (tenure === undefined) return;
     this.tenure = undefined;
     tenure.tasks.abort();
-    this.event('coordinator_stopped', { fence: tenure.lease.fence });
+    this.emitEvent('coordinator_stopped', { fence: tenure.lease.fence });
   }
 
   /** Workers that the former coordinator's records name may hold what is recorded. */
@@ -190,7 +190,7 @@
       const record = value as WorkerRecord;
       const worker = this.addWorker(tenure, key.slice('worker/'.length), record.origin);
       for (const holding of record.holdings) worker.intents.set(holding.model, holding);
-      worker.outcomeOpen = true;
+      worker.hasUnknownOutcome = true;
     }
   }
 
@@ -203,7 +203,7 @@
       engines: this.options.engines,
       clock: this.options.clock,
       counters: this.counters,
-      idlePollMs: () => Math.max(this.timings.idlePollMs, tenure.workers.size * POLL_SPACING_MS),
+      idlePollMs: () => Math.max(this.timings.idlePollMs, tenure.workers.size * IDLE_POLL_SPACING_MS),
       busyPollMs: this.timings.busyPollMs,
       onChange: () => {
         this.onWorkerChange(tenure);
@@ -215,26 +215,26 @@
   }
 
   private async readMachines(tenure: Tenure): Promise<void> {
-    const own = await this.options.machines.list({ kind: 'worker', zone: this.options.zone });
+    const machines = await this.options.machines.list({ kind: 'worker', zone: this.options.zone });
     if (this.tenure !== tenure) return;
-    for (const machine of own) this.noteMachine(tenure, machine);
-    this.noteAbsent(tenure, new Set(own.map((machine) => machine.id)));
-    tenure.machinesRead = true;
+    for (const machine of machines) this.applyMachine(tenure, machine);
+    this.removeAbsentWorkers(tenure, new Set(machines.map((machine) => machine.id)));
+    tenure.hasReadMachines = true;
     this.wakeup.wake();
   }
 
-  private noteMachine(tenure: Tenure, machine: Machine): void {
+  private applyMachine(tenure: Tenure, machine: Machine): void {
     const worker = tenure.workers.get(machine.id) ?? this.addWorker(tenure, machine.id, machine.address);
     tenure.absentSince.delete(machine.id);
     if (worker.machineState !== machine.state) {
       worker.machineState = machine.state;
-      this.event('worker_state_changed', { worker: worker.id, state: machine.state });
+      this.emitEvent('worker_state_changed', { worker: worker.id, state: machine.state });
       tenure.publisher.publishChanges();
     }
   }
 
   /** A machine that the list no longer has is gone, and with it what it held. */
-  private noteAbsent(tenure: Tenure, listed: ReadonlySet<string>): void {
+  private removeAbsentWorkers(tenure: Tenure, listed: ReadonlySet<string>): void {
     const now = this.options.clock.monotonic();
     for (const worker of [...tenure.workers.values()]) {
       if (listed.has(worker.id)) continue;
@@ -246,7 +246,7 @@
       tenure.agents.delete(worker.id);
       tenure.workers.delete(worker.id);
       tenure.absentSince.delete(worker.id);
-      this.event('worker_gone', { worker: worker.id });
+      this.emitEvent('worker_gone', { worker: worker.id });
       void tenure.lease.write(new Map([[workerRecordKey(worker.id), null]])).catch(() => undefined);
     }
   }
@@ -262,27 +262,27 @@
     while (!signal.aborted) {
       await this.planOnce(tenure);
       await this.wakeup.wait(clock, this.timings.planIntervalMs, signal);
-      await sleep(clock, MINIMUM_PLAN_PAUSE_MS, signal);
+      await sleep(clock, MIN_PLAN_PAUSE_MS, signal);
     }
   }
 
   private async planOnce(tenure: Tenure): Promise<void> {
-    if (!tenure.lease.isValid || !tenure.machinesRead) return;
+    if (!tenure.lease.isValid || !tenure.hasReadMachines) return;
     await this.completeRecovery(tenure);
-    const now = this.options.clock.monotonic();
+    const nowMs = this.options.clock.monotonic();
     const plan = planPlacement({
       zone: this.options.zone,
-      now,
-      wall: this.options.clock.wall(),
+      nowMs,
+      wallMs: this.options.clock.wall(),
       recovered: tenure.lease.isComplete,
       workers: [...tenure.workers.values()],
       models: this.options.catalog.modelsById(),
-      demandsOf: (model) => this.activities.get(model)?.current(now) ?? [],
+      demandsOf: (model) => this.activities.get(model)?.currentDemands(nowMs) ?? [],
       activityOf: (model) => this.activityOf(model),
-      warming: this.stillWarming(tenure),
+      warming: this.updateWarmingModels(tenure),
     });
     tenure.lastPlan = plan;
-    this.carryOut(tenure, plan);
+    this.executePlan(tenure, plan);
     tenure.publisher.publishChanges();
   }
 
@@ -290,18 +290,18 @@
   private async completeRecovery(tenure: Tenure): Promise<void> {
     if (tenure.lease.isComplete) return;
     for (const worker of tenure.workers.values()) {
-      if (!worker.reached || worker.mayHoldAnything) return;
+      if (!worker.isReached || worker.hasUnknownHoldings) return;
     }
     const records = [...tenure.workers.values()].map(
       (worker) => [workerRecordKey(worker.id), worker.toRecord()] as const,
     );
     await tenure.lease.write(new Map(records));
     await tenure.lease.markComplete();
-    this.event('coordinator_recovered', { workers: tenure.workers.size });
+    this.emitEvent('coordinator_recovered', { workers: tenure.workers.size });
   }
 
-  private carryOut(tenure: Tenure, plan: PlacementPlan): void {
-    this.returnPermits(tenure);
+  private executePlan(tenure: Tenure, plan: PlacementPlan): void {
+    this.releasePermits(tenure);
     for (const action of plan.unloads) this.beginUnload(tenure, action);
     for (const action of plan.loads) this.beginLoad(tenure, action);
     for (const action of plan.warming) this.beginWarming(tenure, action);
@@ -311,8 +311,8 @@
   }
 
   /** Permits of loads that have ended, one way or the other. */
-  private returnPermits(tenure: Tenure): void {
-    tenure.permits.keepOnly((key) => {
+  private releasePermits(tenure: Tenure): void {
+    tenure.permits.retainOnly((key) => {
       const [workerId = '', model = ''] = key.split(PERMIT_SEPARATOR);
       const worker = tenure.workers.get(workerId);
       return worker !== undefined && (worker.intents.has(model) || worker.loaded(model)?.state === 'loading');
@@ -322,41 +322,41 @@
   private beginUnload(tenure: Tenure, { model, worker, reason }: UnloadAction): void {
     if (worker.retiring.has(model)) return;
     worker.retiring.add(model);
-    this.event('replica_unloading', { model, worker: worker.id, reason });
+    this.emitEvent('replica_unloading', { model, worker: worker.id, reason });
     tenure.agents.get(worker.id)?.unload(model);
   }
 
   private beginLoad(tenure: Tenure, { model, worker, estimate }: LoadAction): void {
-    if (estimate.source === 'remote' && !this.takePermit(tenure, worker.id, model.id)) return;
-    this.event('replica_loading', { model: model.id, worker: worker.id, source: estimate.source });
+    if (estimate.source === 'remote' && !this.tryAcquirePermit(tenure, worker.id, model.id)) return;
+    this.emitEvent('replica_loading', { model: model.id, worker: worker.id, source: estimate.source });
     tenure.agents.get(worker.id)?.load(model, estimate);
   }
 
   private beginWarming(tenure: Tenure, { model, worker, estimate }: LoadAction): void {
-    if (!this.takePermit(tenure, worker.id, model.id)) return;
-    this.event('checkpoint_warming', { model: model.id, worker: worker.id });
+    if (!this.tryAcquirePermit(tenure, worker.id, model.id)) return;
+    this.emitEvent('checkpoint_warming', { model: model.id, worker: worker.id });
     tenure.warming.add(model.id);
     tenure.agents.get(worker.id)?.load(model, estimate);
   }
 
   /** Models that are loaded only for their checkpoint; one that is asked for meanwhile becomes an ordinary replica. */
-  private stillWarming(tenure: Tenure): ReadonlySet<string> {
+  private updateWarmingModels(tenure: Tenure): ReadonlySet<string> {
     const now = this.options.clock.monotonic();
     for (const model of tenure.warming) {
-      const held = [...tenure.workers.values()].some((worker) => worker.mayHold(model));
-      const wanted = (this.activities.get(model)?.current(now) ?? []).some(
+      const isHeld = [...tenure.workers.values()].some((worker) => worker.mayHold(model));
+      const isWanted = (this.activities.get(model)?.currentDemands(now) ?? []).some(
         (demand) => demand.arrivals > 0 || demand.waiting.length > 0,
       );
-      if (!held || wanted) tenure.warming.delete(model);
+      if (!isHeld || isWanted) tenure.warming.delete(model);
     }
     return tenure.warming;
   }
 
-  private takePermit(tenure: Tenure, workerId: string, model: string): boolean {
+  private tryAcquirePermit(tenure: Tenure, workerId: string, model: string): boolean {
     const store = this.options.catalog.deployment()?.weightStore;
     if (store === undefined) return true;
     const limits = permitLimitsOfZone(store, Math.max(1, this.options.catalog.zones().length));
-    return tenure.permits.tryTake(`${workerId}${PERMIT_SEPARATOR}${model}`, limits);
+    return tenure.permits.tryAcquire(`${workerId}${PERMIT_SEPARATOR}${model}`, limits);
   }
 
   private activityOf(model: string): ModelActivity {
@@ -371,13 +371,13 @@
   private onDemand(request: ReportDemandRequest): ReportDemandResponse {
     const tenure = this.currentTenure();
     const now = this.options.clock.monotonic();
-    let urgent = false;
+    let hasWaitingRequests = false;
     for (const demand of request.demands) {
-      this.activityOf(demand.model).report(request.owner, demand, now);
+      this.activityOf(demand.model).recordReport(request.owner, demand, now);
       for (const worker of demand.suspects) tenure.agents.get(worker)?.pollSoon();
-      urgent ||= demand.waiting.length > 0;
+      hasWaitingRequests ||= demand.waiting.length > 0;
     }
-    if (urgent) this.wakeup.wake();
+    if (hasWaitingRequests) this.wakeup.wake();
     return { models: request.demands.map((demand) => tenure.publisher.replicasOf(demand.model)) };
   }
 
@@ -411,7 +411,7 @@
       models,
       workers: workers.map((worker) => ({
         workerId: worker.id,
-        reached: worker.reached,
+        reached: worker.isReached,
         leaving: worker.machineState !== 'live',
         memoryGib: worker.inventory?.memoryGib ?? 0,
         committedGib: worker.committedGib,
@@ -420,7 +420,7 @@
     };
   }
 
-  private event(name: LogEventName, details: Readonly<Record<string, unknown>>): void {
+  private emitEvent(name: LogEventName, details: Readonly<Record<string, unknown>>): void {
     this.options.onEvent?.(name, { zone: this.options.zone, ...details });
   }
 }
--- a/packages/placement/test/placement.test.ts
+++ b/packages/placement/test/placement.test.ts
@@ -60,7 +60,7 @@
 
 function worker(id: string, models: readonly LoadedModel[] = [], more: Partial<Inventory> = {}): WorkerView {
   const view = new WorkerView(id, `http://${id}`, false);
-  view.confirm(inventoryOf(models, more), NOW);
+  view.applyInventory(inventoryOf(models, more), NOW);
   return view;
 }
 
@@ -98,8 +98,8 @@
   const activity = new ModelActivity(NOW - idleSeconds * 1000);
   return planPlacement({
     zone: ZONE,
-    now: NOW,
-    wall: 0,
+    nowMs: NOW,
+    wallMs: 0,
     recovered,
     workers,
     models: new Map(models.map((model) => [model.id, model])),
@@ -235,15 +235,15 @@
   }
 
   it('covers regular gaps when cold starts matter, and does not wait for gaps that are too long', () => {
-    const regular = histogramOf(80).bestKeepAlive(30, 0.9, bounds);
+    const regular = histogramOf(80).optimalKeepAliveSeconds(30, 0.9, bounds);
     // Longer than the gap costs nothing as long as arrivals stay regular; shorter would miss every one.
     expect(regular).to.be.at.least(80);
-    expect(histogramOf(5000).bestKeepAlive(30, 0.9, bounds)).to.equal(10);
+    expect(histogramOf(5000).optimalKeepAliveSeconds(30, 0.9, bounds)).to.equal(10);
   });
 
   it('is shorter the more idle hours weigh', () => {
-    const careful = histogramOf(80).bestKeepAlive(10, 0.95, bounds);
-    const thrifty = histogramOf(80).bestKeepAlive(10, 0.1, bounds);
+    const careful = histogramOf(80).optimalKeepAliveSeconds(10, 0.95, bounds);
+    const thrifty = histogramOf(80).optimalKeepAliveSeconds(10, 0.1, bounds);
     expect(thrifty).to.be.lessThan(careful);
   });
 
@@ -261,14 +261,14 @@
     const permits = new LoadPermits(new SimulatedProcess(world, { name: 'p', zone: 'z', region: 'r' }));
     const limits = permitLimitsOfZone({ concurrentLoads: 8, loadsPerSecond: 4 }, 4);
     expect(limits).to.deep.equal({ concurrent: 2, perSecond: 1 });
-    expect(permits.tryTake('a', limits)).to.equal(true);
-    expect(permits.tryTake('b', limits)).to.equal(false);
+    expect(permits.tryAcquire('a', limits)).to.equal(true);
+    expect(permits.tryAcquire('b', limits)).to.equal(false);
     await world.run(2000);
-    expect(permits.tryTake('b', limits)).to.equal(true);
-    expect(permits.tryTake('c', limits)).to.equal(false);
-    permits.keepOnly((key) => key === 'b');
+    expect(permits.tryAcquire('b', limits)).to.equal(true);
+    expect(permits.tryAcquire('c', limits)).to.equal(false);
+    permits.retainOnly((key) => key === 'b');
     await world.run(4000);
-    expect(permits.tryTake('c', limits)).to.equal(true);
+    expect(permits.tryAcquire('c', limits)).to.equal(true);
   });
 });
 
@@ -276,12 +276,12 @@
   it('frees memory only on a confirmed inventory, never while an order is open', () => {
     const view = worker('w1', [loaded('t/one')]);
     view.intents.set('t/two', { model: 't/two', memoryGib: 30 });
-    view.outcomeOpen = true;
-    view.confirm(inventoryOf([]), NOW);
+    view.hasUnknownOutcome = true;
+    view.applyInventory(inventoryOf([]), NOW);
     expect(view.mayHold('t/two')).to.equal(true);
     expect(view.freeGib).to.equal(50);
-    view.outcomeOpen = false;
-    view.confirm(inventoryOf([]), NOW);
+    view.hasUnknownOutcome = false;
+    view.applyInventory(inventoryOf([]), NOW);
     expect(view.mayHold('t/two')).to.equal(false);
     expect(view.freeGib).to.equal(80);
   });
--- a/packages/routing/src/admission.ts
+++ b/packages/routing/src/admission.ts
@@ -9,7 +9,7 @@
 
 const DEFAULT_MAXIMUM_REQUESTS = 4096;
 /** Above this share of the daemon's limit, no partner may use more than its fair share. */
-const BORROWING_LIMIT = 0.75;
+const BORROWING_THRESHOLD = 0.75;
 
 /** Ends an admission. */
 export type ReleaseAdmission = () => void;
@@ -38,36 +38,36 @@
    * @throws WoodbarrowError `tenant_over_limit`, or `shed` when the daemon is full.
    */
   admit(tenant: string, partner: string, tenantLimit: number, partners: number): ReleaseAdmission {
-    const ofTenant = this.byTenant.get(tenant) ?? 0;
-    if (ofTenant >= tenantLimit) {
+    const tenantRequests = this.byTenant.get(tenant) ?? 0;
+    if (tenantRequests >= tenantLimit) {
       throw new WoodbarrowError(
         'tenant_over_limit',
-        `${tenant} has ${String(ofTenant)} requests in progress here`,
+        `${tenant} has ${String(tenantRequests)} requests in progress here`,
       );
     }
-    const ofPartner = this.byPartner.get(partner) ?? 0;
+    const partnerRequests = this.byPartner.get(partner) ?? 0;
     const fairShare = this.maximumRequests / Math.max(1, partners);
-    const crowded = this.total >= this.maximumRequests * BORROWING_LIMIT;
-    if (this.total >= this.maximumRequests || (crowded && ofPartner >= fairShare)) {
+    const isNearCapacity = this.total >= this.maximumRequests * BORROWING_THRESHOLD;
+    if (this.total >= this.maximumRequests || (isNearCapacity && partnerRequests >= fairShare)) {
       throw new WoodbarrowError('shed', 'this daemon holds as many requests as it can');
     }
-    this.count(tenant, partner, 1);
+    this.adjustCounts(tenant, partner, 1);
     let released = false;
     return () => {
       if (released) return;
       released = true;
-      this.count(tenant, partner, -1);
+      this.adjustCounts(tenant, partner, -1);
     };
   }
 
-  private count(tenant: string, partner: string, change: number): void {
+  private adjustCounts(tenant: string, partner: string, change: number): void {
     this.total += change;
-    add(this.byTenant, tenant, change);
-    add(this.byPartner, partner, change);
+    addToCount(this.byTenant, tenant, change);
+    addToCount(this.byPartner, partner, change);
   }
 }
 
-function add(counts: Map<string, number>, key: string, change: number): void {
+function addToCount(counts: Map<string, number>, key: string, change: number): void {
   const next = (counts.get(key) ?? 0) + change;
   if (next === 0) counts.delete(key);
   else counts.set(key, next);
--- a/packages/routing/src/circuit-breaker.ts
+++ b/packages/routing/src/circuit-breaker.ts
@@ -1,8 +1,8 @@
 /** Keeps a router from sending to a replica that has just failed it, and lets one request try again later. */
 import type { Clock } from '@woodbarrow/runtime';
 
-const FAILURES_TO_OPEN = 3;
-const OPEN_MS = 3000;
+const FAILURES_BEFORE_OPENING = 3;
+const OPEN_DURATION_MS = 3000;
 
 interface BreakerState {
   failures: number;
@@ -16,20 +16,21 @@
   constructor(private readonly clock: Clock) {}
 
   /** Whether the worker may be tried now. */
-  allows(workerId: string): boolean {
+  canTry(workerId: string): boolean {
     return (this.states.get(workerId)?.openUntil ?? 0) <= this.clock.monotonic();
   }
 
   /** The worker answered: all is forgiven. */
-  succeeded(workerId: string): void {
+  recordSuccess(workerId: string): void {
     this.states.delete(workerId);
   }
 
   /** The worker failed; after several failures in a row it is left alone for a while. */
-  failed(workerId: string): void {
+  recordFailure(workerId: string): void {
     const state = this.states.get(workerId) ?? { failures: 0, openUntil: 0 };
     state.failures += 1;
-    if (state.failures >= FAILURES_TO_OPEN) state.openUntil = this.clock.monotonic() + OPEN_MS;
+    if (state.failures >= FAILURES_BEFORE_OPENING)
+      state.openUntil = this.clock.monotonic() + OPEN_DURATION_MS;
     this.states.set(workerId, state);
   }
 }
--- a/packages/routing/src/model-queue.ts
+++ b/packages/routing/src/model-queue.ts
@@ -10,9 +10,9 @@
   /** Monotonic time at which the allowed wait ends. */
   readonly deadline: number;
   /** Monotonic time of the router's last sign of life for it. */
-  polledAt: number;
+  lastPolledAt: number;
   /** Resolves the router's present question; undefined between two questions. */
-  answer: ((grant: QueueGrant | undefined) => void) | undefined;
+  resolvePoll: ((grant: QueueGrant | undefined) => void) | undefined;
   readonly avoid: Set<string>;
 }
 
@@ -30,24 +30,24 @@
 }
 
 /** A waiter rises by one priority step for each of these that it waits, so that no class starves. */
-const AGEING_STEP_MS = 2000;
+const PRIORITY_AGEING_STEP_MS = 2000;
 /** A waiter not asked after for this long has lost its router. */
-const ABANDONED_AFTER_MS = 2500;
+const ABANDONED_WAITER_TIMEOUT_MS = 2500;
 /** A replica that refused gets no grants for this long. */
-const REFUSAL_PAUSE_MS = 100;
+const REFUSAL_COOLDOWN_MS = 100;
 /** A replica that failed gets no grants for this long. */
-const FAILURE_PAUSE_MS = 2000;
+const FAILURE_COOLDOWN_MS = 2000;
 /** Grants whose end was never reported stop counting after this long. */
-const GRANT_FORGOTTEN_AFTER_MS = 600_000;
+const GRANT_EXPIRY_MS = 600_000;
 /** A queue is saturated when this many times the replicas' concurrency waits. */
 const SATURATION_FACTOR = 2;
-const AFFINITIES_KEPT = 256;
+const MAX_AFFINITIES = 256;
 
 /** Orders the waiting requests of one model by class, then deadline, and grants them replicas. */
 export class ModelQueue {
   private readonly waiters = new Map<string, Waiter>();
   private readonly grants = new Map<string, ActiveGrant>();
-  private readonly pausedUntil = new Map<string, number>();
+  private readonly cooldownUntil = new Map<string, number>();
   /** Worker that last served a prompt prefix. */
   private readonly affinities = new Map<number, string>();
   private replicas: readonly ReplicaInfo[] = [];
@@ -76,7 +76,7 @@
   }
 
   /** Replicas as last told by the coordinator. */
-  get knownReplicas(): readonly ReplicaInfo[] {
+  get currentReplicas(): readonly ReplicaInfo[] {
     return this.replicas;
   }
 
@@ -109,20 +109,20 @@
     const existing = this.grants.get(request.requestId);
     if (existing !== undefined) return Promise.resolve(existing.grant);
     const waiter = this.waiters.get(request.requestId) ?? this.addWaiter(request, now);
-    waiter.polledAt = now;
-    waiter.answer?.(undefined);
+    waiter.lastPolledAt = now;
+    waiter.resolvePoll?.(undefined);
     return new Promise((resolve) => {
       const cancelHold = this.clock.schedule(request.holdMs, () => {
         settle(undefined);
       });
       const settle = (grant: QueueGrant | undefined): void => {
-        if (waiter.answer !== settle) return;
-        waiter.answer = undefined;
-        waiter.polledAt = this.clock.monotonic();
+        if (waiter.resolvePoll !== settle) return;
+        waiter.resolvePoll = undefined;
+        waiter.lastPolledAt = this.clock.monotonic();
         cancelHold();
         resolve(grant);
       };
-      waiter.answer = settle;
+      waiter.resolvePoll = settle;
       this.dispatch();
     });
   }
@@ -131,7 +131,7 @@
   withdraw(requestId: string): void {
     const waiter = this.waiters.get(requestId);
     this.waiters.delete(requestId);
-    waiter?.answer?.(undefined);
+    waiter?.resolvePoll?.(undefined);
     if (this.grants.delete(requestId)) this.dispatch();
   }
 
@@ -141,8 +141,8 @@
     if (grant?.workerId === workerId) this.grants.delete(requestId);
     const now = this.clock.monotonic();
     if (result !== 'completed') this.suspects.add(workerId);
-    if (result === 'refused') this.pausedUntil.set(workerId, now + REFUSAL_PAUSE_MS);
-    if (result === 'failed') this.pausedUntil.set(workerId, now + FAILURE_PAUSE_MS);
+    if (result === 'refused') this.cooldownUntil.set(workerId, now + REFUSAL_COOLDOWN_MS);
+    if (result === 'failed') this.cooldownUntil.set(workerId, now + FAILURE_COOLDOWN_MS);
     this.dispatch();
   }
 
@@ -153,7 +153,7 @@
   }
 
   /** Drops what belonged to a router that is gone. */
-  routerGone(routerId: string): void {
+  removeRouter(routerId: string): void {
     for (const [id, waiter] of this.waiters) {
       if (waiter.request.routerId === routerId) this.withdraw(id);
     }
@@ -167,11 +167,12 @@
   sweep(): void {
     const now = this.clock.monotonic();
     for (const [id, waiter] of this.waiters) {
-      const abandoned = waiter.answer === undefined && now - waiter.polledAt > ABANDONED_AFTER_MS;
-      if (abandoned || now > waiter.deadline) this.withdraw(id);
+      const isAbandoned =
+        waiter.resolvePoll === undefined && now - waiter.lastPolledAt > ABANDONED_WAITER_TIMEOUT_MS;
+      if (isAbandoned || now > waiter.deadline) this.withdraw(id);
     }
     for (const [id, grant] of this.grants) {
-      if (now - grant.grantedAt > GRANT_FORGOTTEN_AFTER_MS) this.grants.delete(id);
+      if (now - grant.grantedAt > GRANT_EXPIRY_MS) this.grants.delete(id);
     }
     this.dispatch();
   }
@@ -215,8 +216,8 @@
       request,
       arrivedAt: now,
       deadline: now + request.remainingMs,
-      polledAt: now,
-      answer: undefined,
+      lastPolledAt: now,
+      resolvePoll: undefined,
       avoid: new Set(request.avoid),
     };
     this.waiters.set(request.requestId, waiter);
@@ -227,7 +228,7 @@
   private dispatch(): void {
     if (this.waiters.size === 0 || this.replicas.length === 0) return;
     for (const waiter of this.orderedWaiters()) {
-      if (waiter.answer === undefined) continue;
+      if (waiter.resolvePoll === undefined) continue;
       const replica = this.chooseReplica(waiter);
       if (replica !== undefined) this.grant(waiter, replica);
     }
@@ -236,7 +237,7 @@
   private orderedWaiters(): Waiter[] {
     const now = this.clock.monotonic();
     const rank = (waiter: Waiter): number =>
-      waiter.request.priority - Math.floor((now - waiter.arrivedAt) / AGEING_STEP_MS);
+      waiter.request.priority - Math.floor((now - waiter.arrivedAt) / PRIORITY_AGEING_STEP_MS);
     return [...this.waiters.values()].sort(
       (left, right) =>
         rank(left) - rank(right) || left.deadline - right.deadline || left.arrivedAt - right.arrivedAt,
@@ -245,17 +246,17 @@
 
   private chooseReplica(waiter: Waiter): ReplicaInfo | undefined {
     const { adapter, affinity } = waiter.request;
-    const usable = this.replicas.filter(
+    const eligible = this.replicas.filter(
       (replica) =>
         replica.accepting &&
         (adapter === '' || replica.adapters.includes(adapter)) &&
         this.freeSlots(replica) > 0,
     );
-    const preferred = usable.filter((replica) => !waiter.avoid.has(replica.workerId));
-    const candidates = preferred.length > 0 ? preferred : usable;
+    const preferred = eligible.filter((replica) => !waiter.avoid.has(replica.workerId));
+    const candidates = preferred.length > 0 ? preferred : eligible;
     const lastServed = affinity === 0 ? undefined : this.affinities.get(affinity);
-    const near = candidates.find((replica) => replica.workerId === lastServed);
-    if (near !== undefined) return near;
+    const affinityMatch = candidates.find((replica) => replica.workerId === lastServed);
+    if (affinityMatch !== undefined) return affinityMatch;
     return this.lessLoadedOfTwo(candidates);
   }
 
@@ -277,19 +278,19 @@
       grant,
     });
     this.waiters.delete(requestId);
-    if (affinity !== 0) this.rememberAffinity(affinity, replica.workerId);
-    waiter.answer?.(grant);
+    if (affinity !== 0) this.recordAffinity(affinity, replica.workerId);
+    waiter.resolvePoll?.(grant);
   }
 
-  private rememberAffinity(affinity: number, workerId: string): void {
+  private recordAffinity(affinity: number, workerId: string): void {
     this.affinities.delete(affinity);
     this.affinities.set(affinity, workerId);
     const oldest = this.affinities.keys().next().value;
-    if (this.affinities.size > AFFINITIES_KEPT && oldest !== undefined) this.affinities.delete(oldest);
+    if (this.affinities.size > MAX_AFFINITIES && oldest !== undefined) this.affinities.delete(oldest);
   }
 
   private freeSlots(replica: ReplicaInfo): number {
-    if (!replica.accepting || (this.pausedUntil.get(replica.workerId) ?? 0) > this.clock.monotonic())
+    if (!replica.accepting || (this.cooldownUntil.get(replica.workerId) ?? 0) > this.clock.monotonic())
       return 0;
     let used = 0;
     for (const grant of this.grants.values()) {
--- a/packages/routing/src/queue-owner.ts
+++ b/packages/routing/src/queue-owner.ts
@@ -31,24 +31,24 @@
 }
 
 /** Pause between two reports while something waits. */
-const BUSY_REPORT_MS = 250;
+const BUSY_REPORT_INTERVAL_MS = 250;
 /** Pause between two reports while something runs. */
-const IDLE_REPORT_MS = 1000;
+const IDLE_REPORT_INTERVAL_MS = 1000;
 /** Requests that arrive together are reported together. */
-const COALESCE_MS = 3;
-const SWEEP_MS = 1000;
+const REPORT_COALESCE_MS = 3;
+const SWEEP_INTERVAL_MS = 1000;
 /** A queue unused for this long is dropped. */
-const FORGET_QUEUE_MS = 120_000;
+const IDLE_QUEUE_EXPIRY_MS = 120_000;
 const REPORT_TIMEOUT_MS = 1000;
 
 /** Owns queues for as long as requests come to it. Two owners of one model are harmless: engines limit themselves. */
 export class QueueOwner extends BackgroundService {
   private readonly queues = new Map<string, ModelQueue>();
   /** Models that have changed since the last report. */
-  private readonly changed = new Set<string>();
+  private readonly changedModels = new Set<string>();
   private readonly wakeup = new Wakeup();
   /** Highest fence of a coordinator heard of; a former coordinator's word is dropped. */
-  private fence = 0;
+  private highestFence = 0;
 
   constructor(private readonly options: QueueOwnerOptions) {
     super(options.clock, options.onTaskFailure);
@@ -64,7 +64,7 @@
     });
     peers.handle(grantEndedMethod, (request) => {
       this.queues.get(request.model)?.endGrant(request.requestId, request.workerId, request.result);
-      if (request.result !== 'completed') this.reportSoon(request.model);
+      if (request.result !== 'completed') this.scheduleReport(request.model);
       return {};
     });
     peers.handle(replicasChangedMethod, (request) => {
@@ -76,16 +76,16 @@
         model: queue.model,
         waiting: queue.waiting,
         granted: queue.granted,
-        replicas: queue.knownReplicas.length,
+        replicas: queue.currentReplicas.length,
       })),
     }));
     membership.events.on('down', (member) => {
-      for (const queue of this.queues.values()) queue.routerGone(member.id);
+      for (const queue of this.queues.values()) queue.removeRouter(member.id);
     });
     this.tasks.spawn('routing.report', (signal) => this.reportLoop(signal));
     this.tasks.loop(
       'routing.sweep',
-      () => SWEEP_MS,
+      () => SWEEP_INTERVAL_MS,
       () => {
         this.sweep();
         return Promise.resolve();
@@ -101,22 +101,22 @@
   }
 
   private async enqueue(request: EnqueueRequest): Promise<EnqueueResponse> {
-    const queue = this.queueOf(request.model);
-    const cold = queue.knownReplicas.every((replica) => !replica.accepting);
+    const queue = this.getOrCreateQueue(request.model);
+    const isCold = queue.currentReplicas.every((replica) => !replica.accepting);
     const granted = queue.enqueue(request);
-    if (queue.waiting > 0) this.reportSoon(request.model);
-    else this.changed.add(request.model);
+    if (queue.waiting > 0) this.scheduleReport(request.model);
+    else this.changedModels.add(request.model);
     const grant = await granted;
     const response = {
-      replicas: queue.knownReplicas,
+      replicas: queue.currentReplicas,
       scarce: queue.isScarce,
       saturated: queue.isSaturated,
-      waitedForLoad: cold,
+      waitedForLoad: isCold,
     };
     return grant === undefined ? response : { ...response, replica: grant.replica };
   }
 
-  private queueOf(model: string): ModelQueue {
+  private getOrCreateQueue(model: string): ModelQueue {
     let queue = this.queues.get(model);
     if (queue === undefined) {
       queue = new ModelQueue(model, this.options.clock, this.options.random);
@@ -126,19 +126,19 @@
   }
 
   private onReplicasChanged(request: ReplicasChangedRequest): void {
-    if (request.fence < this.fence) return;
-    this.fence = request.fence;
-    this.takeIn(request.models);
+    if (request.fence < this.highestFence) return;
+    this.highestFence = request.fence;
+    this.applyReplicas(request.models);
   }
 
-  private takeIn(models: readonly ModelReplicas[]): void {
+  private applyReplicas(models: readonly ModelReplicas[]): void {
     for (const { model, replicas } of models) {
-      if (replicas.length > 0 || this.queues.has(model)) this.queueOf(model).setReplicas(replicas);
+      if (replicas.length > 0 || this.queues.has(model)) this.getOrCreateQueue(model).setReplicas(replicas);
     }
   }
 
-  private reportSoon(model: string): void {
-    this.changed.add(model);
+  private scheduleReport(model: string): void {
+    this.changedModels.add(model);
     this.wakeup.wake();
   }
 
@@ -146,9 +146,9 @@
     const { clock } = this.options;
     while (!signal.aborted) {
       await this.report();
-      const somethingWaits = [...this.queues.values()].some((queue) => queue.waiting > 0);
-      await this.wakeup.wait(clock, somethingWaits ? BUSY_REPORT_MS : IDLE_REPORT_MS, signal);
-      await sleep(clock, COALESCE_MS, signal);
+      const hasWaiters = [...this.queues.values()].some((queue) => queue.waiting > 0);
+      await this.wakeup.wait(clock, hasWaiters ? BUSY_REPORT_INTERVAL_MS : IDLE_REPORT_INTERVAL_MS, signal);
+      await sleep(clock, REPORT_COALESCE_MS, signal);
     }
   }
 
@@ -156,7 +156,7 @@
   private async report(): Promise<void> {
     const { locator, coordinatorGroup, peers, membership } = this.options;
     const active = [...this.queues.values()].filter(
-      (queue) => !queue.isIdle || this.changed.has(queue.model),
+      (queue) => !queue.isIdle || this.changedModels.has(queue.model),
     );
     if (active.length === 0) return;
     const coordinator = await locator.find(coordinatorGroup);
@@ -164,14 +164,14 @@
     const models = active.map((queue) => queue.model);
     const demands = active.map((queue) => queue.takeDemand());
     try {
-      const answer = await peers.call(
+      const response = await peers.call(
         coordinator.address,
         reportDemandMethod,
         { owner: membership.local.id, demands },
         { timeoutMs: REPORT_TIMEOUT_MS },
       );
-      for (const model of models) this.changed.delete(model);
-      this.takeIn(answer.models);
+      for (const model of models) this.changedModels.delete(model);
+      this.applyReplicas(response.models);
     } catch {
       locator.forget(coordinatorGroup);
     }
@@ -181,7 +181,7 @@
     const now = this.options.clock.monotonic();
     for (const [model, queue] of this.queues) {
       queue.sweep();
-      if (queue.isIdle && now - queue.lastUsedAt > FORGET_QUEUE_MS) this.queues.delete(model);
+      if (queue.isIdle && now - queue.lastUsedAt > IDLE_QUEUE_EXPIRY_MS) this.queues.delete(model);
     }
   }
 }
--- a/packages/routing/src/replica-directory.ts
+++ b/packages/routing/src/replica-directory.ts
@@ -4,14 +4,14 @@
 import type { CircuitBreakers } from './circuit-breaker.js';
 
 /** What a router was told stays good for this long. */
-const VALID_MS = 2000;
+const ENTRY_TTL_MS = 2000;
 /** Share of a replica's concurrency that routers may use without asking. */
-const DIRECT_SHARE = 0.5;
+const DIRECT_CONCURRENCY_SHARE = 0.5;
 
 interface DirectoryEntry {
   readonly replicas: readonly ReplicaInfo[];
   readonly scarce: boolean;
-  readonly until: number;
+  readonly expiresAt: number;
   directArrivals: number;
 }
 
@@ -31,7 +31,7 @@
     this.entries.set(model, {
       replicas,
       scarce,
-      until: this.clock.monotonic() + VALID_MS,
+      expiresAt: this.clock.monotonic() + ENTRY_TTL_MS,
       directArrivals: 0,
     });
   }
@@ -52,19 +52,19 @@
   /** A replica to send to without asking, or undefined when the owner must be asked. */
   chooseDirect(model: string, adapter: string): ReplicaInfo | undefined {
     const entry = this.entries.get(model);
-    if (entry === undefined || entry.scarce || entry.until < this.clock.monotonic()) return undefined;
-    const usable = entry.replicas.filter(
+    if (entry === undefined || entry.scarce || entry.expiresAt < this.clock.monotonic()) return undefined;
+    const eligible = entry.replicas.filter(
       (replica) =>
         replica.accepting &&
         (adapter === '' || replica.adapters.includes(adapter)) &&
-        this.breakers.allows(replica.workerId) &&
-        this.load(replica) < replica.concurrency * DIRECT_SHARE,
+        this.breakers.canTry(replica.workerId) &&
+        this.loadOf(replica) < replica.concurrency * DIRECT_CONCURRENCY_SHARE,
     );
-    const first = this.random.pick(usable);
-    const second = this.random.pick(usable);
+    const first = this.random.pick(eligible);
+    const second = this.random.pick(eligible);
     if (first === undefined || second === undefined) return undefined;
     entry.directArrivals += 1;
-    return this.load(first) <= this.load(second) ? first : second;
+    return this.loadOf(first) <= this.loadOf(second) ? first : second;
   }
 
   /** Counts a request sent to a worker; returns the function that ends it. */
@@ -74,14 +74,14 @@
     return () => {
       if (ended) return;
       ended = true;
-      const left = (this.inFlight.get(workerId) ?? 1) - 1;
-      if (left === 0) this.inFlight.delete(workerId);
-      else this.inFlight.set(workerId, left);
+      const remaining = (this.inFlight.get(workerId) ?? 1) - 1;
+      if (remaining === 0) this.inFlight.delete(workerId);
+      else this.inFlight.set(workerId, remaining);
     };
   }
 
   /** Own requests under way, and what others were last reported to run. */
-  private load(replica: ReplicaInfo): number {
+  private loadOf(replica: ReplicaInfo): number {
     return Math.max(this.inFlight.get(replica.workerId) ?? 0, replica.running);
   }
 }
--- a/packages/routing/src/router.ts
+++ b/packages/routing/src/router.ts
@@ -74,11 +74,11 @@
   coldWaits: number;
 }
 
-const HOLD_MS = 1000;
-const HOLD_ANSWER_MARGIN_MS = 600;
+const MAX_HOLD_MS = 1000;
+const HOLD_RESPONSE_MARGIN_MS = 600;
 const BACKOFF = { initialMs: 30, maximumMs: 500 };
 /** The answer goes out this long before the allowed wait ends, so that it arrives within. */
-const ANSWER_MARGIN_MS = 30;
+const RESPONSE_MARGIN_MS = 30;
 /** Refusals of this module that say that the request was not run. */
 const NOT_RUN_KINDS = ['wait_expired', 'engine_refused', 'queue_full', 'stopping', 'caller_gone'] as const;
 const RETRY_BUDGET = { ratio: 0.2, minimumPerSecond: 5, maximumSaved: 50 };
@@ -91,7 +91,7 @@
 }
 
 /** State of one request on its way. */
-interface Attempts {
+interface RequestState {
   readonly request: RoutedRequest;
   readonly avoid: Set<string>;
   count: number;
@@ -114,7 +114,7 @@
   private readonly directory: ReplicaDirectory;
   private readonly retryBudget: RetryBudget;
   /** Requests with a later deadline than this are not waited for any more. */
-  private waitLimit = Infinity;
+  private latestWaitDeadline = Infinity;
 
   constructor(private readonly options: RouterOptions) {
     this.breakers = new CircuitBreakers(options.clock);
@@ -129,7 +129,7 @@
    */
   async route(request: RoutedRequest): Promise<HttpResponse> {
     this.retryBudget.recordAttempt();
-    const attempts: Attempts = { request, avoid: new Set(), count: 0, mayHaveRun: false };
+    const attempts: RequestState = { request, avoid: new Set(), count: 0, mayHaveRun: false };
     try {
       return await this.routeWithRetries(attempts);
     } catch (error) {
@@ -138,13 +138,13 @@
     }
   }
 
-  private async routeWithRetries(attempts: Attempts): Promise<HttpResponse> {
+  private async routeWithRetries(attempts: RequestState): Promise<HttpResponse> {
     for (;;) {
       const dispatch = await this.findReplica(attempts);
       const response = await this.tryReplica(attempts, dispatch);
       if (response !== undefined) return response;
       attempts.count += 1;
-      await this.pauseBeforeRetry(attempts);
+      await this.backOffBeforeRetry(attempts);
     }
   }
 
@@ -152,12 +152,12 @@
    * Before a planned stop: requests that wait, and whose wait would end after monotonic time `limit`, are refused
    * as not run, so that their callers can go to another daemon at once.
    */
-  refuseWaitingBeyond(limit: number): void {
-    this.waitLimit = limit;
+  refuseWaitingBeyond(latestDeadline: number): void {
+    this.latestWaitDeadline = latestDeadline;
   }
 
   /** One attempt: the response, or undefined when the request certainly did not run and may be tried again. */
-  private async tryReplica(attempts: Attempts, dispatch: Dispatch): Promise<HttpResponse | undefined> {
+  private async tryReplica(attempts: RequestState, dispatch: Dispatch): Promise<HttpResponse | undefined> {
     const { request } = attempts;
     const { replica } = dispatch;
     const endRequest = this.directory.beginRequest(replica.workerId);
@@ -174,10 +174,10 @@
       adapter: request.adapter,
       priority: request.priority,
       signal: request.signal,
-      headTimeoutMs: this.headTimeoutOf(request),
+      headTimeoutMs: this.responseHeadTimeoutMs(request),
     });
     if (start.outcome === 'started') {
-      this.breakers.succeeded(replica.workerId);
+      this.breakers.recordSuccess(replica.workerId);
       return forwardStream(start.response, request.streaming, finish);
     }
     if (start.outcome === 'rejected') {
@@ -192,25 +192,25 @@
       return undefined;
     }
     finish('failed');
-    this.breakers.failed(replica.workerId);
+    this.breakers.recordFailure(replica.workerId);
     attempts.mayHaveRun = true;
-    return this.afterUnknownOutcome(request, start.reason);
+    return this.handleUnknownOutcome(request, start.reason);
   }
 
   /** A stream begins when the request does; a whole answer comes only when it has been made. */
-  private headTimeoutOf(request: RoutedRequest): number {
-    return request.streaming ? Math.max(1, this.remaining(request)) : request.runLimitMs;
+  private responseHeadTimeoutMs(request: RoutedRequest): number {
+    return request.streaming ? Math.max(1, this.remainingMs(request)) : request.runLimitMs;
   }
 
   /** The request may have run: only one that does no harm twice, with time left, is tried again. */
-  private afterUnknownOutcome(request: RoutedRequest, reason: string): undefined {
+  private handleUnknownOutcome(request: RoutedRequest, reason: string): undefined {
     this.counters.unknownOutcomes += 1;
     if (request.signal.aborted) throw new WoodbarrowError('caller_gone', 'the caller closed the connection');
-    if (request.repeatable && this.remaining(request) > 0) return undefined;
+    if (request.repeatable && this.remainingMs(request) > 0) return undefined;
     throw new WoodbarrowError('outcome_unknown', `the engine's answer was lost: ${reason}`);
   }
 
-  private async pauseBeforeRetry(attempts: Attempts): Promise<void> {
+  private async backOffBeforeRetry(attempts: RequestState): Promise<void> {
     const { request } = attempts;
     if (!this.retryBudget.tryRetry()) {
       this.counters.retriesDenied += 1;
@@ -221,12 +221,12 @@
     }
     this.counters.retries += 1;
     const pause = backoffDelay(BACKOFF, attempts.count - 1, this.options.random);
-    await sleep(this.options.clock, Math.min(pause, Math.max(0, this.remaining(request))), request.signal);
+    await sleep(this.options.clock, Math.min(pause, Math.max(0, this.remainingMs(request))), request.signal);
   }
 
-  private async findReplica(attempts: Attempts): Promise<Dispatch> {
+  private async findReplica(attempts: RequestState): Promise<Dispatch> {
     const { request } = attempts;
-    this.assertWorthwhile(request);
+    this.assertCanContinue(request);
     const direct = this.directory.chooseDirect(request.model.id, request.adapter);
     if (direct !== undefined && !attempts.avoid.has(direct.workerId)) {
       this.counters.direct += 1;
@@ -236,44 +236,44 @@
   }
 
   /** Waits at the queue owner; a lost owner costs one question, after which the request waits at the next. */
-  private async waitForGrant(attempts: Attempts): Promise<Dispatch> {
+  private async waitForGrant(attempts: RequestState): Promise<Dispatch> {
     const { request } = attempts;
-    let coldCounted = false;
+    let isColdWaitCounted = false;
     /** Grows with each reason to ask in another zone. */
-    let turn = 0;
+    let zoneIndex = 0;
     for (;;) {
-      this.assertWorthwhile(request);
-      const owner = this.ownerFor(request.model, turn);
-      const answer = owner === undefined ? undefined : await this.ask(owner, attempts);
-      if (owner === undefined || answer === undefined) {
-        turn += 1;
-        await this.pauseForOwner(request, turn);
+      this.assertCanContinue(request);
+      const owner = this.ownerAddress(request.model, zoneIndex);
+      const response = owner === undefined ? undefined : await this.pollOwner(owner, attempts);
+      if (owner === undefined || response === undefined) {
+        zoneIndex += 1;
+        await this.backOffBeforeNextOwner(request, zoneIndex);
         continue;
       }
-      this.directory.update(request.model.id, answer.replicas, answer.scarce);
-      if (answer.waitedForLoad && !coldCounted) {
-        coldCounted = true;
+      this.directory.update(request.model.id, response.replicas, response.scarce);
+      if (response.waitedForLoad && !isColdWaitCounted) {
+        isColdWaitCounted = true;
         this.counters.coldWaits += 1;
       }
-      if (answer.replica !== undefined) {
+      if (response.replica !== undefined) {
         // A grant that came too late to be tried goes back.
-        if (!this.isInTime(request)) this.withdraw(owner, request);
-        this.assertWorthwhile(request);
+        if (!this.hasTimeForAttempt(request)) this.withdraw(owner, request);
+        this.assertCanContinue(request);
         this.counters.granted += 1;
-        return { replica: answer.replica, grantedBy: owner };
+        return { replica: response.replica, grantedBy: owner };
       }
-      if (answer.saturated && request.model.allotments.length > 1) {
+      if (response.saturated && request.model.allotments.length > 1) {
         this.withdraw(owner, request);
-        turn += 1;
+        zoneIndex += 1;
       }
     }
   }
 
   /** One question to the owner; undefined when it did not answer. */
-  private async ask(owner: string, attempts: Attempts): Promise<EnqueueResponse | undefined> {
+  private async pollOwner(owner: string, attempts: RequestState): Promise<EnqueueResponse | undefined> {
     const { request } = attempts;
-    const remainingMs = Math.max(1, this.remaining(request));
-    const holdMs = Math.min(HOLD_MS, remainingMs);
+    const remainingMs = Math.max(1, this.remainingMs(request));
+    const holdMs = Math.min(MAX_HOLD_MS, remainingMs);
     const withdraw = (): void => {
       this.withdraw(owner, request);
     };
@@ -296,7 +296,7 @@
           queueLimit: request.queueLimit,
           directArrivals: this.directory.takeDirectArrivals(request.model.id),
         },
-        { timeoutMs: Math.min(holdMs + HOLD_ANSWER_MARGIN_MS, remainingMs + ANSWER_MARGIN_MS / 2) },
+        { timeoutMs: Math.min(holdMs + HOLD_RESPONSE_MARGIN_MS, remainingMs + RESPONSE_MARGIN_MS / 2) },
       );
     } catch (error) {
       if (isKind(error, 'queue_full')) throw error;
@@ -311,15 +311,15 @@
    * The owner in the zone whose turn it is. The model's first zone comes first for routers everywhere, so that a
    * cold burst loads one replica rather than one in each zone.
    */
-  private ownerFor(model: CatalogModel, turn: number): string | undefined {
+  private ownerAddress(model: CatalogModel, zoneIndex: number): string | undefined {
     const { allotments } = model;
-    const zone = allotments[turn % Math.max(1, allotments.length)]?.zone;
+    const zone = allotments[zoneIndex % Math.max(1, allotments.length)]?.zone;
     return zone === undefined ? undefined : queueOwnerOf(this.options.membership, zone, model.id)?.address;
   }
 
-  private async pauseForOwner(request: RoutedRequest, failures: number): Promise<void> {
+  private async backOffBeforeNextOwner(request: RoutedRequest, failures: number): Promise<void> {
     const pause = backoffDelay(BACKOFF, failures, this.options.random);
-    await sleep(this.options.clock, Math.min(pause, Math.max(0, this.remaining(request))), request.signal);
+    await sleep(this.options.clock, Math.min(pause, Math.max(0, this.remainingMs(request))), request.signal);
   }
 
   private withdraw(owner: string, request: RoutedRequest): void {
@@ -344,32 +344,32 @@
       .catch(() => undefined);
   }
 
-  private assertWorthwhile(request: RoutedRequest): void {
+  private assertCanContinue(request: RoutedRequest): void {
     if (request.signal.aborted)
       throw new WoodbarrowError('caller_gone', 'the caller closed the connection', { ran: 'no' });
-    if (request.deadline > this.waitLimit) {
+    if (request.deadline > this.latestWaitDeadline) {
       throw new WoodbarrowError('stopping', 'this daemon is stopping; send the request to another');
     }
-    if (!this.isInTime(request)) {
+    if (!this.hasTimeForAttempt(request)) {
       throw new WoodbarrowError('wait_expired', 'no replica was free within the allowed wait');
     }
   }
 
   /** Whether an attempt that begins now can still be answered for within the allowed wait. */
-  private isInTime(request: RoutedRequest): boolean {
-    return this.remaining(request) > this.reserveOf(request);
+  private hasTimeForAttempt(request: RoutedRequest): boolean {
+    return this.remainingMs(request) > this.connectReserveMs(request);
   }
 
   /**
    * Time kept for finding out that a replica cannot be reached. Only a stream can be given up while it connects; a
    * whole answer is waited for as long as it runs, so its last attempt begins that much earlier.
    */
-  private reserveOf(request: RoutedRequest): number {
+  private connectReserveMs(request: RoutedRequest): number {
     const waited = this.options.clock.monotonic() - request.receivedAt;
     return request.streaming || waited < CONNECT_TIMEOUT_MS ? 0 : CONNECT_TIMEOUT_MS;
   }
 
-  private remaining(request: RoutedRequest): number {
-    return request.deadline - ANSWER_MARGIN_MS - this.options.clock.monotonic();
+  private remainingMs(request: RoutedRequest): number {
+    return request.deadline - RESPONSE_MARGIN_MS - this.options.clock.monotonic();
   }
 }
--- a/packages/routing/src/stream-forwarder.ts
+++ b/packages/routing/src/stream-forwarder.ts
@@ -15,7 +15,7 @@
   finish: FinishCallback,
 ): Promise<HttpResponse> {
   if (streaming) {
-    return { status: 200, headers: STREAM_HEADERS, body: streamWithEnd(response.body, finish) };
+    return { status: 200, headers: STREAM_HEADERS, body: forwardEvents(response.body, finish) };
   }
   try {
     const body = await readBody(response.body);
@@ -27,7 +27,7 @@
   }
 }
 
-async function* streamWithEnd(
+async function* forwardEvents(
   body: HttpResponse['body'],
   finish: FinishCallback,
 ): AsyncGenerator<Uint8Array> {
@@ -40,9 +40,9 @@
   } catch {
     // The caller is told below, unless it has the whole stream already.
   } finally {
-    finish(stream.isWhole ? 'completed' : 'failed');
+    finish(stream.isComplete ? 'completed' : 'failed');
   }
-  if (!stream.isWhole) yield interruptionEvent();
+  if (!stream.isComplete) yield interruptionEvent();
 }
 
 /** The explicit end of a stream that was cut off; no `[DONE]` follows it. */
--- a/packages/routing/test/routing.test.ts
+++ b/packages/routing/test/routing.test.ts
@@ -128,7 +128,7 @@
     void test.enqueue('b');
     await test.pass(10);
     expect(test.granted).to.deep.equal(['a']);
-    test.queue.routerGone('lost');
+    test.queue.removeRouter('lost');
     await test.pass(10);
     expect(test.granted).to.deep.equal(['a', 'b']);
     void test.enqueue('c');
@@ -178,9 +178,9 @@
     const end = [directory.beginRequest('w1'), directory.beginRequest('w1')];
     expect(directory.chooseDirect('t/m', '')).to.equal(undefined);
     for (const finish of end) finish();
-    for (let failure = 0; failure < 3; failure += 1) breakers.failed('w1');
+    for (let failure = 0; failure < 3; failure += 1) breakers.recordFailure('w1');
     expect(directory.chooseDirect('t/m', '')).to.equal(undefined);
-    breakers.succeeded('w1');
+    breakers.recordSuccess('w1');
     expect(directory.chooseDirect('t/m', '')?.workerId).to.equal('w1');
     await world.run(5000);
     expect(directory.chooseDirect('t/m', '')).to.equal(undefined);
