--- a/packages/routing/src/admission.ts
+++ b/packages/routing/src/admission.ts
@@ -1,20 +1,20 @@
-/** Admission of requests at one daemon: limits for each tenant, and fair shares between partners. */
+/** Admission control of one daemon: a request limit for each tenant and fair shares between partners. */
 import { WoodbarrowError } from '@woodbarrow/errors';
 
 /** Options of {@link Admission}. */
 export interface AdmissionOptions {
-  /** Requests that this daemon holds at once over all tenants. @default 4096 */
+  /** Maximum number of concurrent requests on this daemon, over all tenants. @default 4096 */
   readonly maximumRequests?: number;
 }
 
 const DEFAULT_MAXIMUM_REQUESTS = 4096;
-/** Above this share of the daemon's limit, no partner may use more than its fair share. */
+/** Share of the daemon's limit in use above which a partner may no longer exceed its fair share. */
 const BORROWING_THRESHOLD = 0.75;
 
-/** Ends an admission. */
+/** Releases an admitted request; repeated calls have no effect. */
 export type ReleaseAdmission = () => void;
 
-/** Counts requests in progress and refuses those beyond the limits. */
+/** Counts requests in progress and rejects those beyond the limits. */
 export class Admission {
   private readonly byTenant = new Map<string, number>();
   private readonly byPartner = new Map<string, number>();
@@ -25,31 +25,34 @@
     this.maximumRequests = options.maximumRequests ?? DEFAULT_MAXIMUM_REQUESTS;
   }
 
-  /** Requests in progress. */
+  /** Number of requests in progress. */
   get active(): number {
     return this.total;
   }
 
   /**
-   * Admits one request. A partner may borrow what others leave idle, until the daemon fills up.
+   * Admits one request. A partner may use the unused share of others until the daemon nears its limit.
    *
-   * @param tenantLimit Requests of the tenant at once at one daemon.
+   * @param tenantLimit Maximum number of concurrent requests of the tenant on one daemon.
    * @param partners Number of partners that share the deployment.
-   * @throws WoodbarrowError `tenant_over_limit`, or `shed` when the daemon is full.
+   * @throws WoodbarrowError `tenant_over_limit`, or `shed` when the daemon or the partner's share is full.
    */
   admit(tenant: string, partner: string, tenantLimit: number, partners: number): ReleaseAdmission {
     const tenantRequests = this.byTenant.get(tenant) ?? 0;
     if (tenantRequests >= tenantLimit) {
       throw new WoodbarrowError(
         'tenant_over_limit',
-        `${tenant} has ${String(tenantRequests)} requests in progress here`,
+        `tenant ${tenant} already has ${String(tenantRequests)} requests in progress on this daemon`,
       );
     }
     const partnerRequests = this.byPartner.get(partner) ?? 0;
     const fairShare = this.maximumRequests / Math.max(1, partners);
     const isNearCapacity = this.total >= this.maximumRequests * BORROWING_THRESHOLD;
     if (this.total >= this.maximumRequests || (isNearCapacity && partnerRequests >= fairShare)) {
-      throw new WoodbarrowError('shed', 'this daemon holds as many requests as it can');
+      throw new WoodbarrowError(
+        'shed',
+        'this daemon is at its request limit, or near it with the partner above its fair share',
+      );
     }
     this.adjustCounts(tenant, partner, 1);
     let released = false;
--- a/packages/routing/src/circuit-breaker.ts
+++ b/packages/routing/src/circuit-breaker.ts
@@ -1,4 +1,4 @@
-/** Keeps a router from sending to a replica that has just failed it, and lets one request try again later. */
+/** Circuit breakers that stop a router from sending requests to workers that keep failing. */
 import type { Clock } from '@woodbarrow/runtime';
 
 const FAILURES_BEFORE_OPENING = 3;
@@ -9,23 +9,23 @@
   openUntil: number;
 }
 
-/** One breaker for each worker. */
+/** Tracks one circuit breaker for each worker, from the failures that this router observed. */
 export class CircuitBreakers {
   private readonly states = new Map<string, BreakerState>();
 
   constructor(private readonly clock: Clock) {}
 
-  /** Whether the worker may be tried now. */
+  /** Whether the worker's breaker is closed, or its open period has ended. */
   canTry(workerId: string): boolean {
     return (this.states.get(workerId)?.openUntil ?? 0) <= this.clock.monotonic();
   }
 
-  /** The worker answered: all is forgiven. */
+  /** Closes the breaker and resets its failure count. */
   recordSuccess(workerId: string): void {
     this.states.delete(workerId);
   }
 
-  /** The worker failed; after several failures in a row it is left alone for a while. */
+  /** Records a failure; several consecutive ones open the breaker for {@link OPEN_DURATION_MS}. */
   recordFailure(workerId: string): void {
     const state = this.states.get(workerId) ?? { failures: 0, openUntil: 0 };
     state.failures += 1;
--- a/packages/routing/src/completion-stream.ts
+++ b/packages/routing/src/completion-stream.ts
@@ -1,22 +1,22 @@
-/** How far a stream of completions has come: whole events, the mark that ends them, and nothing behind it. */
+/** Splits a completion stream (server-sent events) into complete events, up to its final `[DONE]` event. */
 
-/** Data of the event that ends a whole stream. */
+/** Line of the event that terminates a complete stream. */
 const DONE_EVENT = 'data: [DONE]';
 const LINE_FEED = 0x0a;
 const CARRIAGE_RETURN = 0x0d;
 const EMPTY_BUFFER = Buffer.alloc(0);
 
-/** One stream, from an engine's bytes to what its caller may have of them. */
+/** Buffers the bytes of one engine's stream and releases complete events only. */
 export class CompletionStream {
   private incompleteEvent: Buffer = EMPTY_BUFFER;
   private hasEnded = false;
 
-  /** Whether the mark of the end has been passed on. */
+  /** Whether the `[DONE]` event has been released. */
   get isComplete(): boolean {
     return this.hasEnded;
   }
 
-  /** Adds bytes; returns the events that are complete now, up to the mark of the end, or undefined. */
+  /** Adds bytes and returns the events completed by them, up to `[DONE]`; undefined when there are none. */
   push(chunk: Uint8Array): Uint8Array | undefined {
     if (this.hasEnded) return undefined;
     const added = Buffer.from(chunk.buffer, chunk.byteOffset, chunk.byteLength);
@@ -29,12 +29,12 @@
   }
 }
 
-/** Whether a stream of whole events holds the mark of the end. */
+/** Whether a stream of complete events contains the `[DONE]` event. */
 export function hasEndMark(stream: Uint8Array): boolean {
   return endOfDoneEvent(Buffer.from(stream.buffer, stream.byteOffset, stream.byteLength)) !== undefined;
 }
 
-/** Index behind the blank line after the mark, which is a line of its own; undefined while there is none. */
+/** Returns the index after the `[DONE]` event and its blank line; undefined when the data has no such event. */
 function endOfDoneEvent(data: Buffer): number | undefined {
   for (let from = data.indexOf(DONE_EVENT); from >= 0; from = data.indexOf(DONE_EVENT, from + 1)) {
     if (from > 0 && data[from - 1] !== LINE_FEED) continue;
@@ -44,19 +44,19 @@
   return undefined;
 }
 
-/** Index behind two ends of lines that begin at an index. */
+/** Returns the index after two line breaks that begin at `start`; undefined when there are none. */
 function endOfTwoLineBreaks(data: Buffer, start: number): number | undefined {
   const second = endOfLineBreak(data, start);
   return second === undefined ? undefined : endOfLineBreak(data, second);
 }
 
-/** Index behind an end of line that begins at an index. */
+/** Returns the index after a line break (LF or CRLF) that begins at `start`; undefined when there is none. */
 function endOfLineBreak(data: Buffer, start: number): number | undefined {
   const index = data[start] === CARRIAGE_RETURN ? start + 1 : start;
   return data[index] === LINE_FEED ? index + 1 : undefined;
 }
 
-/** Index behind the last blank line, or 0. */
+/** Returns the index after the last blank line, or 0 when there is none. */
 function endOfLastEvent(data: Buffer): number {
   for (let index = data.lastIndexOf(LINE_FEED); index > 0; index = data.lastIndexOf(LINE_FEED, index - 1)) {
     const previous = data[index - 1] === CARRIAGE_RETURN ? index - 2 : index - 1;
--- a/packages/routing/src/index.ts
+++ b/packages/routing/src/index.ts
@@ -1,4 +1,4 @@
-/** Routing: admission, queues, dispatch. */
+/** Routing of requests: admission, queues and dispatch to replicas. */
 export * from './admission.js';
 export * from './circuit-breaker.js';
 export * from './completion-stream.js';
--- a/packages/routing/src/model-queue.ts
+++ b/packages/routing/src/model-queue.ts
@@ -1,17 +1,17 @@
-/** The waiting requests of one model at its queue owner, and the grants under way. */
+/** The waiting requests of one model at its queue owner, and its active grants. */
 import { WoodbarrowError } from '@woodbarrow/errors';
 import type { EnqueueRequest, ModelDemand, ReplicaInfo } from '@woodbarrow/protocol';
 import type { Clock, Random } from '@woodbarrow/runtime';
 
-/** A waiting request. */
+/** A request in the queue. */
 interface Waiter {
   readonly request: EnqueueRequest;
   readonly arrivedAt: number;
-  /** Monotonic time at which the allowed wait ends. */
+  /** Monotonic time at which the maximum wait ends. */
   readonly deadline: number;
-  /** Monotonic time of the router's last sign of life for it. */
+  /** Monotonic time at which the router last polled for the request. */
   lastPolledAt: number;
-  /** Resolves the router's present question; undefined between two questions. */
+  /** Resolves the router's pending poll; undefined between two polls. */
   resolvePoll: ((grant: QueueGrant | undefined) => void) | undefined;
   readonly avoid: Set<string>;
 }
@@ -29,26 +29,26 @@
   readonly grant: QueueGrant;
 }
 
-/** A waiter rises by one priority step for each of these that it waits, so that no class starves. */
+/** Waiting time that raises a request by one priority step, so that no class starves. */
 const PRIORITY_AGEING_STEP_MS = 2000;
-/** A waiter not asked after for this long has lost its router. */
+/** Time without a poll after which a waiter counts as abandoned by its router. */
 const ABANDONED_WAITER_TIMEOUT_MS = 2500;
-/** A replica that refused gets no grants for this long. */
+/** Time without grants for a replica that refused a request. */
 const REFUSAL_COOLDOWN_MS = 100;
-/** A replica that failed gets no grants for this long. */
+/** Time without grants for a replica that failed. */
 const FAILURE_COOLDOWN_MS = 2000;
-/** Grants whose end was never reported stop counting after this long. */
+/** Age at which a grant expires if its end was never reported. */
 const GRANT_EXPIRY_MS = 600_000;
-/** A queue is saturated when this many times the replicas' concurrency waits. */
+/** Number of waiting requests, as a multiple of the replicas' concurrency, above which a queue is saturated. */
 const SATURATION_FACTOR = 2;
 const MAX_AFFINITIES = 256;
 
-/** Orders the waiting requests of one model by class, then deadline, and grants them replicas. */
+/** Orders the waiting requests of one model by aged priority, then deadline, and grants them replicas. */
 export class ModelQueue {
   private readonly waiters = new Map<string, Waiter>();
   private readonly grants = new Map<string, ActiveGrant>();
   private readonly cooldownUntil = new Map<string, number>();
-  /** Worker that last served a prompt prefix. */
+  /** Worker that last served each prompt prefix, by the hash of the prefix. */
   private readonly affinities = new Map<number, string>();
   private replicas: readonly ReplicaInfo[] = [];
   private arrivals = 0;
@@ -70,35 +70,36 @@
     return this.waiters.size;
   }
 
-  /** Number of grants under way. */
+  /** Number of active grants. */
   get granted(): number {
     return this.grants.size;
   }
 
-  /** Replicas as last told by the coordinator. */
+  /** Replicas as last published by the coordinator. */
   get currentReplicas(): readonly ReplicaInfo[] {
     return this.replicas;
   }
 
-  /** Whether routers must ask before each dispatch. */
+  /** Whether routers must obtain a grant before each dispatch: requests wait or no slot is free. */
   get isScarce(): boolean {
     const slots = this.replicas.reduce((total, replica) => total + this.freeSlots(replica), 0);
     return this.waiters.size > 0 || slots <= 0;
   }
 
-  /** Whether far more waits than the loaded replicas run at once. */
+  /** Whether the number of waiting requests far exceeds the concurrency of the loaded replicas. */
   get isSaturated(): boolean {
     const capacity = this.replicas.reduce((total, replica) => total + replica.concurrency, 0);
     return capacity > 0 && this.waiters.size > capacity * SATURATION_FACTOR;
   }
 
-  /** Whether nothing waits and nothing runs. */
+  /** Whether the queue has neither waiting requests nor active grants. */
   get isIdle(): boolean {
     return this.waiters.size === 0 && this.grants.size === 0;
   }
 
   /**
-   * Takes in a request, or the next question after it. Resolves with a grant, or undefined after the hold.
+   * Adds a request, or continues to wait for one already queued. Resolves with a grant, or with undefined after
+   * the request's `holdMs`.
    *
    * @throws WoodbarrowError `queue_full`
    */
@@ -127,7 +128,7 @@
     });
   }
 
-  /** Drops a request that its router has given up here: its place, and a grant that did not reach the router. */
+  /** Removes a request that its router withdrew, with a grant that may not have reached the router. */
   withdraw(requestId: string): void {
     const waiter = this.waiters.get(requestId);
     this.waiters.delete(requestId);
@@ -135,7 +136,7 @@
     if (this.grants.delete(requestId)) this.dispatch();
   }
 
-  /** Ends a grant. */
+  /** Ends a grant; a result other than `completed` excludes the worker for a cooldown and marks it as suspect. */
   endGrant(requestId: string, workerId: string, result: 'completed' | 'refused' | 'failed'): void {
     const grant = this.grants.get(requestId);
     if (grant?.workerId === workerId) this.grants.delete(requestId);
@@ -146,13 +147,13 @@
     this.dispatch();
   }
 
-  /** Takes in the coordinator's word on the model's replicas. */
+  /** Replaces the replicas with those published by the coordinator. */
   setReplicas(replicas: readonly ReplicaInfo[]): void {
     this.replicas = replicas;
     this.dispatch();
   }
 
-  /** Drops what belonged to a router that is gone. */
+  /** Removes the waiters and grants of a router that has left the membership. */
   removeRouter(routerId: string): void {
     for (const [id, waiter] of this.waiters) {
       if (waiter.request.routerId === routerId) this.withdraw(id);
@@ -163,7 +164,7 @@
     this.dispatch();
   }
 
-  /** Drops waiters whose time or router is gone, and grants that nobody will end. */
+  /** Removes abandoned and expired waiters, and grants whose end was never reported. */
   sweep(): void {
     const now = this.clock.monotonic();
     for (const [id, waiter] of this.waiters) {
@@ -177,7 +178,7 @@
     this.dispatch();
   }
 
-  /** What to report to the coordinator; resets the count of arrivals. */
+  /** Returns the demand to report to the coordinator, and resets the arrivals and the suspects. */
   takeDemand(): ModelDemand {
     const now = this.clock.monotonic();
     const byAdapter = new Map<string, number>();
@@ -206,7 +207,7 @@
     };
   }
 
-  /** Only newcomers are refused: who already waits keeps the place. */
+  /** Adds a new waiter. The limit applies to new requests only: those already queued keep their place. */
   private addWaiter(request: EnqueueRequest, now: number): Waiter {
     if (this.waiters.size >= request.queueLimit) {
       throw new WoodbarrowError('queue_full', `${String(this.waiters.size)} requests wait for ${this.model}`);
@@ -224,7 +225,7 @@
     return waiter;
   }
 
-  /** Grants as many waiting requests as there are free slots, in order. */
+  /** Grants free slots to the waiting requests in order. */
   private dispatch(): void {
     if (this.waiters.size === 0 || this.replicas.length === 0) return;
     for (const waiter of this.orderedWaiters()) {
--- a/packages/routing/src/queue-owner.ts
+++ b/packages/routing/src/queue-owner.ts
@@ -1,4 +1,4 @@
-/** The queue owner: orders the waiting requests of the models it owns in its zone, and reports their demand. */
+/** The queue owner: queues the waiting requests of its models in its zone and reports their demand. */
 import { ownerByRendezvous, type LeaseLocator } from '@woodbarrow/coordination';
 import type { Membership } from '@woodbarrow/membership';
 import type { PeerNetwork } from '@woodbarrow/peering';
@@ -30,31 +30,34 @@
   readonly onTaskFailure?: (name: string, error: unknown) => void;
 }
 
-/** Pause between two reports while something waits. */
+/** Pause between two demand reports while requests wait. */
 const BUSY_REPORT_INTERVAL_MS = 250;
-/** Pause between two reports while something runs. */
+/** Maximum pause between two demand reports while no request waits. */
 const IDLE_REPORT_INTERVAL_MS = 1000;
-/** Requests that arrive together are reported together. */
+/** Delay before a report, so that requests that arrive together share one report. */
 const REPORT_COALESCE_MS = 3;
 const SWEEP_INTERVAL_MS = 1000;
-/** A queue unused for this long is dropped. */
+/** Time without requests after which an idle queue is removed. */
 const IDLE_QUEUE_EXPIRY_MS = 120_000;
 const REPORT_TIMEOUT_MS = 1000;
 
-/** Owns queues for as long as requests come to it. Two owners of one model are harmless: engines limit themselves. */
+/**
+ * Owns the queues of the models whose requests arrive here. Two owners of one model are safe for a while, since
+ * engines enforce their own concurrency limits.
+ */
 export class QueueOwner extends BackgroundService {
   private readonly queues = new Map<string, ModelQueue>();
-  /** Models that have changed since the last report. */
+  /** Models to include in the next report although their queues may be idle. */
   private readonly changedModels = new Set<string>();
   private readonly wakeup = new Wakeup();
-  /** Highest fence of a coordinator heard of; a former coordinator's word is dropped. */
+  /** Highest fencing token received from a coordinator; updates with a lower one are ignored. */
   private highestFence = 0;
 
   constructor(private readonly options: QueueOwnerOptions) {
     super(options.clock, options.onTaskFailure);
   }
 
-  /** Starts answering. */
+  /** Registers the peer handlers and starts the reporting and sweeping tasks. */
   start(): void {
     const { peers, membership } = this.options;
     peers.handle(enqueueMethod, (request) => this.enqueue(request));
@@ -93,7 +96,7 @@
     );
   }
 
-  /** Requests waiting at this owner. */
+  /** Number of requests that wait in all queues of this owner. */
   get waiting(): number {
     let waiting = 0;
     for (const queue of this.queues.values()) waiting += queue.waiting;
@@ -152,7 +155,7 @@
     }
   }
 
-  /** Reports all models that are in use; the answer tells where their replicas are. */
+  /** Reports the demand of all active models; the response lists their replicas. */
   private async report(): Promise<void> {
     const { locator, coordinatorGroup, peers, membership } = this.options;
     const active = [...this.queues.values()].filter(
@@ -186,7 +189,7 @@
   }
 }
 
-/** The daemon that owns a model's queue in a zone, by the present view. */
+/** Returns the daemon that owns a model's queue in a zone, by rendezvous hashing over the current members. */
 export function queueOwnerOf(
   membership: Membership,
   zone: string,
--- a/packages/routing/src/replica-directory.ts
+++ b/packages/routing/src/replica-directory.ts
@@ -1,11 +1,11 @@
-/** Replicas that a router may send to directly, as last told by the queue owner. */
+/** Cache of the replicas that a router may send requests to directly, as last reported by the queue owner. */
 import type { ReplicaInfo } from '@woodbarrow/protocol';
 import type { Clock, Random } from '@woodbarrow/runtime';
 import type { CircuitBreakers } from './circuit-breaker.js';
 
-/** What a router was told stays good for this long. */
+/** Time for which a queue owner's response is cached. */
 const ENTRY_TTL_MS = 2000;
-/** Share of a replica's concurrency that routers may use without asking. */
+/** Share of a replica's concurrency that a router may use without a grant. */
 const DIRECT_CONCURRENCY_SHARE = 0.5;
 
 interface DirectoryEntry {
@@ -15,7 +15,7 @@
   directArrivals: number;
 }
 
-/** One router's knowledge of replicas. */
+/** Caches the replicas of each model for one router, and counts its requests in flight by worker. */
 export class ReplicaDirectory {
   private readonly entries = new Map<string, DirectoryEntry>();
   private readonly inFlight = new Map<string, number>();
@@ -26,7 +26,7 @@
     private readonly breakers: CircuitBreakers,
   ) {}
 
-  /** Takes in a queue owner's word. */
+  /** Stores the replicas from a queue owner's response. */
   update(model: string, replicas: readonly ReplicaInfo[], scarce: boolean): void {
     this.entries.set(model, {
       replicas,
@@ -36,12 +36,12 @@
     });
   }
 
-  /** Forgets a model's replicas, after one of them turned out not to take work. */
+  /** Removes a model's replicas after one of them did not accept a request. */
   invalidate(model: string): void {
     this.entries.delete(model);
   }
 
-  /** Requests sent directly since the owner was last asked; resets the count. */
+  /** Returns the number of requests sent directly since the queue owner was last polled, and resets it. */
   takeDirectArrivals(model: string): number {
     const entry = this.entries.get(model);
     const arrivals = entry?.directArrivals ?? 0;
@@ -49,7 +49,7 @@
     return arrivals;
   }
 
-  /** A replica to send to without asking, or undefined when the owner must be asked. */
+  /** Chooses a replica that needs no grant; undefined when the queue owner must grant one. */
   chooseDirect(model: string, adapter: string): ReplicaInfo | undefined {
     const entry = this.entries.get(model);
     if (entry === undefined || entry.scarce || entry.expiresAt < this.clock.monotonic()) return undefined;
@@ -67,7 +67,7 @@
     return this.loadOf(first) <= this.loadOf(second) ? first : second;
   }
 
-  /** Counts a request sent to a worker; returns the function that ends it. */
+  /** Counts a request in flight to a worker; returns an idempotent function that ends it. */
   beginRequest(workerId: string): () => void {
     this.inFlight.set(workerId, (this.inFlight.get(workerId) ?? 0) + 1);
     let ended = false;
@@ -80,7 +80,7 @@
     };
   }
 
-  /** Own requests under way, and what others were last reported to run. */
+  /** Requests on a replica: the larger of this router's own in flight and the last reported number. */
   private loadOf(replica: ReplicaInfo): number {
     return Math.max(this.inFlight.get(replica.workerId) ?? 0, replica.running);
   }
--- a/packages/routing/src/router.ts
+++ b/packages/routing/src/router.ts
@@ -1,6 +1,6 @@
 /**
- * The router: takes one admitted request to one replica and its answer back. It alone answers for the request:
- * served, or refused within the allowed wait, with a truthful word on whether it ran.
+ * The router: sends an admitted request to a replica and returns the response. Each request is either served or
+ * rejected within its maximum wait, and a rejection states whether the request may have run.
  */
 import type { CatalogModel } from '@woodbarrow/configuration';
 import type { EngineClient } from '@woodbarrow/engine';
@@ -42,24 +42,24 @@
 export interface RoutedRequest {
   readonly requestId: string;
   readonly model: CatalogModel;
-  /** Empty for the base model. */
+  /** Name of the adapter; empty for the base model. */
   readonly adapter: string;
   readonly path: string;
   readonly body: Uint8Array;
   readonly streaming: boolean;
   readonly priority: number;
   readonly deferrable: boolean;
-  /** Monotonic time at which the request came in. */
+  /** Monotonic time at which the request was received. */
   readonly receivedAt: number;
-  /** Monotonic time by which the answer must have begun. */
+  /** Monotonic time by which the response must have begun. */
   readonly deadline: number;
-  /** Milliseconds that a whole answer may take once it was sent to a replica. */
+  /** Maximum milliseconds until a replica has returned a whole (not streamed) response. */
   readonly runLimitMs: number;
-  /** Whether a second run would do no harm. */
+  /** Whether the request is idempotent, so that it may be retried after an unknown outcome. */
   readonly repeatable: boolean;
   readonly affinity: number;
   readonly queueLimit: number;
-  /** Aborts when the caller has gone. */
+  /** Aborts when the caller disconnects. */
   readonly signal: AbortSignal;
 }
 
@@ -77,29 +77,29 @@
 const MAX_HOLD_MS = 1000;
 const HOLD_RESPONSE_MARGIN_MS = 600;
 const BACKOFF = { initialMs: 30, maximumMs: 500 };
-/** The answer goes out this long before the allowed wait ends, so that it arrives within. */
+/** Time before the deadline at which a response must be sent, so that it arrives before the deadline. */
 const RESPONSE_MARGIN_MS = 30;
-/** Refusals of this module that say that the request was not run. */
+/** Error kinds of this module that state that the request was not run. */
 const NOT_RUN_KINDS = ['wait_expired', 'engine_refused', 'queue_full', 'stopping', 'caller_gone'] as const;
 const RETRY_BUDGET = { ratio: 0.2, minimumPerSecond: 5, maximumSaved: 50 };
 
-/** A replica to try, with how it was come by. */
+/** A replica to try. */
 interface Dispatch {
   readonly replica: ReplicaInfo;
-  /** Address of the owner that granted it; undefined when the router chose by itself. */
+  /** Address of the queue owner that granted the replica; undefined when the router chose it without a grant. */
   readonly grantedBy: string | undefined;
 }
 
-/** State of one request on its way. */
+/** State of one request over all its attempts. */
 interface RequestState {
   readonly request: RoutedRequest;
   readonly avoid: Set<string>;
   count: number;
-  /** True once an attempt's outcome was not known: no later refusal may say that the request was not run. */
+  /** Set once an attempt had an unknown outcome: no later error may state that the request was not run. */
   mayHaveRun: boolean;
 }
 
-/** Routes requests. */
+/** Routes requests to replicas, with retries. */
 export class Router {
   readonly counters: RouterCounters = {
     direct: 0,
@@ -113,7 +113,7 @@
   private readonly breakers: CircuitBreakers;
   private readonly directory: ReplicaDirectory;
   private readonly retryBudget: RetryBudget;
-  /** Requests with a later deadline than this are not waited for any more. */
+  /** Monotonic time; requests with a later deadline no longer wait. Infinity until a planned stop. */
   private latestWaitDeadline = Infinity;
 
   constructor(private readonly options: RouterOptions) {
@@ -123,9 +123,9 @@
   }
 
   /**
-   * Serves a request: resolves with the engine's answer once it has begun.
+   * Routes a request and resolves with the engine's response once it has begun.
    *
-   * @throws WoodbarrowError whose `ran` says whether the request ran.
+   * @throws WoodbarrowError whose `ran` states whether the request ran.
    */
   async route(request: RoutedRequest): Promise<HttpResponse> {
     this.retryBudget.recordAttempt();
@@ -149,14 +149,14 @@
   }
 
   /**
-   * Before a planned stop: requests that wait, and whose wait would end after monotonic time `limit`, are refused
-   * as not run, so that their callers can go to another daemon at once.
+   * Prepares a planned stop: rejects waiting requests with a deadline after the given monotonic time as not run, so
+   * that their callers can use another daemon at once.
    */
   refuseWaitingBeyond(latestDeadline: number): void {
     this.latestWaitDeadline = latestDeadline;
   }
 
-  /** One attempt: the response, or undefined when the request certainly did not run and may be tried again. */
+  /** Makes one attempt. Returns the response, or undefined when the request may be tried again. */
   private async tryReplica(attempts: RequestState, dispatch: Dispatch): Promise<HttpResponse | undefined> {
     const { request } = attempts;
     const { replica } = dispatch;
@@ -197,17 +197,17 @@
     return this.handleUnknownOutcome(request, start.reason);
   }
 
-  /** A stream begins when the request does; a whole answer comes only when it has been made. */
+  /** Timeout of the response head: a stream sends it at the start, a whole response only when it is complete. */
   private responseHeadTimeoutMs(request: RoutedRequest): number {
     return request.streaming ? Math.max(1, this.remainingMs(request)) : request.runLimitMs;
   }
 
-  /** The request may have run: only one that does no harm twice, with time left, is tried again. */
+  /** Allows a retry after an unknown outcome only for an idempotent request with time left; throws otherwise. */
   private handleUnknownOutcome(request: RoutedRequest, reason: string): undefined {
     this.counters.unknownOutcomes += 1;
     if (request.signal.aborted) throw new WoodbarrowError('caller_gone', 'the caller closed the connection');
     if (request.repeatable && this.remainingMs(request) > 0) return undefined;
-    throw new WoodbarrowError('outcome_unknown', `the engine's answer was lost: ${reason}`);
+    throw new WoodbarrowError('outcome_unknown', `the engine's response was not received: ${reason}`);
   }
 
   private async backOffBeforeRetry(attempts: RequestState): Promise<void> {
@@ -216,7 +216,7 @@
       this.counters.retriesDenied += 1;
       throw new WoodbarrowError(
         'engine_refused',
-        'no replica took the request, and the retry budget is spent',
+        'no replica accepted the request, and the retry budget is exhausted',
       );
     }
     this.counters.retries += 1;
@@ -235,11 +235,11 @@
     return this.waitForGrant(attempts);
   }
 
-  /** Waits at the queue owner; a lost owner costs one question, after which the request waits at the next. */
+  /** Waits for a grant from a queue owner, and moves on to another zone when an owner does not respond. */
   private async waitForGrant(attempts: RequestState): Promise<Dispatch> {
     const { request } = attempts;
     let isColdWaitCounted = false;
-    /** Grows with each reason to ask in another zone. */
+    /** Index of the model's zone to ask, modulo the number of its zones. */
     let zoneIndex = 0;
     for (;;) {
       this.assertCanContinue(request);
@@ -256,7 +256,7 @@
         this.counters.coldWaits += 1;
       }
       if (response.replica !== undefined) {
-        // A grant that came too late to be tried goes back.
+        // A grant that arrives too late for an attempt is returned.
         if (!this.hasTimeForAttempt(request)) this.withdraw(owner, request);
         this.assertCanContinue(request);
         this.counters.granted += 1;
@@ -269,7 +269,7 @@
     }
   }
 
-  /** One question to the owner; undefined when it did not answer. */
+  /** Polls a queue owner once; undefined when it did not respond. Throws `queue_full`. */
   private async pollOwner(owner: string, attempts: RequestState): Promise<EnqueueResponse | undefined> {
     const { request } = attempts;
     const remainingMs = Math.max(1, this.remainingMs(request));
@@ -308,8 +308,8 @@
   }
 
   /**
-   * The owner in the zone whose turn it is. The model's first zone comes first for routers everywhere, so that a
-   * cold burst loads one replica rather than one in each zone.
+   * Address of the queue owner in one of the model's zones. Routers everywhere start with the model's first zone, so
+   * that a cold burst loads one replica rather than one in each zone.
    */
   private ownerAddress(model: CatalogModel, zoneIndex: number): string | undefined {
     const { allotments } = model;
@@ -355,14 +355,14 @@
     }
   }
 
-  /** Whether an attempt that begins now can still be answered for within the allowed wait. */
+  /** Whether an attempt that starts now can still succeed or be rejected before the deadline. */
   private hasTimeForAttempt(request: RoutedRequest): boolean {
     return this.remainingMs(request) > this.connectReserveMs(request);
   }
 
   /**
-   * Time kept for finding out that a replica cannot be reached. Only a stream can be given up while it connects; a
-   * whole answer is waited for as long as it runs, so its last attempt begins that much earlier.
+   * Milliseconds reserved to detect an unreachable replica. Only a stream has a response timeout that ends at the
+   * deadline; a whole response may take as long as the request runs, so its last attempt must start earlier.
    */
   private connectReserveMs(request: RoutedRequest): number {
     const waited = this.options.clock.monotonic() - request.receivedAt;
--- a/packages/routing/src/stream-forwarder.ts
+++ b/packages/routing/src/stream-forwarder.ts
@@ -1,14 +1,19 @@
-/** Passes an engine's answer on without reparsing it, and makes sure that a cut-off answer never looks whole. */
+/** Forwards an engine's response without parsing its content, and marks a truncated response as an error. */
 import { encodeText, readBody, type HttpResponse } from '@woodbarrow/runtime';
 import { WoodbarrowError } from '@woodbarrow/errors';
 import { CompletionStream } from './completion-stream.js';
 
 const STREAM_HEADERS = { 'content-type': 'text/event-stream', 'cache-control': 'no-cache' };
 
-/** Called once, when the engine is done with the request. */
+/** Called once, when the engine's response has ended. */
 export type FinishCallback = (result: 'completed' | 'failed') => void;
 
-/** The response for the caller. Whole answers are collected first, so that a cut-off one becomes an error. */
+/**
+ * Returns the response for the caller. A response that is not streamed is read completely first, so that a truncated
+ * one becomes an error.
+ *
+ * @throws WoodbarrowError `stream_interrupted`
+ */
 export async function forwardStream(
   response: HttpResponse,
   streaming: boolean,
@@ -23,7 +28,9 @@
     return { status: 200, headers: { 'content-type': 'application/json' }, body };
   } catch (error) {
     finish('failed');
-    throw new WoodbarrowError('stream_interrupted', 'the engine broke off its answer', { cause: error });
+    throw new WoodbarrowError('stream_interrupted', 'the engine did not complete its response', {
+      cause: error,
+    });
   }
 }
 
@@ -38,17 +45,17 @@
       if (events !== undefined) yield events;
     }
   } catch {
-    // The caller is told below, unless it has the whole stream already.
+    // Reported below, unless the complete stream has already been forwarded.
   } finally {
     finish(stream.isComplete ? 'completed' : 'failed');
   }
   if (!stream.isComplete) yield interruptionEvent();
 }
 
-/** The explicit end of a stream that was cut off; no `[DONE]` follows it. */
+/** Error event that ends a truncated stream; no `[DONE]` follows it. */
 function interruptionEvent(): Uint8Array {
   const error = {
-    message: 'the engine broke off its answer',
+    message: 'the engine did not complete its response',
     type: 'server_error',
     code: 'stream_interrupted',
     ran: 'yes',
--- a/packages/routing/test/routing.test.ts
+++ b/packages/routing/test/routing.test.ts
@@ -65,7 +65,7 @@
 }
 
 describe('model queue', () => {
-  it('grants by class, then by deadline, one slot at a time', async () => {
+  it('grants free slots by priority, then by deadline', async () => {
     const test = new QueueTest();
     void test.enqueue('late', { remainingMs: 50_000 });
     void test.enqueue('early', { remainingMs: 10_000 });
@@ -80,7 +80,7 @@
     expect(test.granted).to.deep.equal(['rush', 'early', 'late']);
   });
 
-  it('lets a request rise while it waits, so that no class starves', async () => {
+  it('raises the priority of a request with its waiting time, so that no class starves', async () => {
     const test = new QueueTest();
     const keepAsking = async (): Promise<void> => {
       while ((await test.enqueue('old', { priority: 20, remainingMs: 100_000 })) === undefined);
@@ -93,7 +93,7 @@
     expect(test.granted).to.deep.equal(['old']);
   });
 
-  it('answers after the hold and keeps the place of a request that is asked after again', async () => {
+  it('resolves a poll after the hold time and keeps the place of a request that is polled again', async () => {
     const test = new QueueTest();
     const first = test.enqueue('a');
     await test.pass(1500);
@@ -103,12 +103,12 @@
     test.queue.setReplicas([replica('w1')]);
     await test.pass(10);
     expect((await second)?.replica.workerId).to.equal('w1');
-    // A grant whose answer was lost is given again.
+    // A grant whose response was lost is returned again.
     expect((await test.enqueue('a'))?.replica.workerId).to.equal('w1');
     expect(test.queue.granted).to.equal(1);
   });
 
-  it('refuses newcomers when it is full, and lets those who wait ask again', async () => {
+  it('rejects new requests when full, and still accepts polls for queued requests', async () => {
     const test = new QueueTest();
     const first = test.enqueue('a', { queueLimit: 2 });
     void test.enqueue('b', { queueLimit: 2 });
@@ -121,7 +121,7 @@
     expect((await again)?.replica.workerId).to.equal('w1');
   });
 
-  it('drops requests of lost routers, and frees their grants', async () => {
+  it('removes requests and grants of a router that is gone, and requests that are no longer polled', async () => {
     const test = new QueueTest();
     test.queue.setReplicas([replica('w1')]);
     void test.enqueue('a', { routerId: 'lost' });
@@ -137,7 +137,7 @@
     expect(test.queue.waiting).to.equal(0);
   });
 
-  it('gives adapters and prefixes to the replicas that have them, and leaves out those that refuse', async () => {
+  it('prefers replicas with the adapter or the prompt prefix, and excludes a replica that failed', async () => {
     const test = new QueueTest();
     test.queue.setReplicas([
       replica('w1', { concurrency: 9 }),
@@ -153,7 +153,7 @@
     expect(test.queue.takeDemand().suspects).to.deep.equal(['w2']);
   });
 
-  it('reports its demand', () => {
+  it('reports its demand and resets the count of arrivals', () => {
     const test = new QueueTest();
     void test.enqueue('a', { adapter: 'tuned', priority: 5, remainingMs: 900 });
     void test.enqueue('b', { deferrable: true });
@@ -165,7 +165,7 @@
 });
 
 describe('replica directory', () => {
-  it('sends directly while replicas are plenty, and asks otherwise', async () => {
+  it('chooses a replica without a grant only while its entry is valid, its load low and its breaker closed', async () => {
     const world = new SimulatedWorld();
     const process = new SimulatedProcess(world, { name: 'p', zone: 'z', region: 'r' });
     const breakers = new CircuitBreakers(process);
@@ -197,7 +197,7 @@
     }
   }
 
-  it('bounds tenants, lets partners borrow, and keeps a fair share when the daemon fills up', () => {
+  it('limits tenants, and limits partners to their fair share only when the daemon nears its limit', () => {
     const admission = new Admission({ maximumRequests: 100 });
     const release = admission.admit('small', 'a', 1, 2);
     expect(kindOf(() => admission.admit('small', 'a', 1, 2))).to.equal('tenant_over_limit');
@@ -234,14 +234,14 @@
     return [await readText(response.body), result];
   }
 
-  it('passes whole streams on as they are, however they are split', async () => {
+  it('forwards a complete stream unchanged, however its bytes are split', async () => {
     expect(await forward(true, 'data: 1\n\n', 'data: [DO', 'NE]\n\n')).to.deep.equal([
       'data: 1\n\ndata: [DONE]\n\n',
       'completed',
     ]);
   });
 
-  it('ends a stream that was cut off, or that just stops, in an explicit error', async () => {
+  it('ends a stream that fails or stops before [DONE] with an error event', async () => {
     for (const end of [['cut'], []]) {
       const [text, result] = await forward(true, 'data: 1\n\n', ...end);
       expect(result).to.equal('failed');
@@ -249,7 +249,7 @@
     }
   });
 
-  it('leaves out the unfinished event of a stream that was cut off, so that the error can be read', async () => {
+  it('omits the incomplete event of a truncated stream, so that the error event can be parsed', async () => {
     for (const end of [['cut'], []]) {
       const [text, result] = await forward(true, 'data: 1\n\ndata: {"a', ...end);
       expect(result).to.equal('failed');
@@ -257,7 +257,7 @@
     }
   });
 
-  it('takes text that reads like the end for no end', async () => {
+  it('does not treat content that contains the text of the [DONE] event as the end of the stream', async () => {
     for (const event of ['data: {"text":"data: [DONE]"}\n\n', 'data: [DONE] is not the end\n\n']) {
       for (const end of [['cut'], []]) {
         const [text, result] = await forward(true, event, ...end);
@@ -268,14 +268,14 @@
     }
   });
 
-  it('adds nothing to a stream behind its end, whatever becomes of the connection', async () => {
+  it('adds nothing after [DONE], even when the connection then fails', async () => {
     const whole = 'data: 1\r\n\r\ndata: [DONE]\r\n\r\n';
     for (const end of [['cut'], [], ['data: 2\r\n\r\n'], ['data: 2', 'cut']]) {
       expect(await forward(true, whole, ...end)).to.deep.equal([whole, 'completed']);
     }
   });
 
-  it('makes an error of a whole answer that was cut off', async () => {
+  it('turns a truncated response that is not streamed into an error', async () => {
     const outcome = await forward(false, '{"a":', 'cut').catch(
       (error: unknown) => (error as { kind: string }).kind,
     );
