--- a/packages/placement/src/eviction.ts
+++ b/packages/placement/src/eviction.ts
@@ -1,25 +1,25 @@
-/** Which idle replicas to give up so that a worker has room for something that is waited for. */
+/** Selects the idle replicas to unload so that a worker has enough memory for a requested model. */
 import type { WorkerView } from './worker-view.js';
 
 /** Replicas to unload on one worker. */
 export interface Eviction {
   readonly worker: WorkerView;
   readonly victims: readonly string[];
-  /** Expected load time lost; the least is best. */
+  /** Expected cost of loading the victims again, in seconds. */
   readonly cost: number;
 }
 
-/** What evictions are judged by. */
+/** Inputs for the choice of an eviction. */
 export interface EvictionCriteria {
-  /** Memory that is free on a worker, or will be once unloads under way are done, in GiB. */
+  /** Memory of a worker that is free or will be after the unloads in progress, in GiB. */
   readonly freeGibAfterUnloads: (worker: WorkerView) => number;
-  /** Whether a replica may be given up. */
+  /** Whether a replica may be unloaded. */
   readonly isEvictable: (worker: WorkerView, model: string) => boolean;
-  /** Expected load time lost by giving up a replica. */
+  /** Expected cost of loading a replica again, in seconds. */
   readonly costOf: (model: string) => number;
 }
 
-/** The cheapest way to make room on one of the workers; undefined when none has enough to give up. */
+/** Returns the cheapest eviction that frees enough memory on one worker; undefined when there is none. */
 export function cheapestEviction(
   workers: readonly WorkerView[],
   neededGib: number,
--- a/packages/placement/src/gap-histogram.ts
+++ b/packages/placement/src/gap-histogram.ts
@@ -1,28 +1,28 @@
-/** How long an idle replica stays loaded: from the gaps between past arrivals, the load time and the weights. */
+/** Computes how long an idle replica stays loaded, from the gaps between past arrivals and the load time. */
 
-/** Upper bounds of the histogram's buckets, in seconds; gaps beyond the last fall into one more bucket. */
+/** Upper bounds of the histogram's buckets, in seconds; one more bucket holds longer gaps. */
 const BUCKET_BOUNDS_SECONDS = [
   1, 2, 5, 10, 20, 30, 45, 60, 90, 120, 180, 240, 300, 450, 600, 900, 1800, 3600,
 ];
-/** Older observations fade by this factor with each new one. */
+/** Factor by which each new observation reduces the weight of the older ones. */
 const DECAY_PER_OBSERVATION = 0.98;
-/** One second of cold start weighs as much as this many idle seconds at equal weights. */
+/** Number of idle seconds that cost as much as one second of cold start at equal weights. */
 const IDLE_SECONDS_PER_COLD_SECOND = 6;
-/** Observations that the starting guess counts for. */
+/** Weight of the uniform prior distribution, in observations. */
 const PRIOR_OBSERVATIONS = 2;
 
-/** Bounds from the template, in seconds. */
+/** Bounds of the keep-alive time from the model's template. */
 export interface KeepAliveBounds {
   readonly minimumSeconds: number;
   readonly maximumSeconds: number;
 }
 
-/** Gaps between the arrivals of one model. */
+/** Decaying histogram of the gaps between the arrivals of one model. */
 export class GapHistogram {
   private readonly counts = new Array<number>(BUCKET_BOUNDS_SECONDS.length + 1).fill(0);
   private total = 0;
   private lastArrival: number | undefined;
-  /** Result of the last calculation, and what it was made from; a new gap makes it void. */
+  /** Last calculated keep-alive time and its inputs; invalidated by a new gap. */
   private cached: { readonly inputs: string; readonly seconds: number } | undefined;
 
   /** Records that requests arrived at monotonic time `nowMs`. */
@@ -31,9 +31,9 @@
     this.lastArrival = nowMs;
   }
 
-  /** Share of gaps longer than `seconds`. */
+  /** Estimated share of gaps longer than `seconds`. */
   shareLongerThan(seconds: number): number {
-    // Without observations, gaps are taken to be spread evenly over the buckets.
+    // The prior spreads its observations evenly over the buckets.
     const prior = PRIOR_OBSERVATIONS / this.counts.length;
     let longer = 0;
     for (const [index, count] of this.counts.entries()) {
@@ -44,8 +44,8 @@
   }
 
   /**
-   * The duration with the least expected cost: idle seconds until the next arrival or the unload, plus the load
-   * time times the chance that the next arrival comes too late, each by its weight.
+   * Returns the keep-alive time with the lowest expected cost: the idle seconds until the next arrival or the unload,
+   * plus the load time times the probability that the next arrival comes after the unload, each with its weight.
    */
   optimalKeepAliveSeconds(loadSeconds: number, coldStartWeight: number, bounds: KeepAliveBounds): number {
     const inputs = `${String(loadSeconds)}/${String(coldStartWeight)}/${String(bounds.minimumSeconds)}/${String(bounds.maximumSeconds)}`;
--- a/packages/placement/src/index.ts
+++ b/packages/placement/src/index.ts
@@ -1,4 +1,4 @@
-/** Placement: what is loaded where, decided by one coordinator a zone. */
+/** Placement of models on workers, decided by one coordinator in each zone. */
 export * from './model-activity.js';
 export * from './gap-histogram.js';
 export * from './warm-hours.js';
--- a/packages/placement/src/load-estimate.ts
+++ b/packages/placement/src/load-estimate.ts
@@ -1,11 +1,11 @@
-/** How long a load would take on each worker, by the nearest copy of the checkpoint. */
+/** Estimates the load time of a model on a worker from the nearest copy of its checkpoint. */
 import type { CatalogModel } from '@woodbarrow/configuration';
 import type { WorkerView } from './worker-view.js';
 
-/** Where a checkpoint comes from. */
+/** Source of a checkpoint: the worker's host memory or disk, another worker's cache, or the weight store. */
 export type LoadSource = 'host' | 'disk' | 'peer' | 'remote';
 
-/** Estimated load of one model on one worker. */
+/** Estimated load time of one model on one worker. */
 export interface LoadEstimate {
   readonly source: LoadSource;
   readonly seconds: number;
@@ -13,18 +13,18 @@
   readonly copyFrom?: string;
 }
 
-/** Time to copy from a peer's cache, as a share of the time from the weight store. */
+/** Ratio of the load time from a peer's cache to that from the weight store. */
 const PEER_COPY_TIME_RATIO = 0.4;
 
-/** Name of a model's checkpoint in the workers' caches. */
+/** Returns the name of a model's checkpoint in the workers' caches, `name@version`. */
 export function checkpointOf(model: CatalogModel): string {
   return `${model.parameters.name}@${model.parameters.version}`;
 }
 
-/** Live workers by checkpoint that they have a copy of, in host memory or on disk. */
+/** Live workers that have a copy of a checkpoint in host memory or on disk, by checkpoint. */
 export type CheckpointCopies = ReadonlyMap<string, readonly string[]>;
 
-/** Finds all copies in a zone, once for many estimates. */
+/** Indexes all checkpoint copies of a zone, so that many estimates can share the index. */
 export function findCopies(workers: Iterable<WorkerView>): CheckpointCopies {
   const copies = new Map<string, string[]>();
   for (const worker of workers) {
--- a/packages/placement/src/load-permits.ts
+++ b/packages/placement/src/load-permits.ts
@@ -1,15 +1,15 @@
-/** Permits to load from the weight store: a zone's share of what the store bears. */
+/** Permits for loads from the weight store, limited to a zone's share of the store's capacity. */
 import type { Clock } from '@woodbarrow/runtime';
 
-/** Limits of one zone. */
+/** Limits on loads from the weight store in one zone. */
 export interface LoadPermitLimits {
-  /** Loads from the store under way at once. */
+  /** Maximum number of concurrent loads. */
   readonly concurrent: number;
-  /** Loads begun in a second. */
+  /** Maximum number of loads started per second. */
   readonly perSecond: number;
 }
 
-/** Splits the store's limits over zones; each zone has at least one load at once. */
+/** Divides the store's limits evenly among the zones; each zone may run at least one load. */
 export function permitLimitsOfZone(
   store: { readonly concurrentLoads: number; readonly loadsPerSecond: number },
   zoneCount: number,
@@ -20,7 +20,7 @@
   };
 }
 
-/** Counts loads from the store, at once and by time. */
+/** Limits loads from the store by concurrency and, with a token bucket, by rate. */
 export class LoadPermits {
   private readonly active = new Set<string>();
   private tokens = 1;
@@ -30,7 +30,7 @@
     this.refilledAt = clock.monotonic();
   }
 
-  /** Takes a permit for the load named by `key`; false when there is none now. */
+  /** Acquires a permit for the load named by `key`; returns false when none is available. */
   tryAcquire(key: string, limits: LoadPermitLimits): boolean {
     this.refill(limits);
     if (this.active.size >= limits.concurrent || this.tokens < 1) return false;
@@ -39,7 +39,7 @@
     return true;
   }
 
-  /** Ends all loads for which `isActive` does not hold. */
+  /** Releases the permits of all loads for which `isActive` returns false. */
   retainOnly(isActive: (key: string) => boolean): void {
     for (const key of this.active) {
       if (!isActive(key)) this.active.delete(key);
--- a/packages/placement/src/model-activity.ts
+++ b/packages/placement/src/model-activity.ts
@@ -1,23 +1,23 @@
-/** What queue owners have reported of each model, and when it was last used. */
+/** Demand that queue owners report for a model, and the time of its last use. */
 import type { ModelDemand } from '@woodbarrow/protocol';
 import { GapHistogram } from './gap-histogram.js';
 
-/** Reports older than this count as nothing waiting: the owner reports again while something does. */
+/** Age at which a report expires; owners repeat their reports while requests wait. */
 const REPORT_TTL_MS = 3000;
 
-/** Demand for one model. */
+/** Tracks the demand reports and the arrival gaps of one model. */
 export class ModelActivity {
   readonly gaps = new GapHistogram();
-  /** Last report by owner, with its time: for a while after a change of owner there may be two. */
+  /** Last report of each queue owner; after a change of owner there may be two for a while. */
   private readonly reports = new Map<string, { readonly demand: ModelDemand; readonly at: number }>();
-  /** Monotonic time of the last sign of use. */
+  /** Monotonic time of the last report with arrivals, waiting or running requests. */
   lastUsedAt: number;
 
   constructor(now: number) {
     this.lastUsedAt = now;
   }
 
-  /** Takes in an owner's report. */
+  /** Stores an owner's report, replacing its previous one. */
   recordReport(owner: string, demand: ModelDemand, now: number): void {
     this.reports.set(owner, { demand, at: now });
     if (demand.arrivals > 0) this.gaps.recordArrival(now);
@@ -25,7 +25,7 @@
     if (busy) this.lastUsedAt = now;
   }
 
-  /** Reports that still count. */
+  /** Returns the reports that have not expired, and removes the others. */
   currentDemands(now: number): ModelDemand[] {
     const demands: ModelDemand[] = [];
     for (const [owner, { demand, at }] of this.reports) {
@@ -36,18 +36,18 @@
   }
 }
 
-/** Demand over all owners for one model. */
+/** Demand for one model, summed over all queue owners. */
 export interface TotalDemand {
   readonly waiting: number;
   readonly running: number;
   readonly topPriority: number;
   readonly firstDeadlineMs: number;
   readonly deferrable: boolean;
-  /** Adapters that something waits for. */
+  /** Adapters with waiting requests. */
   readonly adapters: readonly string[];
 }
 
-/** Sums up the reports on one model. */
+/** Sums the reports of one model. Without waiting requests, priority and deadline are Infinity. */
 export function totalDemand(demands: readonly ModelDemand[]): TotalDemand {
   const adapters = new Set<string>();
   let waiting = 0;
--- a/packages/placement/src/placement-planner.ts
+++ b/packages/placement/src/placement-planner.ts
@@ -1,4 +1,4 @@
-/** Decides what a zone should load and unload, from what it holds and what is asked of it. Decides only. */
+/** Plans the loads and unloads of a zone from its holdings and demand. The plan is executed elsewhere. */
 import type { CatalogModel } from '@woodbarrow/configuration';
 import type { ModelDemand } from '@woodbarrow/protocol';
 import type { ModelActivity } from './model-activity.js';
@@ -15,21 +15,21 @@
 import type { BlockedReason } from './replica-publisher.js';
 import type { WorkerView } from './worker-view.js';
 
-/** Load one replica. */
+/** A replica to load. */
 export interface LoadAction {
   readonly model: CatalogModel;
   readonly worker: WorkerView;
   readonly estimate: LoadEstimate;
 }
 
-/** Unload one replica. */
+/** A replica to unload. */
 export interface UnloadAction {
   readonly model: string;
   readonly worker: WorkerView;
   readonly reason: 'idle' | 'limit' | 'evicted' | 'leaving' | 'unknown_model';
 }
 
-/** Load an adapter onto a loaded base model. */
+/** An adapter to load onto a loaded base model. */
 export interface AdapterAction {
   readonly model: CatalogModel;
   readonly worker: WorkerView;
@@ -37,42 +37,42 @@
   readonly memoryGib: number;
 }
 
-/** What to do now. */
+/** The actions of one planning step. */
 export interface PlacementPlan {
   readonly loads: readonly LoadAction[];
   readonly unloads: readonly UnloadAction[];
   readonly adapters: readonly AdapterAction[];
-  /** Loads made only to bring a checkpoint near; the replica is unloaded as soon as it is ready. */
+  /** Loads that only cache a checkpoint on a worker; the replica is unloaded as soon as it is ready. */
   readonly warming: readonly LoadAction[];
-  /** Replicas decided for each model with any. */
+  /** Planned number of replicas of each model that has any. */
   readonly decided: ReadonlyMap<string, number>;
-  /** Why a wanted load is not possible now. */
+  /** Why a needed load is currently not possible, by model. */
   readonly blocked: ReadonlyMap<string, BlockedReason>;
 }
 
-/** What the planner looks at. */
+/** Input of the planner. */
 export interface PlacementState {
   readonly zone: string;
   readonly nowMs: number;
-  /** Wall clock, for hours of the day. */
+  /** Wall clock time in milliseconds since the epoch, for hours of the day. */
   readonly wallMs: number;
-  /** False while workers of a former coordinator may hold what is not known. */
+  /** False while workers may hold models from a former coordinator that this one has not observed. */
   readonly recovered: boolean;
   readonly workers: readonly WorkerView[];
   readonly models: ReadonlyMap<string, CatalogModel>;
-  /** Reports on a model that still count. */
+  /** Demand reports of a model that have not expired. */
   readonly demandsOf: (model: string) => readonly ModelDemand[];
   readonly activityOf: (model: string) => ModelActivity;
-  /** Models being loaded only to bring their checkpoint near. */
+  /** Models being loaded only to cache their checkpoint on a worker. */
   readonly warming: ReadonlySet<string>;
 }
 
-/** Deferrable requests wait until this many load times before their deadline. */
+/** Number of load times before their deadline at which deferrable requests start a load. */
 const DEFERRABLE_LOAD_MARGIN = 2;
 
-/** Checkpoints are brought near only for models whose cold starts weigh at least this much. */
+/** Minimum cold start weight of a model for its checkpoint to be cached in advance. */
 const MIN_WARMING_WEIGHT = 0.5;
-/** Share of a worker's memory that must be free for that. */
+/** Minimum share of a worker's memory that must be free to cache a checkpoint in advance. */
 const MIN_WARMING_FREE_SHARE = 0.4;
 
 interface WantedLoad {
@@ -80,7 +80,7 @@
   readonly demand: TotalDemand;
 }
 
-/** Plans one step. */
+/** Plans the next actions of a zone. */
 export function planPlacement(state: PlacementState): PlacementPlan {
   const plan = new PlanBuilder(state);
   plan.planUnwantedUnloads();
@@ -98,12 +98,12 @@
   private readonly decided = new Map<string, number>();
   private readonly blocked = new Map<string, BlockedReason>();
   private readonly wanted: WantedLoad[] = [];
-  /** Memory that this plan commits or frees, by worker, in GiB. */
+  /** Memory that this plan commits, by worker, in GiB. */
   private readonly plannedGib = new Map<string, number>();
 
-  /** Workers by model that they hold or may hold by order. */
+  /** Workers that hold or may hold a model, by model; excludes workers with unknown holdings. */
   private readonly holders = new Map<string, WorkerView[]>();
-  /** Workers of which nothing is known: they may hold any model. */
+  /** Workers with unknown holdings, which may hold any model. */
   private readonly unobservedWorkers: readonly WorkerView[];
   private cachedCopies: CheckpointCopies | undefined;
 
@@ -124,7 +124,7 @@
     return { loads, unloads, adapters, warming, decided, blocked };
   }
 
-  /** Replicas on leaving workers, and of models that no template has. */
+  /** Plans the unload of replicas on leaving workers and of models without a template. */
   planUnwantedUnloads(): void {
     for (const worker of this.state.workers) {
       for (const entry of worker.inventory?.models ?? []) {
@@ -151,7 +151,7 @@
     }
   }
 
-  /** Most urgent first: by class, then by deadline. */
+  /** Plans the needed loads, ordered by priority, then by deadline. */
   planLoads(): void {
     const ordered = this.wanted.sort(
       (left, right) =>
@@ -163,9 +163,9 @@
   }
 
   /**
-   * While nothing is wanted and much memory is free, loads one model that no worker of the zone has a copy of, so that
-   * its next cold start comes from a disk rather than from the weight store. Only in the model's first zone, and only
-   * where cold starts weigh at least as much as idle hours.
+   * While no load is needed and enough memory is free, loads one model that no worker of the zone has a copy of, so
+   * that its next cold start loads from a disk rather than from the weight store. This applies only in the model's
+   * first zone, and only if its cold starts weigh at least as much as idle time.
    */
   planCheckpointWarming(): void {
     const { state } = this;
@@ -192,7 +192,7 @@
     }
   }
 
-  /** Copies in the zone; found when the first estimate needs them. */
+  /** Index of the checkpoint copies in the zone, created on first use. */
   private copies(): CheckpointCopies {
     this.cachedCopies ??= findCopies(this.state.workers);
     return this.cachedCopies;
@@ -242,7 +242,7 @@
     return demand.firstDeadlineMs < model.parameters.loadSeconds.remote * 1000 * DEFERRABLE_LOAD_MARGIN;
   }
 
-  /** Replicas that this zone keeps whatever the traffic. */
+  /** Number of replicas that this zone keeps loaded without demand. */
   private minimumReplicas(model: CatalogModel): number {
     const warmReplicas = isWarmTime(model.parameters.keepWarm, this.state.wallMs) ? 1 : 0;
     let remainingMinimum = Math.max(model.parameters.replicas.minimum, warmReplicas);
@@ -315,7 +315,7 @@
     return actions[0];
   }
 
-  /** Makes room where the idle replicas that are cheapest to do without suffice, unless room is being made already. */
+  /** Plans the cheapest eviction that frees enough memory, unless unloads in progress already do. */
   private planEviction(model: CatalogModel, candidates: readonly WorkerView[]): void {
     const neededGib = model.parameters.memoryGib;
     if (candidates.some((worker) => this.freeGibAfterUnloads(worker) >= neededGib)) return;
@@ -337,7 +337,7 @@
     return demand.waiting === 0 && demand.running === 0;
   }
 
-  /** Expected load time lost by evicting: the load time times the chance of an arrival soon. */
+  /** Expected cost of an eviction in seconds: the load time, weighted down by the idle time. */
   private evictionCost(modelId: string): number {
     const model = this.state.models.get(modelId);
     const activity = this.state.activityOf(modelId);
@@ -371,7 +371,7 @@
     return worker.freeGib - (this.plannedGib.get(worker.id) ?? 0);
   }
 
-  /** Free memory once the unloads under way are done. */
+  /** Memory of a worker that is free or will be after the planned and pending unloads, in GiB. */
   private freeGibAfterUnloads(worker: WorkerView): number {
     const unloadingModels = (worker.inventory?.models ?? []).filter(
       (entry) =>
@@ -383,7 +383,7 @@
   }
 }
 
-/** Replicas of a model that a zone may hold. */
+/** Returns the maximum number of replicas of a model in a zone. */
 export function allotmentOf(model: CatalogModel, zone: string): number {
   return model.allotments.find((allotment) => allotment.zone === zone)?.replicas ?? 0;
 }
--- a/packages/placement/src/replica-publisher.ts
+++ b/packages/placement/src/replica-publisher.ts
@@ -1,33 +1,33 @@
-/** Tells queue owners which replicas their models have, whenever that changes. */
+/** Publishes changes in the replicas of a zone to the queue owners of the models. */
 import { ownerByRendezvous } from '@woodbarrow/coordination';
 import type { Membership } from '@woodbarrow/membership';
 import type { PeerNetwork } from '@woodbarrow/peering';
 import { replicasChangedMethod, type ModelReplicas, type ReplicaInfo } from '@woodbarrow/protocol';
 import type { WorkerView } from './worker-view.js';
 
-/** Why a wanted load is not possible now. */
+/** Why a needed load is currently not possible. */
 export type BlockedReason = NonNullable<ModelReplicas['blockedBy']>;
 
 /** Options of {@link ReplicaPublisher}. */
 export interface ReplicaPublisherOptions {
   readonly zone: string;
-  /** Fence of the coordinator's lease; owners drop the word of earlier ones. */
+  /** Fencing token of the coordinator's lease; queue owners ignore updates with a lower one. */
   readonly fence: number;
   readonly membership: Membership;
   readonly peers: PeerNetwork;
   readonly workers: ReadonlyMap<string, WorkerView>;
-  /** Why the last plan could not load a model. */
+  /** Returns why the last plan could not load a model; undefined if it could. */
   readonly blockedBy: (model: string) => BlockedReason | undefined;
 }
 
-/** Publishes the replicas of one zone for as long as one lease lasts. */
+/** Publishes the replicas of one zone during one lease. */
 export class ReplicaPublisher {
-  /** Digest of what was last published of each model. */
+  /** Digest of the last published state of each model. */
   private readonly publishedDigests = new Map<string, string>();
 
   constructor(private readonly options: ReplicaPublisherOptions) {}
 
-  /** The replicas of a model as they are now. */
+  /** Returns the current replicas of a model. */
   replicasOf(model: string): ModelReplicas {
     const replicas: ReplicaInfo[] = [];
     let loading = false;
@@ -50,7 +50,7 @@
     return { model, replicas, loading, ...(blockedBy === undefined || loading ? {} : { blockedBy }) };
   }
 
-  /** Sends what has changed since the last time. A lost message is made good by the owner's next report. */
+  /** Sends the changes since the last call. A lost message is compensated by the response to the owner's next report. */
   publishChanges(): void {
     const { peers, zone, fence } = this.options;
     const changed = new Map<string, ModelReplicas[]>();
@@ -82,7 +82,7 @@
   }
 }
 
-/** What an owner acts on; loads that come and go in `running` are not worth a message. */
+/** Digest of the fields that queue owners act on; changes of `running` alone are not published. */
 function digestOf({ loading, replicas }: ModelReplicas): string {
   const parts = replicas.map(({ workerId, adapters, accepting }) => [workerId, adapters, accepting]);
   return JSON.stringify([loading, parts]);
--- a/packages/placement/src/warm-hours.ts
+++ b/packages/placement/src/warm-hours.ts
@@ -1,6 +1,6 @@
 /** Hours of the day in which a model stays loaded. */
 
-/** A span of the day in UTC, `HH:MM`; one whose end is before its start goes over midnight. */
+/** A time span of each day in UTC, as `HH:MM`; a span whose end is before its start crosses midnight. */
 export interface WarmHours {
   readonly from: string;
   readonly to: string;
@@ -9,7 +9,7 @@
 const MINUTES_PER_DAY = 24 * 60;
 const MS_PER_MINUTE = 60_000;
 
-/** Whether wall time `wallMs` lies in one of the spans. */
+/** Whether a wall clock time, in milliseconds since the epoch, lies in one of the spans. */
 export function isWarmTime(spans: readonly WarmHours[], wallMs: number): boolean {
   const minute = Math.floor(wallMs / MS_PER_MINUTE) % MINUTES_PER_DAY;
   return spans.some((span) => {
--- a/packages/placement/src/worker-agent.ts
+++ b/packages/placement/src/worker-agent.ts
@@ -1,4 +1,4 @@
-/** The task of one worker under one lease: one order at a time, each outcome established before the next. */
+/** Sends orders to one worker during one lease, one at a time, each only after the outcome of the previous one. */
 import type { Lease } from '@woodbarrow/coordination';
 import type { CatalogModel } from '@woodbarrow/configuration';
 import type { EngineClient, EngineOrder, Inventory } from '@woodbarrow/engine';
@@ -19,22 +19,22 @@
     ordersRefused: number;
     ordersUnanswered: number;
   };
-  /** Pause between two inventories while nothing is under way. */
+  /** Milliseconds between two inventory polls while no load or unload is in progress. */
   readonly idlePollMs: () => number;
   readonly busyPollMs: number;
-  /** Called when the worker's inventory has changed. */
+  /** Called when the worker's inventory or its availability has changed. */
   readonly onChange: () => void;
 }
 
 interface QueuedOrder {
   readonly order: EngineOrder;
-  /** Memory that the order commits, recorded before it is sent. */
+  /** Memory that the order commits; replicated before the order is sent. */
   readonly holding?: Holding;
 }
 
 const UNREACHABLE_RETRY_MS = 500;
 
-/** Sends orders to one worker and follows its inventory. */
+/** Executes the queued orders of one worker and polls its inventory. */
 export class WorkerAgent {
   private readonly queue: QueuedOrder[] = [];
   private readonly wakeup = new Wakeup();
@@ -42,7 +42,7 @@
 
   constructor(private readonly options: WorkerAgentOptions) {}
 
-  /** Queues a load. Its memory counts as committed from now on. */
+  /** Queues a load. Its memory counts as committed immediately. */
   load(model: CatalogModel, estimate: LoadEstimate): void {
     const { worker } = this.options;
     const holding: Holding = { model: model.id, memoryGib: model.parameters.memoryGib };
@@ -61,12 +61,12 @@
     });
   }
 
-  /** Queues an unload; the engine finishes what runs first. */
+  /** Queues an unload; the engine completes running requests first. */
   unload(model: string): void {
     this.enqueue({ order: { type: 'unload', model } });
   }
 
-  /** Queues the load of an adapter. */
+  /** Queues the load of an adapter, unless it is already queued. */
   loadAdapter(model: string, adapter: string, memoryGib: number): void {
     const isQueued = this.queue.some(
       ({ order }) => order.type === 'load_adapter' && order.adapter === adapter,
@@ -79,18 +79,18 @@
     });
   }
 
-  /** Asks for the inventory now: a request was refused or failed there. */
+  /** Polls the inventory without delay, after a request was refused or failed on the worker. */
   pollSoon(): void {
     if (this.options.worker.unansweredCalls === 0) this.wakeup.wake();
   }
 
-  /** Ends the task. */
+  /** Stops the task after the current step. */
   stop(): void {
     this.stopped = true;
     this.wakeup.wake();
   }
 
-  /** The task itself. */
+  /** Runs the task until it is stopped or aborted, or the lease ends. */
   async run(signal: AbortSignal): Promise<void> {
     const { lease } = this.options;
     while (!signal.aborted && !this.stopped && lease.isValid) {
@@ -104,7 +104,7 @@
 
   private enqueue(order: QueuedOrder): void {
     this.queue.push(order);
-    // A worker that does not answer is asked again in its own time.
+    // An unresponsive worker is retried at its own interval.
     if (this.options.worker.unansweredCalls === 0) this.wakeup.wake();
   }
 
@@ -121,7 +121,7 @@
     return busy || worker.retiring.size > 0 ? busyPollMs : idlePollMs();
   }
 
-  /** Makes every earlier order ineffective, and learns what the worker really holds. */
+  /** Raises the worker's fence, which voids all earlier orders, and applies the returned inventory. */
   private async raiseFence(): Promise<void> {
     const { worker, lease, engines } = this.options;
     if (!lease.isValid) return;
@@ -142,7 +142,7 @@
       worker.intents.set(next.holding.model, next.holding);
       if (!(await this.recordHoldings())) return;
     }
-    // Nothing may stand between this check and the sending.
+    // No await may come between this check and sending the order.
     if (!lease.isValid) return;
     if (next.order.type === 'load') counters.loadsOrdered += 1;
     if (next.order.type === 'unload') counters.unloadsOrdered += 1;
@@ -157,7 +157,7 @@
     }
   }
 
-  /** Replicates what the worker may hold. When that fails the order is not sent: the plan asks again. */
+  /** Replicates the worker's holdings; returns false on failure. The order is then not sent but planned again. */
   private async recordHoldings(): Promise<boolean> {
     const { worker, lease } = this.options;
     try {
@@ -191,7 +191,7 @@
   private handleFailure(error: unknown): void {
     const { worker, counters, lease, onChange } = this.options;
     if (isKind(error, 'fence_too_low')) {
-      // Another coordinator has been at this worker: this lease is over, whatever the clock says.
+      // Another coordinator has raised the fence: this lease has ended, even if its time has not expired.
       counters.ordersRefused += 1;
       lease.end();
       return;
--- a/packages/placement/src/worker-view.ts
+++ b/packages/placement/src/worker-view.ts
@@ -1,46 +1,46 @@
-/** What the coordinator knows of one worker: what it holds, and what it may hold. */
+/** The coordinator's view of one worker: the models that it holds or may hold. */
 import type { Inventory, LoadedModel } from '@woodbarrow/engine';
 
-/** A model that a worker holds or may hold. */
+/** A model that a worker holds or may hold, with the accelerator memory reserved for it. */
 export interface Holding {
   readonly model: string;
   readonly memoryGib: number;
 }
 
-/** The replicated record of one worker: everything it may hold by order of this zone's coordinators. */
+/** The replicated record of one worker: all models that the zone's coordinators may have loaded on it. */
 export interface WorkerRecord {
   readonly origin: string;
   readonly memoryGib: number;
   readonly holdings: readonly Holding[];
 }
 
-/** Key of a worker's record among the lease's records. */
+/** Returns the key of a worker's record among the lease's records. */
 export function workerRecordKey(workerId: string): string {
   return `worker/${workerId}`;
 }
 
-/** After this many calls without an answer a worker takes no new work until it answers. */
+/** Number of consecutive calls without response after which a worker receives no new work until it responds. */
 export const MAX_UNANSWERED_CALLS = 2;
 
 const MIB_PER_GIB = 1024;
 
-/** State of a machine by the platform's list; `absent` once the list no longer has it. */
+/** State of a machine in the platform's list; `absent` when it is not listed. */
 export type MachineState = 'live' | 'leaving' | 'absent';
 
-/** One worker. */
+/** Tracks the inventory and the pending orders of one worker. */
 export class WorkerView {
   machineState: MachineState = 'live';
-  /** Last inventory obtained under the present lease; undefined while the worker has not been reached. */
+  /** Last inventory received under the current lease; undefined until the worker has responded. */
   inventory: Inventory | undefined;
-  /** Monotonic time of that inventory. */
+  /** Monotonic time at which the inventory was received. */
   inventoryAt = 0;
-  /** Models that may appear on the worker besides its inventory: orders without a known outcome. */
+  /** Models that the worker may hold besides its inventory, since orders are pending or had an unknown outcome. */
   readonly intents = new Map<string, Holding>();
-  /** True when an order's outcome is not known: nothing counts as absent until the fence was raised again. */
+  /** Whether an order had an unknown outcome. Until the fence is raised again, no model counts as absent. */
   hasUnknownOutcome = false;
-  /** Models that are to be unloaded as soon as possible; they take no new work. */
+  /** Models with a pending unload; they receive no new work. */
   readonly retiring = new Set<string>();
-  /** Calls in a row that the worker did not answer. */
+  /** Number of consecutive calls without response. */
   unansweredCalls = 0;
 
   /** @param origin Origin of the engine. @param hasUnknownHoldings True while nothing is known of the worker. */
@@ -50,22 +50,22 @@
     public hasUnknownHoldings: boolean,
   ) {}
 
-  /** Whether the worker was reached under the present lease. */
+  /** Whether the worker has responded under the current lease. */
   get isReached(): boolean {
     return this.inventory !== undefined;
   }
 
-  /** Whether the worker is about to go, by the machine list or by its own word. */
+  /** Whether the worker is leaving or gone, by the machine list or by its own inventory. */
   get isLeaving(): boolean {
     return this.machineState !== 'live' || this.inventory?.draining === true;
   }
 
-  /** Whether new work may go to the worker. */
+  /** Whether the worker may receive new work. */
   get isAccepting(): boolean {
     return this.isReached && !this.isLeaving && this.unansweredCalls < MAX_UNANSWERED_CALLS;
   }
 
-  /** The model's entry in the inventory. */
+  /** Returns the model's entry in the inventory; undefined when it has none. */
   loaded(model: string): LoadedModel | undefined {
     return this.inventory?.models.find((entry) => entry.model === model);
   }
@@ -75,7 +75,7 @@
     return this.hasUnknownHoldings || this.intents.has(model) || this.loaded(model) !== undefined;
   }
 
-  /** Everything the worker holds or may hold. */
+  /** Returns all models that the worker holds or may hold. */
   holdings(): Holding[] {
     const holdings = new Map<string, Holding>(this.intents);
     for (const entry of this.inventory?.models ?? []) {
@@ -85,20 +85,23 @@
     return [...holdings.values()];
   }
 
-  /** Accelerator memory committed, in GiB. */
+  /** Accelerator memory of all holdings, in GiB. */
   get committedGib(): number {
     const total = this.holdings().reduce((sum, holding) => sum + holding.memoryGib, 0);
-    // In whole MiB, so that sums of fractions stay exact.
+    // Rounded to whole MiB, since sums of fractions of GiB are inexact.
     return Math.round(total * MIB_PER_GIB) / MIB_PER_GIB;
   }
 
-  /** Accelerator memory not committed, in GiB; none while the worker is unknown. */
+  /** Accelerator memory not committed, in GiB; 0 while the worker's holdings are unknown. */
   get freeGib(): number {
     if (this.inventory === undefined || this.hasUnknownHoldings) return 0;
     return this.inventory.memoryGib - this.committedGib;
   }
 
-  /** Takes in an inventory that was obtained after every order had been answered. */
+  /**
+   * Applies an inventory received after the response to the last order. Unless an order's outcome is unknown, models
+   * that it does not list count as absent.
+   */
   applyInventory(inventory: Inventory, now: number): void {
     this.inventory = inventory;
     this.inventoryAt = now;
@@ -111,7 +114,7 @@
     }
   }
 
-  /** The record to replicate. */
+  /** Returns the record to replicate. */
   toRecord(): WorkerRecord {
     return { origin: this.origin, memoryGib: this.inventory?.memoryGib ?? 0, holdings: this.holdings() };
   }
--- a/packages/placement/src/zone-coordinator.ts
+++ b/packages/placement/src/zone-coordinator.ts
@@ -1,7 +1,7 @@
 /**
- * The zone coordinator: the one daemon of a zone that orders loads and unloads, for as long as it holds the
- * zone's lease. Every load is recorded at a majority of voters before it is ordered, and memory counts as taken
- * from the record on until the worker itself says otherwise.
+ * The zone coordinator: the daemon that holds the zone's lease and orders loads and unloads. Every load is recorded
+ * at a majority of voters before it is ordered, and its memory counts as committed from then on until the worker's
+ * inventory shows otherwise.
  */
 import type { LogEventName } from '@woodbarrow/observability';
 import type { Lease, LeaseCandidate } from '@woodbarrow/coordination';
@@ -32,17 +32,17 @@
 import { WorkerAgent } from './worker-agent.js';
 import { WorkerView, workerRecordKey, type WorkerRecord } from './worker-view.js';
 
-/** Timing of the coordinator. All in milliseconds. */
+/** Timing of the coordinator, in milliseconds. */
 export interface CoordinatorTimings {
-  /** Longest pause between two plans. @default 1000 */
+  /** Maximum pause between two plans. @default 1000 */
   readonly planIntervalMs: number;
   /** Pause between two reads of the machine list. @default 2000 */
   readonly machineListIntervalMs: number;
-  /** Pause between two inventories of a worker with nothing under way. @default 5000 */
+  /** Pause between two inventory polls of an idle worker. @default 5000 */
   readonly idlePollMs: number;
-  /** Pause between two inventories of a worker with a load or unload under way. @default 200 */
+  /** Pause between two inventory polls of a worker with a load or unload in progress. @default 200 */
   readonly busyPollMs: number;
-  /** Time after which a machine missing from the list counts as gone. @default 15000 */
+  /** Time after which a machine missing from the list is removed. @default 15000 */
   readonly absentAfterMs: number;
 }
 
@@ -66,7 +66,7 @@
   readonly peers: PeerNetwork;
   readonly clock: Clock;
   readonly timings?: Partial<CoordinatorTimings>;
-  /** Called for each change of state worth a log line. */
+  /** Called for each state change that should be logged. */
   readonly onEvent?: (event: LogEventName, details: Readonly<Record<string, unknown>>) => void;
   readonly onTaskFailure?: (name: string, error: unknown) => void;
 }
@@ -81,11 +81,11 @@
 }
 
 const PERMIT_SEPARATOR = '\u0000';
-/** Idle workers are asked in turn, at most one in this many milliseconds. */
+/** Minimum average spacing between the inventory polls of different idle workers, in milliseconds. */
 const IDLE_POLL_SPACING_MS = 125;
 const MIN_PLAN_PAUSE_MS = 20;
 
-/** Everything that lasts as long as one lease. */
+/** State of the coordinator during one lease. */
 interface Tenure {
   readonly lease: Lease;
   readonly tasks: TaskGroup;
@@ -99,7 +99,7 @@
   readonly publisher: ReplicaPublisher;
 }
 
-/** Holds the placement authority of one zone while its lease lasts. */
+/** Decides the placement of one zone while this daemon holds the zone's lease. */
 export class ZoneCoordinator {
   readonly counters: CoordinatorCounters = {
     loadsOrdered: 0,
@@ -117,12 +117,12 @@
     this.timings = { ...DEFAULT_COORDINATOR_TIMINGS, ...options.timings };
   }
 
-  /** Whether this daemon coordinates the zone now. */
+  /** Whether this daemon currently coordinates the zone. */
   get isActive(): boolean {
     return this.tenure?.lease.isValid === true;
   }
 
-  /** Starts answering, and coordinating whenever the lease is held. */
+  /** Registers the peer handlers, and coordinates whenever the lease is held. */
   start(): void {
     const { lease, peers } = this.options;
     lease.events.on('acquired', (held) => {
@@ -135,7 +135,7 @@
     peers.handle(describePlacementMethod, () => this.describe());
   }
 
-  /** Stops without a word, as a crash would. */
+  /** Stops at once without releasing the lease, as after a crash. */
   abort(): void {
     this.endTenure();
   }
@@ -183,7 +183,7 @@
     this.emitEvent('coordinator_stopped', { fence: tenure.lease.fence });
   }
 
-  /** Workers that the former coordinator's records name may hold what is recorded. */
+  /** Adds the workers in the replicated records; each may hold the models in its record until it is reached. */
   private restoreRecords(tenure: Tenure): void {
     for (const [key, value] of tenure.lease.values()) {
       if (!key.startsWith('worker/')) continue;
@@ -233,7 +233,7 @@
     }
   }
 
-  /** A machine that the list no longer has is gone, and with it what it held. */
+  /** Marks unlisted workers as absent, and removes them with their records after `absentAfterMs`. */
   private removeAbsentWorkers(tenure: Tenure, listed: ReadonlySet<string>): void {
     const now = this.options.clock.monotonic();
     for (const worker of [...tenure.workers.values()]) {
@@ -286,7 +286,7 @@
     tenure.publisher.publishChanges();
   }
 
-  /** Once every worker has been reached under this lease, nothing is unknown any more. */
+  /** Completes the recovery after a takeover once the holdings of every worker are known. */
   private async completeRecovery(tenure: Tenure): Promise<void> {
     if (tenure.lease.isComplete) return;
     for (const worker of tenure.workers.values()) {
@@ -310,7 +310,7 @@
     }
   }
 
-  /** Permits of loads that have ended, one way or the other. */
+  /** Releases the permits of loads that have completed or failed. */
   private releasePermits(tenure: Tenure): void {
     tenure.permits.retainOnly((key) => {
       const [workerId = '', model = ''] = key.split(PERMIT_SEPARATOR);
@@ -339,7 +339,7 @@
     tenure.agents.get(worker.id)?.load(model, estimate);
   }
 
-  /** Models that are loaded only for their checkpoint; one that is asked for meanwhile becomes an ordinary replica. */
+  /** Returns the models loaded only to cache their checkpoint; one with demand becomes an ordinary replica. */
   private updateWarmingModels(tenure: Tenure): ReadonlySet<string> {
     const now = this.options.clock.monotonic();
     for (const model of tenure.warming) {
@@ -384,7 +384,7 @@
   private currentTenure(): Tenure {
     const tenure = this.tenure;
     if (tenure === undefined || !tenure.lease.isValid) {
-      throw new WoodbarrowError('not_leader', 'not the coordinator of this zone now');
+      throw new WoodbarrowError('not_leader', 'this daemon does not hold the coordinator lease of this zone');
     }
     return tenure;
   }
--- a/packages/placement/test/placement.test.ts
+++ b/packages/placement/test/placement.test.ts
@@ -116,7 +116,7 @@
 describe('placement planner', () => {
   const model = modelNamed('one');
 
-  it('loads what is waited for on the worker with the nearest copy', () => {
+  it('loads a model with waiting requests on the worker with the nearest checkpoint copy', () => {
     const workers = [
       worker('w1'),
       worker('w2', [], { diskCache: ['one@1'] }),
@@ -127,7 +127,7 @@
     expect(result.loads[0]?.estimate.source).to.equal('host');
   });
 
-  it('copies from a peer rather than from the weight store', () => {
+  it('copies a checkpoint from a peer rather than from the weight store', () => {
     const workers = [
       worker('w1'),
       worker('w2', [loaded('t/big', { memoryGib: 79 })], { diskCache: ['one@1'] }),
@@ -141,7 +141,7 @@
     expect(result.loads[0]?.estimate).to.include({ source: 'peer', copyFrom: 'w2' });
   });
 
-  it('counts a worker that may hold a replica against the limit', () => {
+  it('counts workers that may hold a replica towards the replica limit', () => {
     const unsure = worker('w1');
     unsure.intents.set('t/one', { model: 't/one', memoryGib: 30 });
     const unknown = new WorkerView('w2', 'http://w2', true);
@@ -152,7 +152,7 @@
     expect(result.blocked.get('t/one')).to.equal('recovering');
   });
 
-  it('never plans beyond the memory that is certainly free', () => {
+  it('plans loads only within memory that is neither committed nor reserved by pending orders', () => {
     const models = ['one', 'two', 'three'].map((name) => modelNamed(name));
     const demands = models.map(({ id }) => demandFor(id, 1));
     const result = plan({ workers: [worker('w1')], models, demands });
@@ -162,7 +162,7 @@
     expect(plan({ workers: [promised], models, demands }).loads).to.have.length(0);
   });
 
-  it('evicts idle replicas for what is waited for, and never busy ones', () => {
+  it('evicts idle replicas for a model with waiting requests, and never busy ones', () => {
     const models = ['one', 'two', 'three'].map((name) => modelNamed(name));
     const busy = loaded('t/two', { running: 1 });
     const result = plan({
@@ -175,7 +175,7 @@
     expect(plan({ workers: [allBusy], models, demands: [demandFor('t/one', 1)] }).unloads).to.deep.equal([]);
   });
 
-  it('unloads what is idle for longer than its keep-alive, unless it is to stay warm', () => {
+  it('unloads a replica idle for longer than its keep-alive time, unless a warm time or a minimum applies', () => {
     const workers = [worker('w1', [loaded('t/one')])];
     expect(plan({ workers, models: [model], idleSeconds: 5 }).unloads).to.deep.equal([]);
     expect(plan({ workers, models: [model], idleSeconds: 3600 }).unloads[0]?.reason).to.equal('idle');
@@ -185,7 +185,7 @@
     expect(loadsOf(plan({ workers: [worker('w1')], models: [minimum] }))).to.deep.equal(['t/one on w1']);
   });
 
-  it('shrinks to a lowered limit and empties leaving workers', () => {
+  it('unloads replicas above a lowered limit and on leaving workers', () => {
     const workers = [worker('w1', [loaded('t/one')]), worker('w2', [loaded('t/one', { running: 3 })])];
     const demands = [demandFor('t/one', 9)];
     const shrunk = plan({ workers, models: [model], demands });
@@ -197,7 +197,7 @@
     expect(plan({ workers: [leaving], models: [model] }).unloads[0]?.reason).to.equal('leaving');
   });
 
-  it('keeps deferrable requests waiting until their deadline is near', () => {
+  it('starts no load for deferrable requests until their deadline is near', () => {
     const demand = { deferrable: true, firstDeadlineMs: 500_000 };
     const situation = { workers: [worker('w1')], models: [model] };
     expect(loadsOf(plan({ ...situation, demands: [demandFor('t/one', 4, demand)] }))).to.deep.equal([]);
@@ -205,7 +205,7 @@
     expect(loadsOf(plan({ ...situation, demands: [near] }))).to.have.length(1);
   });
 
-  it('brings a checkpoint near while nothing is wanted, and unloads it as soon as it is ready', () => {
+  it('caches a checkpoint in advance only while no load is needed, and unloads the replica once ready', () => {
     const situation = { workers: [worker('w1'), worker('w2')], models: [model] };
     expect(plan(situation).warming.map((action) => action.model.id)).to.deep.equal(['t/one']);
     const near = [worker('w1', [], { diskCache: ['one@1'] }), worker('w2')];
@@ -217,7 +217,7 @@
     expect(plan({ ...situation, models: [thrifty] }).warming).to.deep.equal([]);
   });
 
-  it('loads an adapter that is waited for onto a ready base', () => {
+  it('loads an adapter with waiting requests onto a ready base model', () => {
     const base = modelNamed('one', { adapters: [{ name: 'tuned' }] });
     const demands = [demandFor('t/one', 0, { waiting: [{ adapter: 'tuned', count: 2 }] })];
     const result = plan({ workers: [worker('w1', [loaded('t/one')])], models: [base], demands });
@@ -234,20 +234,20 @@
     return histogram;
   }
 
-  it('covers regular gaps when cold starts matter, and does not wait for gaps that are too long', () => {
+  it('covers regular gaps when cold starts weigh most, and is minimal when gaps exceed its maximum', () => {
     const regular = histogramOf(80).optimalKeepAliveSeconds(30, 0.9, bounds);
-    // Longer than the gap costs nothing as long as arrivals stay regular; shorter would miss every one.
+    // With regular arrivals, any time above the gap costs the same; a shorter one misses every arrival.
     expect(regular).to.be.at.least(80);
     expect(histogramOf(5000).optimalKeepAliveSeconds(30, 0.9, bounds)).to.equal(10);
   });
 
-  it('is shorter the more idle hours weigh', () => {
+  it('is shorter when idle time weighs more', () => {
     const careful = histogramOf(80).optimalKeepAliveSeconds(10, 0.95, bounds);
     const thrifty = histogramOf(80).optimalKeepAliveSeconds(10, 0.1, bounds);
     expect(thrifty).to.be.lessThan(careful);
   });
 
-  it('knows hours of the day, over midnight too', () => {
+  it('recognizes warm hours, also across midnight', () => {
     const hour = 3_600_000;
     expect(isWarmTime([{ from: '08:00', to: '18:00' }], 9 * hour)).to.equal(true);
     expect(isWarmTime([{ from: '08:00', to: '18:00' }], 19 * hour)).to.equal(false);
@@ -256,7 +256,7 @@
 });
 
 describe('load permits', () => {
-  it('bound loads at once and by time, and come back when a load ends', async () => {
+  it('limit loads by concurrency and rate, and are released when a load ends', async () => {
     const world = new SimulatedWorld();
     const permits = new LoadPermits(new SimulatedProcess(world, { name: 'p', zone: 'z', region: 'r' }));
     const limits = permitLimitsOfZone({ concurrentLoads: 8, loadsPerSecond: 4 }, 4);
@@ -273,7 +273,7 @@
 });
 
 describe('worker view', () => {
-  it('frees memory only on a confirmed inventory, never while an order is open', () => {
+  it('frees memory on an inventory, except while the outcome of an order is unknown', () => {
     const view = worker('w1', [loaded('t/one')]);
     view.intents.set('t/two', { model: 't/two', memoryGib: 30 });
     view.hasUnknownOutcome = true;
