--- a/packages/backends/src/back-end.ts
+++ b/packages/backends/src/back-end.ts
@@ -1,37 +1,37 @@
-/** One run of a worker, as its record in the object store describes it. */
+/** A worker process that serves requests, as described by its record in the object store. */
 import type { AdapterCopy } from './model-name.js';
 
-/** A model resident on a worker, with its adapters. */
+/** A model loaded on a worker, with its loaded adapters. */
 export interface HeldModel {
   readonly name: string;
   readonly adapters: readonly AdapterCopy[];
 }
 
-/** Copies of weights that a worker can load without the weight store. */
+/** Names of the models whose weights a worker can load from its own memory or disk, without the weight store. */
 export interface NearbyCopies {
   readonly inMemory: readonly string[];
   readonly onDisk: readonly string[];
 }
 
-/** One incarnation of a worker; a restarted worker is another one. */
+/** One incarnation of a worker; a restart creates a new one. */
 export interface BackEnd {
   /** Unique for each incarnation. */
   readonly id: string;
-  /** Name under which it answers; a worker that starts again may keep it. */
+  /** Name of the worker; a restarted worker may keep it. */
   readonly name: string;
-  /** Time of day at which this incarnation started, in milliseconds; absent where it does not tell. */
+  /** Wall clock time at which this incarnation started, in milliseconds; absent if the worker does not report it. */
   readonly startedAt?: number;
   readonly service: string;
-  /** `ip:port`; given to other workers once this one is gone. */
+  /** Address as `ip:port`; may be reused by another worker after this incarnation has ended. */
   readonly address: string;
   readonly zone: string;
-  /** Requests that it runs at once. */
+  /** Maximum number of concurrent requests. */
   readonly slots: number;
-  /** Takes no new requests. */
+  /** Whether the worker is leaving and accepts no new requests. */
   readonly draining: boolean;
   readonly models: readonly HeldModel[];
   readonly nearby: NearbyCopies;
 }
 
-/** No copies at hand. */
+/** An empty {@link NearbyCopies}. */
 export const NO_NEARBY_COPIES: NearbyCopies = { inMemory: [], onDisk: [] };
--- a/packages/backends/src/backend-directory.ts
+++ b/packages/backends/src/backend-directory.ts
@@ -1,6 +1,6 @@
 /**
- * The back ends that a daemon knows. Records of the object store lag behind; what the zones' coordinators
- * announce of loads and unloads goes before a record for a while.
+ * Directory of the back ends that a daemon has observed. Since records of the object store are stale for a while,
+ * loads and unloads announced by the zones' coordinators take precedence over them for a limited time.
  */
 import Emittery from 'emittery';
 import type { CancelTimer, Clock } from '@woodbarrow/runtime';
@@ -10,40 +10,41 @@
 
 /** Events of {@link BackendDirectory}. */
 export interface BackendDirectoryEvents {
-  /** A back end appeared or its record changed. */
+  /** A back end was added, or its record or draining state changed. */
   changed: BackEnd;
-  /** A back end is gone. */
+  /** A back end was removed. */
   removed: BackEnd;
-  /** Word came that a target is, or is no longer, resident somewhere. */
+  /** A target was announced to be, or no longer to be, resident on a back end. */
   residency: { readonly backEndId: string; readonly target: ModelTarget; readonly resident: boolean };
 }
 
-/** Milliseconds during which an announcement goes before the worker's own record, which arrives late. */
+/** Milliseconds for which an announcement takes precedence over the worker's own, delayed record. */
 export const ANNOUNCEMENT_PRECEDENCE_MS = 4000;
 /**
- * Milliseconds for which a back end whose record has vanished is still used: records also vanish while the store
- * is in trouble, and come back with the next heartbeat. Well below the time a leaving back end goes on to serve.
+ * Milliseconds for which a back end is still used after its record has vanished. Records also vanish during faults of
+ * the store and return with the next heartbeat. Well below the time for which a leaving back end continues to serve.
  */
 export const ABSENCE_GRACE_MS = 700;
 /**
- * The same for a back end that a copy lacks from which the store was restored: whoever lives records itself again within this time.
+ * Milliseconds for which a back end is still used after a restored copy of the store lacked its record. A running
+ * back end writes its record again within this time.
  */
 export const RESTORED_ABSENCE_GRACE_MS = 2000;
 /**
- * Milliseconds after a restoration within which a back end whose record had vanished before counts as leaving when it is shown again: longer than
- * the store keeps a record that nobody writes.
+ * Milliseconds after a restoration of the store for which a back end whose record had vanished before, and is listed
+ * again, counts as draining. Longer than the store keeps a record that is no longer written.
  */
 export const RESTORED_LEAVING_MS = 6000;
-/** Milliseconds for which it is remembered that a record has vanished: copies are some seconds old. */
+/** Milliseconds for which a vanished record is remembered; exceeds the age of the copies the store is restored from. */
 const VANISHED_RETENTION_MS = 60_000;
 /**
- * Milliseconds for which another daemon's word that a back end leaves goes before its record: it ends within seconds, or this daemon
- * hears it itself. What it told this daemon holds for as long as it lives.
+ * Milliseconds for which another daemon's report that a back end leaves takes precedence over its record. By then the
+ * back end has ended or has notified this daemon itself; its own notice does not expire this early.
  */
 export const PEER_LEAVING_TTL_MS = 20_000;
-/** Milliseconds for which it is remembered that a back end leaves whose record has vanished: it may come back. */
+/** Milliseconds for which a leaving back end is remembered, since its record may vanish and return. */
 const LEAVING_RETENTION_MS = 600_000;
-/** Milliseconds during which an incarnation that is proven to have ended is not believed to be back. */
+/** Milliseconds for which records of an incarnation that has ended are ignored. */
 const ENDED_RETENTION_MS = 60_000;
 
 interface Announcement {
@@ -52,40 +53,40 @@
 }
 
 interface Entry {
-  /** As its record says, but draining where the back end has said that it leaves. */
+  /** The record, marked as draining if the back end is known to leave. */
   backEnd: BackEnd;
-  /** As its record says. */
+  /** The record as last read. */
   record: BackEnd;
   readonly announcements: Map<string, Announcement>;
-  /** Targets in the record. */
+  /** Keys of the targets in the record. */
   recordedKeys: ReadonlySet<string>;
-  /** When the record last changed, monotonic. */
+  /** Monotonic time of the last change of the record. */
   changedAt: number;
-  /** Set while the record has vanished and the grace runs. */
+  /** Cancels the scheduled removal; set while the record has vanished and the grace period runs. */
   cancelRemoval: CancelTimer | undefined;
 }
 
-/** Back ends by id and by service. */
+/** Tracks back ends, the targets resident on them, and whether they are draining. */
 export class BackendDirectory {
   readonly events = new Emittery<BackendDirectoryEvents>();
   private readonly entries = new Map<string, Entry>();
-  /** Back ends by service, put together when asked for after a change. */
+  /** Cache of the back ends of each service, invalidated by changes. */
   private readonly byService = new Map<string, BackEnd[]>();
-  /** Back ends that are said to hold a target, in their record or by word that may have run out. */
+  /** Back ends that may hold a target by their record or by an announcement, which may have expired. */
   private readonly holderIndex = new TargetIndex();
   private readonly endedAt = new Map<string, number>();
-  /** Back ends that have said that they leave: monotonic time until which that is believed. */
+  /** Monotonic time until which each leaving back end counts as draining. */
   private readonly leavingUntil = new Map<string, number>();
-  /** Back ends removed as their record had vanished, and when, monotonic. */
+  /** Monotonic time of removal of each back end whose record had vanished. */
   private readonly vanishedAt = new Map<string, number>();
-  /** Monotonic time at which the records were last listed from a copy. */
+  /** Monotonic time at which records were last listed after a restoration of the store. */
   private restoredAt = -Infinity;
-  /** Id of the incarnation that is known under each name. */
+  /** Id of the current incarnation of each name. */
   private readonly idByName = new Map<string, string>();
 
   constructor(private readonly clock: Clock) {}
 
-  /** Back ends of a service, those that are draining included. */
+  /** Returns the back ends of a service, including draining ones. */
   ofService(service: string): readonly BackEnd[] {
     let members = this.byService.get(service);
     if (members === undefined) {
@@ -95,12 +96,12 @@
     return members;
   }
 
-  /** All back ends. */
+  /** Returns all back ends. */
   all(): BackEnd[] {
     return [...this.entries.values()].map((entry) => entry.backEnd);
   }
 
-  /** Number of back ends of each service. */
+  /** Returns the number of back ends of each service. */
   countByService(): ReadonlyMap<string, number> {
     const counts = new Map<string, number>();
     for (const { service } of this.all()) counts.set(service, (counts.get(service) ?? 0) + 1);
@@ -111,24 +112,24 @@
     return this.entries.get(id)?.backEnd;
   }
 
-  /** Milliseconds since the record of a back end last changed here. */
+  /** Returns the milliseconds since this daemon last stored the record of a back end; Infinity if it is unknown. */
   recordAgeMs(id: string): number {
     const entry = this.entries.get(id);
     return entry === undefined ? Infinity : this.clock.monotonic() - entry.changedAt;
   }
 
-  /** The incarnation that is known under a name. */
+  /** Returns the current incarnation of a name. */
   named(name: string): BackEnd | undefined {
     const id = this.idByName.get(name);
     return id === undefined ? undefined : this.get(id);
   }
 
-  /** Enters a back end or a newer record of it. Another incarnation under its name has ended. */
+  /** Adds or updates a back end. An earlier incarnation with the same name is removed, since it has ended. */
   put(backEnd: BackEnd): void {
     if (this.endedAt.has(backEnd.id)) return;
     const previous = this.named(backEnd.name);
     if (previous !== undefined && previous.id !== backEnd.id) {
-      // What an incarnation wrote before its end may arrive after the first word of the next.
+      // A record written by an earlier incarnation may arrive after the first record of the next one.
       if ((backEnd.startedAt ?? -Infinity) < (previous.startedAt ?? -Infinity)) return;
       this.remove(previous.id);
     }
@@ -160,9 +161,9 @@
   }
 
   /**
-   * A back end has said that it leaves, whatever its record says. Returns whether that is new here.
+   * Marks a back end as leaving, whatever its record says. Returns whether it was not marked before.
    *
-   * @param source Whether it told this daemon, or another one.
+   * @param source `answer` if the back end notified this daemon itself, `peer` if another daemon reported it.
    */
   noteLeaving(id: string, source: 'answer' | 'peer'): boolean {
     const now = this.clock.monotonic();
@@ -175,7 +176,7 @@
     return !isKnown;
   }
 
-  /** The record of a name has vanished: its back end is removed unless the record comes back within a grace. */
+  /** Removes a back end whose record has vanished, unless the record returns within the grace period. */
   recordVanished(name: string): void {
     this.scheduleRemoval(name, ABSENCE_GRACE_MS, (id) => this.vanishedAt.set(id, this.clock.monotonic()));
   }
@@ -194,7 +195,7 @@
     });
   }
 
-  /** An incarnation is proven to have ended: it is removed at once and for good. */
+  /** Removes an incarnation that is known to have ended, and ignores later records of it. */
   remove(id: string): void {
     const now = this.clock.monotonic();
     this.removeExpiredEnded(now);
@@ -202,13 +203,16 @@
     this.removeEntry(id);
   }
 
-  /** Makes the directory hold just these back ends. */
+  /** Applies a complete list of back ends; those that it lacks count as vanished. */
   replaceAll(backEnds: readonly BackEnd[]): void {
     for (const name of this.namesMissingIn(backEnds)) this.recordVanished(name);
     for (const backEnd of backEnds) this.put(backEnd);
   }
 
-  /** The same as a copy shows them from which the store was restored: newer ones are missing there, and some that had gone are back. */
+  /**
+   * Applies a complete list of back ends after the store was restored from a copy, which lacks newer back ends and may
+   * list some that have ended.
+   */
   restoreAll(backEnds: readonly BackEnd[]): void {
     this.restoredAt = this.clock.monotonic();
     for (const name of this.namesMissingIn(backEnds)) this.scheduleRemoval(name, RESTORED_ABSENCE_GRACE_MS);
@@ -220,7 +224,7 @@
     return [...this.idByName.keys()].filter((name) => !names.has(name));
   }
 
-  /** Notes that a target is, or is no longer, resident on a back end. */
+  /** Records an announcement that a target is, or is no longer, resident on a back end. */
   announce(id: string, target: ModelTarget, isResident: boolean): void {
     const entry = this.entries.get(id);
     if (entry === undefined) return;
@@ -233,7 +237,7 @@
     void this.events.emit('residency', { backEndId: id, target, resident: isResident });
   }
 
-  /** Whether a target is believed to be resident on a back end. */
+  /** Whether a target is resident on a back end, by its announcements and its record. */
   holds(id: string, target: ModelTarget): boolean {
     const entry = this.entries.get(id);
     if (entry === undefined) return false;
@@ -241,7 +245,7 @@
     return this.isResident(entry, targetKey(target));
   }
 
-  /** Back ends of a service that take requests and hold a target. */
+  /** Returns the back ends of a service that accept requests and hold a target. */
   holdersOf(service: string, target: ModelTarget): BackEnd[] {
     const holders: BackEnd[] = [];
     const key = targetKey(target);
@@ -254,7 +258,7 @@
     return holders;
   }
 
-  /** After word of one version: whether a request that takes any is served. */
+  /** Updates the target without a version after an announcement for one version of its adapter. */
   private announceAnyVersion(entry: Entry, { model, adapter }: AdapterTarget, announcedAt: number): void {
     const anyVersion = targetKey({ model, adapter });
     const keys = [...entry.recordedKeys, ...entry.announcements.keys()];
@@ -273,8 +277,8 @@
   }
 
   /**
-   * What an incarnation has said of its leaving, or the store of its end, is never taken back; a copy from which the store was restored shows
-   * what was before.
+   * Records that a back end is leaving if its record says so, or if its record had vanished and was listed again after
+   * a restoration. An incarnation never returns from leaving, but a restored copy of the store may show earlier states.
    */
   private recordLeaving({ id, draining }: BackEnd, now: number): void {
     if (draining) {
@@ -300,7 +304,7 @@
     return backEnd.draining || !this.isLeaving(backEnd.id) ? backEnd : { ...backEnd, draining: true };
   }
 
-  /** Works out anew whether a back end counts as draining. */
+  /** Updates whether a back end counts as draining. */
   private updateDraining(id: string): void {
     const entry = this.entries.get(id);
     if (entry === undefined) return;
@@ -332,7 +336,7 @@
   }
 }
 
-/** Whether a target stands in the record of a back end, or there is word of it. */
+/** Whether a target is in the record of a back end or has an announcement. */
 function mayHold({ recordedKeys, announcements }: Entry, key: string): boolean {
   return recordedKeys.has(key) || announcements.has(key);
 }
--- a/packages/backends/src/index.ts
+++ b/packages/backends/src/index.ts
@@ -1,4 +1,4 @@
-/** Back ends as the daemons know them. */
+/** Back ends, their services and models, and the load on them. */
 export * from './back-end.js';
 export * from './backend-directory.js';
 export * from './remaining-time.js';
--- a/packages/backends/src/load-report.ts
+++ b/packages/backends/src/load-report.ts
@@ -1,44 +1,44 @@
-/** What daemons report of their work and of the demand for models, and how such reports are added up. */
+/** Reports of daemons on their work in progress and the demand for models, and sums of such reports. */
 
-/** Work under way for one target on one back end. */
+/** Work in progress for one target on one back end. */
 export interface TargetLoad {
   readonly backEndId: string;
-  /** Empty for back ends without models, and where targets are not told apart. */
+  /** Key of the target; empty for back ends without models and in reports that do not distinguish targets. */
   readonly target: string;
   readonly requests: number;
-  /** Prompt tokens of requests that have not begun to answer. */
+  /** Prompt tokens of the requests whose response has not begun. */
   readonly unreadTokens: number;
-  /** Prompt and expected output tokens of all requests under way. */
+  /** Prompt and expected output tokens of all requests in progress. */
   readonly heldTokens: number;
-  /** Milliseconds until the last of them is expected to have ended; 0 without requests. */
+  /** Expected milliseconds until the last of the requests ends; 0 without requests. */
   readonly endsInMs: number;
 }
 
-/** Recent requests that asked for a model, older ones counting less. */
+/** Number of recent requests for a model, weighted by an exponential decay with age. */
 export interface ModelDemand {
   readonly model: string;
   readonly weight: number;
 }
 
-/** Work and demand of one daemon, or of several together. */
+/** Work and demand of one daemon, or the sum of several. */
 export interface LoadReport {
   readonly loads: readonly TargetLoad[];
   readonly demand: readonly ModelDemand[];
 }
 
-/** For whom a source of reports speaks. */
+/** Set of daemons that the reports of a source cover. */
 export type ReportScope =
-  /** One daemon that is attached to this one. */
+  /** One daemon attached to this one. */
   | 'attached'
-  /** A relay, for itself and the daemons attached to it. */
+  /** A relay and the daemons attached to it. */
   | 'relay'
-  /** The relay that this daemon is attached to, for all others. */
+  /** All other daemons, reported by the relay that this daemon is attached to. */
   | 'all';
 
-/** Demand below this is not reported. */
+/** Minimum demand weight that is reported. */
 export const MIN_REPORTED_DEMAND = 0.02;
 
-/** Adds reports up, by back end and target. */
+/** Sums reports by back end and target, and demand by model. */
 export class LoadSum {
   private readonly loads = new Map<string, TargetLoad>();
   private readonly demand = new Map<string, number>();
@@ -67,7 +67,7 @@
   }
 }
 
-/** The same work by back end alone, without the demand: enough to choose among back ends. */
+/** Returns the work of a report summed by back end, without targets, expected ends and demand. */
 export function summarizedReport(report: LoadReport): LoadReport {
   const sum = new LoadSum();
   for (const load of report.loads) {
--- a/packages/backends/src/load-tracker.ts
+++ b/packages/backends/src/load-tracker.ts
@@ -1,7 +1,7 @@
 /**
- * Work under way on each back end: this daemon's own, known at once, and that of others, as they last reported
- * it. Also when targets were last used, and what is asked for. Reports hold states and not differences, so one
- * that is lost or comes twice does no harm.
+ * Work in progress on each back end: this daemon's own, updated immediately, and that of other daemons, as last
+ * reported. Also tracks the last use of targets and the demand for models. Reports contain complete states rather
+ * than differences, so that lost or repeated ones are harmless.
  */
 import type { Clock } from '@woodbarrow/runtime';
 import { MIN_REMAINING_MS, remainingMs } from './remaining-time.js';
@@ -15,42 +15,42 @@
 } from './load-report.js';
 import { targetKey, type ModelTarget } from './model-name.js';
 
-/** Sum of the work under way on a back end. */
+/** Sum of the work in progress on a back end. */
 export interface BackEndLoad {
   readonly requests: number;
   readonly unreadTokens: number;
   readonly heldTokens: number;
 }
 
-/** One request under way; ended exactly once. */
+/** Handle of one request in progress. */
 export interface WorkTicket {
-  /** Its answer has begun: the prompt has been read. */
+  /** Records that the response has begun, so that the prompt no longer counts as unread. */
   begun(): void;
   ended(): void;
 }
 
-/** Size of a request for {@link LoadBook.start}. */
+/** Size of a request, in tokens. */
 export interface WorkSize {
   readonly promptTokens: number;
   readonly outputTokens: number;
-  /** Milliseconds that it is expected to take; nothing is known of its end when absent. */
+  /** Expected duration in milliseconds; absent if unknown. */
   readonly expectedMs?: number;
 }
 
-/** Milliseconds after which a report of work no longer counts. */
+/** Milliseconds after which the work in a report expires. */
 const REPORT_LIFETIME_MS = 2000;
-/** Milliseconds after which a report of demand no longer counts; until then it decays. */
+/** Milliseconds after which the demand in a report expires; until then it decays. */
 const DEMAND_LIFETIME_MS = 12_000;
-/** A target with no request under way is reported for this long after its last one began, in milliseconds. */
+/** Milliseconds after the start of its last request for which an idle target is still reported. */
 const RECENT_USE_REPORT_MS = 600;
 /** Half-life of the demand for a model, in milliseconds. */
 const DEMAND_HALF_LIFE_MS = 4000;
 
-/** Word of a request may be this late, in milliseconds. */
+/** Milliseconds by which a report of a request may be delayed. */
 const MAX_REPORT_DELAY_MS = 700;
-/** Of a model that has not been asked for of late, at most this divided by the milliseconds since is counted. */
+/** Upper bound of the demand for a model, multiplied by the milliseconds since its last request. */
 const IDLE_DEMAND_BOUND_MS = 12_000;
-/** Growth of a reported demand that stands for a request. */
+/** Minimum increase of a reported demand that counts as a new request. */
 const MIN_DEMAND_INCREASE = 0.3;
 
 interface MutableLoad {
@@ -61,7 +61,7 @@
   readonly runs: Set<Run>;
 }
 
-/** A request under way. */
+/** A request in progress. */
 interface Run {
   readonly startedAt: number;
   readonly expectedMs: number;
@@ -74,28 +74,28 @@
   readonly demand: ReadonlyMap<string, number>;
 }
 
-/** Recent requests that asked for a model. */
+/** Demand for a model. */
 interface Demand {
-  /** Decayed number. */
+  /** Decayed number of requests as of `updatedAt`. */
   readonly weight: number;
   readonly updatedAt: number;
 }
 
 const NO_LOAD: BackEndLoad = { requests: 0, unreadTokens: 0, heldTokens: 0 };
 
-/** Load of all back ends. */
+/** Tracks the load on all back ends and the demand for models. */
 export class LoadBook {
   private readonly own = new Map<string, Map<string, MutableLoad>>();
   private readonly reports = new Map<string, SourceReport>();
-  /** When each target was last used on each back end, monotonic. */
+  /** Monotonic time of the last use of each target on each back end. */
   private readonly lastUsedAt = new Map<string, number>();
   private readonly demand = new Map<string, Demand>();
-  /** When each model was last asked for, as far as reports tell, monotonic. */
+  /** Monotonic time of the last observed request for each model, over all daemons. */
   private readonly lastRequestedAt = new Map<string, number>();
 
   constructor(private readonly clock: Clock) {}
 
-  /** Notes a request that is being sent to a back end. */
+  /** Records a request that is sent to a back end. */
   start(backEndId: string, target: ModelTarget | undefined, size: WorkSize): WorkTicket {
     const key = target === undefined ? '' : targetKey(target);
     const load = this.ownLoad(backEndId, key);
@@ -126,7 +126,7 @@
     };
   }
 
-  /** Notes a request that asks for a model, whether or not a back end can take it. */
+  /** Records a request for a model, whether or not a back end can accept it. */
   noteDemand(model: string): void {
     const now = this.clock.monotonic();
     this.demand.set(model, { weight: this.ownDemand(model, now) + 1, updatedAt: now });
@@ -134,8 +134,8 @@
   }
 
   /**
-   * Recent requests that asked for a model, over all daemons, older ones counting less. When none has come for much
-   * longer than they usually lie apart, demand has moved to other models, and no more is counted than that allows.
+   * Returns the decayed number of recent requests for a model, over all daemons. The time since the last request
+   * bounds it, so that a high demand that has stopped does not keep counting.
    */
   demandFor(model: string): number {
     const now = this.clock.monotonic();
@@ -154,7 +154,7 @@
     return weight;
   }
 
-  /** Work under way on a back end, over all daemons. */
+  /** Returns the work in progress on a back end, over all daemons. */
   of(backEndId: string): BackEndLoad {
     let requests = 0;
     let unreadTokens = 0;
@@ -172,14 +172,14 @@
     };
   }
 
-  /** Requests of this daemon under way on a back end; each has a connection of its own. */
+  /** Returns the number of this daemon's requests in progress on a back end; each uses one connection. */
   ownRequests(backEndId: string): number {
     let requests = 0;
     for (const load of this.own.get(backEndId)?.values() ?? []) requests += load.requests;
     return requests;
   }
 
-  /** Requests under way for a target, or for a model with all its adapters, on a back end. */
+  /** Returns the number of requests in progress for a target, or a model with all its adapters, on a back end. */
   requestsFor(backEndId: string, model: string): number {
     let requests = 0;
     for (const [key, load] of this.own.get(backEndId) ?? []) {
@@ -194,8 +194,8 @@
   }
 
   /**
-   * Milliseconds until the last request for a model, its adapters included, is expected to have ended on a back end; 0
-   * when there is none.
+   * Returns the expected milliseconds until the last request for a model or its adapters ends on a back end; 0 when
+   * there is none.
    */
   endsInMs(backEndId: string, model: string): number {
     const now = this.clock.monotonic();
@@ -212,18 +212,18 @@
     return latestMs;
   }
 
-  /** Milliseconds since a target was last used on a back end; Infinity when never. */
+  /** Returns the milliseconds since a target was last used on a back end; Infinity if no use was observed. */
   idleMs(backEndId: string, target: string): number {
     const at = this.lastUsedAt.get(lastUsedKey(backEndId, target));
     return at === undefined ? Infinity : this.clock.monotonic() - at;
   }
 
-  /** This daemon's own work and demand. */
+  /** Returns this daemon's own work and demand. */
   ownReport(): LoadReport {
     return { loads: this.ownLoads(), demand: this.ownDemands() };
   }
 
-  /** This daemon's own work and that of sources of the given scopes, one of which may be left out. */
+  /** Returns the sum of this daemon's own report and those of sources with the given scopes, except one source. */
   combinedReport(scopes: readonly ReportScope[], excludedSource?: string): LoadReport {
     const sum = new LoadSum();
     sum.add(this.ownReport());
@@ -242,7 +242,7 @@
     return sum.report();
   }
 
-  /** Takes the report of a source; it replaces the one before. */
+  /** Stores the report of a source, replacing its previous one. */
   accept(source: string, scope: ReportScope, { loads, demand }: LoadReport): void {
     const byBackEnd = new Map<string, TargetLoad[]>();
     for (const load of loads) {
@@ -262,12 +262,12 @@
     this.removeExpired();
   }
 
-  /** Drops all reports of others, when they are to come another way. */
+  /** Removes all reports of other daemons, for use when the sources of reports change. */
   dropReports(): void {
     this.reports.clear();
   }
 
-  /** Drops what is known of a back end that is gone. */
+  /** Removes the last use times of a back end that is gone. */
   forget(backEndId: string): void {
     for (const key of this.lastUsedAt.keys()) {
       if (key.startsWith(`${backEndId} `)) this.lastUsedAt.delete(key);
@@ -308,7 +308,7 @@
     }
   }
 
-  /** A demand that is larger than what is left of the one before has grown since. */
+  /** Treats a demand that exceeds the decayed previous one as a new request. */
   private recordDemandIncreases(source: string, weights: ReadonlyMap<string, number>): void {
     const now = this.clock.monotonic();
     const previous = this.reports.get(source);
@@ -375,7 +375,7 @@
   }
 }
 
-/** Milliseconds until the last run is expected to have ended. */
+/** Returns the expected milliseconds until the last run of a load ends. */
 function remainingRunMs({ runs }: MutableLoad, now: number): number {
   let latestMs = 0;
   for (const { startedAt, expectedMs } of runs)
@@ -383,7 +383,7 @@
   return latestMs;
 }
 
-/** What is left of an expected end that was told some time ago, while the requests are still believed to run. */
+/** Returns the expected milliseconds until the last request of a reported load ends, given the age of the report. */
 function agedRemainingMs({ requests, endsInMs }: TargetLoad, ageMs: number): number {
   return requests === 0 ? 0 : Math.max(MIN_REMAINING_MS, endsInMs - ageMs);
 }
--- a/packages/backends/src/model-name.ts
+++ b/packages/backends/src/model-name.ts
@@ -1,17 +1,17 @@
-/** Names of models and adapters, and the versions of adapters. */
+/** Names of models and adapters, and versions of adapters. */
 
-/** A copy of an adapter, as a worker holds it. Two versions of one adapter are two copies. */
+/** A copy of an adapter on a worker. Two versions of one adapter are two copies. */
 export interface AdapterCopy {
   readonly name: string;
-  /** Absent where the worker does not tell it. */
+  /** Version of the adapter; absent if the worker does not report it. */
   readonly version?: number;
 }
 
-/** A model, or an adapter of one, that a request asks for. */
+/** A model, or an adapter of one, that a request addresses. */
 export interface ModelTarget {
   readonly model: string;
   readonly adapter?: string;
-  /** The only version of the adapter that will do; any when absent. */
+  /** Required version of the adapter; absent if any version is acceptable. */
   readonly adapterVersion?: number;
 }
 
@@ -20,7 +20,7 @@
   readonly adapter: string;
 }
 
-/** Text form of a target, `model`, `model/adapter` or `model/adapter@version`; unique for each target. */
+/** Returns the unique text form of a target: `model`, `model/adapter` or `model/adapter@version`. */
 export function targetKey({ model, adapter, adapterVersion }: ModelTarget): string {
   if (adapter === undefined) return model;
   const version = adapterVersion === undefined ? '' : `@${String(adapterVersion)}`;
@@ -32,7 +32,7 @@
   return target.adapter !== undefined;
 }
 
-/** The target that just this copy serves. */
+/** Returns the most specific target that a copy serves. */
 export function targetOfCopy(model: string, { name, version }: AdapterCopy): AdapterTarget {
   return version === undefined ? { model, adapter: name } : { model, adapter: name, adapterVersion: version };
 }
@@ -42,7 +42,7 @@
   return copy.name === adapter && (adapterVersion === undefined || adapterVersion === copy.version);
 }
 
-/** Keys of all targets that a copy serves: of its version, and of any. */
+/** Returns the keys of all targets that a copy serves: that without a version, and that with its own version. */
 export function keysServedBy(model: string, copy: AdapterCopy): readonly string[] {
   const anyVersion = targetKey({ model, adapter: copy.name });
   const ownVersion = targetKey(targetOfCopy(model, copy));
--- a/packages/backends/src/remaining-time.ts
+++ b/packages/backends/src/remaining-time.ts
@@ -1,14 +1,14 @@
-/** What work under way is expected to take still. */
+/** Estimates the remaining time of work in progress. */
 
-/** Least time that work under way is expected to take still, in milliseconds: it can end between two reports. */
+/** Minimum expected remaining time of work in progress, in milliseconds, since it may end between two reports. */
 export const MIN_REMAINING_MS = 100;
 /**
- * Part of the time taken so far that overdue work is expected to take still. The longer it has taken, the less a
- * figure from before says; with a quarter, an estimate is never below a fifth of the whole time.
+ * Expected remaining time of overdue work as a ratio of its elapsed time. It grows with the elapsed time because the
+ * original estimate becomes less reliable.
  */
 const OVERDUE_RATIO = 0.25;
 
-/** Milliseconds that work is expected to take still, given what it was expected to take and has taken. */
+/** Returns the expected remaining milliseconds of work with the given expected and elapsed milliseconds. */
 export function remainingMs(expectedMs: number, elapsedMs: number): number {
   if (elapsedMs < expectedMs) return Math.max(MIN_REMAINING_MS, expectedMs - elapsedMs);
   return Math.max(MIN_REMAINING_MS, elapsedMs * OVERDUE_RATIO);
--- a/packages/backends/src/run-time-estimator.ts
+++ b/packages/backends/src/run-time-estimator.ts
@@ -1,12 +1,12 @@
-/** How long runs of models take: learnt from runs that have ended, against the tokens that clients expected of them. */
+/** Estimates the duration of model runs from completed runs and the output tokens that clients expected of them. */
 
-/** Milliseconds a token until something is measured, for engines that step in 4 to 5 ms. */
+/** Milliseconds per output token before any run has completed. */
 const DEFAULT_MS_PER_TOKEN = 6;
-/** Tokens of a run whose client expects no number, until something is measured. */
+/** Output tokens assumed for a run without an expected number before any run has completed. */
 const DEFAULT_OUTPUT_TOKENS = 200;
-/** What earlier runs count at each new one; about twenty runs make the figure. */
+/** Factor by which each new run reduces the weight of the earlier ones. */
 const DECAY_PER_RUN = 0.95;
-/** Runs after which a model's own figure is believed; until then that of all models stands. */
+/** Number of (decayed) runs from which a model has its own estimate; below it, that of all models applies. */
 const MIN_RUNS_PER_MODEL = 5;
 
 interface RunSums {
@@ -15,12 +15,12 @@
   durationMs: number;
 }
 
-/** Times of runs as one daemon sees them. */
+/** Tracks the durations of the runs that one daemon observes, by model. */
 export class RunTimes {
   private readonly byModel = new Map<string, RunSums>();
   private readonly allModels: RunSums = { runs: 0, tokens: 0, durationMs: 0 };
 
-  /** Expected milliseconds of a run. @param tokens Tokens out that the client expects; undefined when it tells none. */
+  /** Returns the expected milliseconds of a run. @param tokens Output tokens that the client expects, if stated. */
   expectedMs(model: string, tokens: number | undefined): number {
     const modelSums = this.byModel.get(model);
     const sums = modelSums !== undefined && modelSums.runs >= MIN_RUNS_PER_MODEL ? modelSums : this.allModels;
@@ -28,7 +28,7 @@
     return (tokens ?? sums.tokens / sums.runs) * (sums.durationMs / sums.tokens);
   }
 
-  /** Notes a run that has ended well. */
+  /** Records a successful run. */
   note(model: string, tokens: number | undefined, durationMs: number): void {
     let modelSums = this.byModel.get(model);
     if (modelSums === undefined) {
--- a/packages/backends/src/service-definition.ts
+++ b/packages/backends/src/service-definition.ts
@@ -1,6 +1,6 @@
-/** Services and their models, as the operators' configuration describes them. */
+/** Services and their models, as defined in the configuration. */
 
-/** A model that workers of a service can load. Sizes in MB, times in milliseconds. */
+/** A model that workers of a service can load. Sizes are in MB, times in milliseconds. */
 export interface ModelDefinition {
   readonly name: string;
   readonly weightsMb: number;
@@ -12,25 +12,25 @@
   readonly memoryLoadMs: number;
 }
 
-/** What workers that run models have in common. */
+/** Properties shared by all workers of a service that run models. */
 export interface EngineDefinition {
-  /** Requests that a worker runs at once. */
+  /** Maximum number of concurrent requests on a worker. */
   readonly slots: number;
-  /** Tokens that a worker's prompt cache holds for running requests and kept prompts. */
+  /** Capacity of a worker's prompt cache for running requests and retained prompts, in tokens. */
   readonly cacheTokens: number;
   /** Accelerator memory of a worker for weights and adapters, in MB. */
   readonly weightsMb: number;
-  /** Adapters that a worker holds at most. */
+  /** Maximum number of adapters on a worker. */
   readonly adapterSlots: number;
-  /** Loads from the weight store a second, over all workers. */
+  /** Maximum number of loads from the weight store per second, over all workers. */
   readonly storeLoadsPerSecond: number;
   readonly models: ReadonlyMap<string, ModelDefinition>;
 }
 
-/** A service that requests are passed to. */
+/** A service that requests are forwarded to. */
 export interface ServiceDefinition {
   readonly name: string;
-  /** Connections that one worker accepts from all callers together. */
+  /** Maximum number of connections that one worker accepts over all callers. */
   readonly connectionLimit: number;
   /** Present when the workers run models. */
   readonly engine?: EngineDefinition;
--- a/packages/backends/src/target-index.ts
+++ b/packages/backends/src/target-index.ts
@@ -1,11 +1,11 @@
 /**
- * Which back ends are said to hold a target. Guards against asking each of them for each request: with 98 workers, looking through
- * all took 98 looks for the one or two that hold a rarely used model.
+ * Index of the back ends that may hold a target, so that a request for a rarely used model need not check every back
+ * end.
  */
 export class TargetIndex {
   private readonly ids = new Map<string, Set<string>>();
 
-  /** A back end is said to hold a target. */
+  /** Adds a back end that may hold a target. */
   add(key: string, backEndId: string): void {
     let ids = this.ids.get(key);
     if (ids === undefined) {
@@ -15,7 +15,7 @@
     ids.add(backEndId);
   }
 
-  /** It is not any more; it may be removed while {@link backEndsFor} is gone through. */
+  /** Removes a back end from a target; safe while iterating over {@link backEndsFor}. */
   remove(key: string, backEndId: string): void {
     const ids = this.ids.get(key);
     if (ids === undefined) return;
@@ -23,7 +23,7 @@
     if (ids.size === 0) this.ids.delete(key);
   }
 
-  /** Back ends that are said to hold a target, in the order in which it was first said. */
+  /** Returns the ids of the back ends that may hold a target, in the order in which they were added. */
   backEndsFor(key: string): Iterable<string> {
     return this.ids.get(key) ?? NO_BACK_ENDS;
   }
--- a/packages/backends/test/backend-directory.test.ts
+++ b/packages/backends/test/backend-directory.test.ts
@@ -25,7 +25,7 @@
   };
 }
 
-/** Steps of the comparison of the index with a look at every back end. */
+/** Number of random operations in the comparison of the holder index with a scan of all back ends. */
 const INDEX_STEPS = 4000;
 
 describe('BackendDirectory', () => {
@@ -39,7 +39,7 @@
     directory = new BackendDirectory(machine);
   });
 
-  it('uses a back end whose record vanished for a grace only', async () => {
+  it('removes a back end whose record vanished after the grace period', async () => {
     directory.put(worker('one'));
     directory.recordVanished('one');
     await world.run(world.now + ABSENCE_GRACE_MS - 1);
@@ -48,8 +48,8 @@
     expect(directory.get('one')).to.equal(undefined);
   });
 
-  describe('listed from a copy from which the store was restored', () => {
-    it('goes on using a back end that the copy lacks, until it is known not to come back', async () => {
+  describe('after the store was restored from a copy', () => {
+    it('removes a back end that the copy lacks only after the longer grace period', async () => {
       directory.put(worker('one'));
       directory.restoreAll([]);
       await world.run(world.now + RESTORED_ABSENCE_GRACE_MS - 1);
@@ -58,7 +58,7 @@
       expect(directory.get('one')).to.equal(undefined);
     });
 
-    it('uses a back end at once that the copy lacks and that is recorded again after the grace', async () => {
+    it('does not mark a back end as draining that the copy lacks and that is recorded again after the grace', async () => {
       directory.put(worker('one'));
       directory.restoreAll([]);
       await world.run(world.now + RESTORED_ABSENCE_GRACE_MS + 100);
@@ -66,14 +66,14 @@
       expect(directory.get('one')?.draining).to.equal(false);
     });
 
-    it('keeps to the word of a back end that it leaves, where the copy shows it as ready', () => {
+    it('keeps a leaving back end marked as draining when the copy shows it as ready', () => {
       directory.put(worker('one'));
       directory.put(worker('one', [], true));
       directory.restoreAll([worker('one')]);
       expect(directory.get('one')?.draining).to.equal(true);
     });
 
-    it('leaves a back end alone that had gone, until it has been shown for longer than nobody writes it', async () => {
+    it('marks a back end that had vanished before as draining until its listed record must be current', async () => {
       directory.put(worker('one'));
       directory.recordVanished('one');
       await world.run(world.now + ABSENCE_GRACE_MS);
@@ -84,7 +84,7 @@
       expect(directory.get('one')?.draining).to.equal(false);
     });
 
-    it('uses a back end at once whose record had lapsed, where the store was not restored', async () => {
+    it('does not mark a back end as draining that vanished and returned without a restoration', async () => {
       directory.put(worker('one'));
       directory.recordVanished('one');
       await world.run(world.now + ABSENCE_GRACE_MS);
@@ -93,7 +93,7 @@
     });
   });
 
-  it('takes a back end for draining that says that it leaves, whatever its record says, also once that was gone for a while', async () => {
+  it('marks a back end that announced its leaving as draining, also after its record vanished and returned', async () => {
     const seen: boolean[] = [];
     directory.put(worker('one', ['m']));
     directory.events.on('changed', ({ draining }) => void seen.push(draining));
@@ -111,7 +111,7 @@
     expect(seen).to.deep.equal([true, true, true]);
   });
 
-  it('believes for a while only what another daemon says of a back end that leaves', async () => {
+  it('expires a leaving notice from a peer, but not one from the back end itself', async () => {
     directory.put(worker('one'));
     directory.noteLeaving('one', 'peer');
     directory.put(worker('one'));
@@ -125,7 +125,7 @@
     expect(directory.get('one')?.draining).to.equal(true);
   });
 
-  it('takes a record back that vanished while the store was in trouble', async () => {
+  it('keeps a back end whose record returns within the grace period, and adds it again afterwards', async () => {
     directory.put(worker('one'));
     directory.recordVanished('one');
     await world.run(world.now + ABSENCE_GRACE_MS / 2);
@@ -138,14 +138,14 @@
     expect(directory.ofService('models')).to.have.length(1);
   });
 
-  it('never takes an incarnation back that is proven to have ended', () => {
+  it('ignores records of an incarnation that has ended', () => {
     directory.put(worker('one'));
     directory.remove('one');
     directory.put(worker('one'));
     expect(directory.get('one')).to.equal(undefined);
   });
 
-  it('believes an announcement before a record that lags, and the record after a while', async () => {
+  it('prefers an announcement to a stale record until the announcement expires', async () => {
     directory.put(worker('one', ['m1']));
     directory.announce('one', { model: 'm2' }, true);
     directory.announce('one', { model: 'm1' }, false);
@@ -157,7 +157,7 @@
     expect(directory.holds('one', { model: 'm1' })).to.equal(true);
   });
 
-  it('believes no announcement that lapsed while the machine was suspended', async () => {
+  it('ignores an announcement that expired while the machine was suspended', async () => {
     directory.put(worker('one'));
     directory.announce('one', { model: 'm' }, true);
     machine.suspend(ANNOUNCEMENT_PRECEDENCE_MS + 1);
@@ -165,7 +165,7 @@
     expect(directory.holds('one', { model: 'm' })).to.equal(false);
   });
 
-  it('tells versions of an adapter apart, and takes any for a request that names none', () => {
+  it('distinguishes versions of an adapter, and accepts any version for a target without one', () => {
     const adapters = [{ name: 'a1', version: 1 }, { name: 'a2' }];
     directory.put({ ...worker('one'), models: [{ name: 'm', adapters }] });
     const holds = (adapter: string, adapterVersion?: number): boolean =>
@@ -182,7 +182,7 @@
     expect([holds('a1'), holds('a1', 1), holds('a1', 3)]).to.deep.equal([true, false, true]);
   });
 
-  it('offers no back end that is draining, and no adapter without its model', () => {
+  it('excludes draining back ends, and adapters whose base model is not resident', () => {
     directory.put(worker('one', ['m1'], true));
     directory.put(worker('two', []));
     directory.announce('two', { model: 'm1', adapter: 'a1' }, true);
@@ -190,7 +190,7 @@
     expect(directory.holds('two', { model: 'm1', adapter: 'a1' })).to.equal(false);
   });
 
-  it('names the holders that a look at every back end finds, through records, word, and time', async () => {
+  it('returns the same holders as a scan of all back ends, under random records, announcements and delays', async () => {
     const random = new Random(5);
     const ids = ['w1', 'w2', 'w3', 'w4'];
     const models = ['a', 'b', 'c'];
--- a/packages/backends/test/expected-time.test.ts
+++ b/packages/backends/test/expected-time.test.ts
@@ -3,23 +3,23 @@
 import { SimulatedProcess, SimulatedWorld } from '@woodbarrow/runtime';
 
 describe('remainingMs', () => {
-  it('is what is left before the expected end', () => {
+  it('is the time until the expected end', () => {
     expect(remainingMs(6000, 1000)).to.equal(5000);
   });
 
-  it('grows with the time that overdue work has taken', () => {
+  it('grows with the elapsed time of overdue work', () => {
     expect(remainingMs(6000, 8000)).to.equal(2000);
     expect(remainingMs(6000, 16_000)).to.equal(4000);
   });
 
-  it('is never nothing while the work goes on', () => {
+  it('has a positive minimum while the work is in progress', () => {
     expect(remainingMs(200, 200)).to.be.at.least(100);
     expect(remainingMs(200, 199.9)).to.be.at.least(100);
   });
 });
 
-describe('RunTimes', () => {
-  it('follows the time that runs of a model take for each token that their clients expect', () => {
+describe('run time estimator', () => {
+  it('estimates by the time per expected token of a model, and by that of all models for an unknown one', () => {
     const times = new RunTimes();
     for (let count = 0; count < 30; count += 1) {
       times.note('slow', 100, 1000);
@@ -30,15 +30,15 @@
     expect(times.expectedMs('unknown', 100)).to.be.within(500, 700);
   });
 
-  it('takes the usual run where a client expects no number', () => {
+  it('uses the average run when a client states no expected tokens', () => {
     const times = new RunTimes();
     for (let count = 0; count < 30; count += 1) times.note('m', undefined, 700);
     expect(times.expectedMs('m', undefined)).to.be.within(690, 710);
   });
 });
 
-describe('LoadBook', () => {
-  it('foretells when the last run of a model ends on a back end, also from reports of others', async () => {
+describe('load tracker', () => {
+  it('estimates when the last run of a model ends on a back end, including runs reported by others', async () => {
     const world = new SimulatedWorld();
     const clock = new SimulatedProcess(world, { name: 'd', zone: 'z', region: 'r' });
     const [own, other] = [new LoadBook(clock), new LoadBook(clock)];
--- a/packages/backends/test/load-book.test.ts
+++ b/packages/backends/test/load-book.test.ts
@@ -4,7 +4,7 @@
 
 const SIZE = { promptTokens: 100, outputTokens: 10 };
 
-describe('LoadBook', () => {
+describe('load tracker', () => {
   let world: SimulatedWorld;
   let books: LoadBook[];
 
@@ -16,7 +16,7 @@
 
   const book = (index: number): LoadBook => books[index] as LoadBook;
 
-  it('adds reports of several sources up, each counted once however often it comes', () => {
+  it('sums the reports of several sources and counts repeated reports once', () => {
     for (const each of books) each.start('w', { model: 'm' }, SIZE);
     for (let time = 0; time < 3; time += 1) book(0).accept('1', 'attached', book(1).ownReport());
     book(0).accept('2', 'relay', book(2).ownReport());
@@ -24,7 +24,7 @@
     expect(book(0).requestsFor('w', 'm')).to.equal(3);
   });
 
-  it('leaves a source out of what it is told, and tells relays only of attached ones', () => {
+  it('combines only reports of the given scopes and without the excluded source', () => {
     for (const each of books) each.start('w', { model: 'm' }, SIZE);
     book(0).accept('1', 'attached', book(1).ownReport());
     book(0).accept('2', 'relay', book(2).ownReport());
@@ -33,7 +33,7 @@
     expect(book(0).combinedReport([]).loads[0]?.requests).to.equal(1);
   });
 
-  it('forgets work that is no longer reported, and lets demand decay', async () => {
+  it('expires work that is no longer reported, and decays demand', async () => {
     book(1).start('w', { model: 'm' }, SIZE);
     for (let count = 0; count < 8; count += 1) book(1).noteDemand('m');
     book(0).accept('1', 'attached', book(1).ownReport());
@@ -44,7 +44,7 @@
     expect(book(0).of('w').requests).to.equal(0);
   });
 
-  it('does not count on demand that has stopped, however much there was', async () => {
+  it('bounds demand that has stopped, however high it was', async () => {
     const ask = (): void => {
       for (let count = 0; count < 100; count += 1) book(1).noteDemand('m');
       book(0).accept('1', 'attached', book(1).ownReport());
@@ -61,7 +61,7 @@
     expect(book(0).demandFor('m')).to.be.greaterThan(100);
   });
 
-  it('reports a target for a moment after its last request, for others to see that it was used', async () => {
+  it('reports a target for a short time after its last request, so that others observe its use', async () => {
     book(1).start('w', { model: 'm', adapter: 'a' }, SIZE).ended();
     await world.run(300);
     book(0).accept('1', 'attached', book(1).ownReport());
@@ -70,7 +70,7 @@
     expect(book(1).ownReport().loads).to.deep.equal([]);
   });
 
-  it('summarizes by back end what is under way', () => {
+  it('summarizes the work in progress by back end', () => {
     book(0).start('w', { model: 'm' }, SIZE);
     book(0).start('w', { model: 'n' }, SIZE);
     book(0).start('v', { model: 'n' }, SIZE).ended();
--- a/packages/placement/src/replica-publisher.ts
+++ b/packages/placement/src/replica-publisher.ts
@@ -50,7 +50,7 @@
     return { model, replicas, loading, ...(blockedBy === undefined || loading ? {} : { blockedBy }) };
   }
 
-  /** Sends the changes since the last call. A lost message is compensated by the response to the owner's next report. */
+  /** Sends the changes since the last call. The response to an owner's next report makes up for a lost message. */
   publishChanges(): void {
     const { peers, zone, fence } = this.options;
     const changed = new Map<string, ModelReplicas[]>();
--- a/packages/placement/src/worker-view.ts
+++ b/packages/placement/src/worker-view.ts
@@ -43,7 +43,7 @@
   /** Number of consecutive calls without response. */
   unansweredCalls = 0;
 
-  /** @param origin Origin of the engine. @param hasUnknownHoldings True while nothing is known of the worker. */
+  /** @param origin Origin of the engine. @param hasUnknownHoldings Whether the worker may hold any model. */
   constructor(
     readonly id: string,
     public origin: string,
--- a/packages/placement/src/zone-coordinator.ts
+++ b/packages/placement/src/zone-coordinator.ts
@@ -135,7 +135,7 @@
     peers.handle(describePlacementMethod, () => this.describe());
   }
 
-  /** Stops at once without releasing the lease, as after a crash. */
+  /** Stops coordinating at once and sends nothing more, as in a crash. */
   abort(): void {
     this.endTenure();
   }
