--- a/packages/backends/src/index.ts
+++ b/packages/backends/src/index.ts
@@ -1,9 +1,9 @@
 /** Back ends, their services and models, and the load on them. */
 export * from './back-end.js';
 export * from './backend-directory.js';
-export * from './remaining-time.js';
+export * from './expected-time.js';
 export * from './load-tracker.js';
-export * from './run-time-estimator.js';
+export * from './run-times.js';
 export * from './load-report.js';
 export * from './model-name.js';
 export * from './service-definition.js';
--- a/packages/backends/src/load-tracker.ts
+++ b/packages/backends/src/load-tracker.ts
@@ -4,7 +4,7 @@
  * than differences, so that lost or repeated ones are harmless.
  */
 import type { Clock } from '@woodbarrow/runtime';
-import { MIN_REMAINING_MS, remainingMs } from './remaining-time.js';
+import { MIN_REMAINING_MS, remainingMs } from './expected-time.js';
 import {
   MIN_REPORTED_DEMAND,
   LoadSum,
@@ -85,11 +85,11 @@
 
 /** Tracks the load on all back ends and the demand for models. */
 export class LoadBook {
-  private readonly own = new Map<string, Map<string, MutableLoad>>();
+  private readonly ownLoadByBackEnd = new Map<string, Map<string, MutableLoad>>();
   private readonly reports = new Map<string, SourceReport>();
   /** Monotonic time of the last use of each target on each back end. */
   private readonly lastUsedAt = new Map<string, number>();
-  private readonly demand = new Map<string, Demand>();
+  private readonly ownDemandByModel = new Map<string, Demand>();
   /** Monotonic time of the last observed request for each model, over all daemons. */
   private readonly lastRequestedAt = new Map<string, number>();
 
@@ -129,7 +129,7 @@
   /** Records a request for a model, whether or not a back end can accept it. */
   noteDemand(model: string): void {
     const now = this.clock.monotonic();
-    this.demand.set(model, { weight: this.ownDemand(model, now) + 1, updatedAt: now });
+    this.ownDemandByModel.set(model, { weight: this.ownDemand(model, now) + 1, updatedAt: now });
     this.lastRequestedAt.set(model, now);
   }
 
@@ -159,7 +159,7 @@
     let requests = 0;
     let unreadTokens = 0;
     let heldTokens = 0;
-    for (const load of this.own.get(backEndId)?.values() ?? []) {
+    for (const load of this.ownLoadByBackEnd.get(backEndId)?.values() ?? []) {
       requests += load.requests;
       unreadTokens += load.unreadTokens;
       heldTokens += load.heldTokens;
@@ -175,14 +175,14 @@
   /** Returns the number of this daemon's requests in progress on a back end; each uses one connection. */
   ownRequests(backEndId: string): number {
     let requests = 0;
-    for (const load of this.own.get(backEndId)?.values() ?? []) requests += load.requests;
+    for (const load of this.ownLoadByBackEnd.get(backEndId)?.values() ?? []) requests += load.requests;
     return requests;
   }
 
   /** Returns the number of requests in progress for a target, or a model with all its adapters, on a back end. */
   requestsFor(backEndId: string, model: string): number {
     let requests = 0;
-    for (const [key, load] of this.own.get(backEndId) ?? []) {
+    for (const [key, load] of this.ownLoadByBackEnd.get(backEndId) ?? []) {
       if (isTargetOfModel(key, model)) requests += load.requests;
     }
     for (const report of this.freshReports()) {
@@ -200,7 +200,7 @@
   endsInMs(backEndId: string, model: string): number {
     const now = this.clock.monotonic();
     let latestMs = 0;
-    for (const [key, load] of this.own.get(backEndId) ?? []) {
+    for (const [key, load] of this.ownLoadByBackEnd.get(backEndId) ?? []) {
       if (isTargetOfModel(key, model)) latestMs = Math.max(latestMs, remainingRunMs(load, now));
     }
     for (const report of this.freshReports()) {
@@ -275,10 +275,10 @@
   }
 
   private ownLoad(backEndId: string, key: string): MutableLoad {
-    let targets = this.own.get(backEndId);
+    let targets = this.ownLoadByBackEnd.get(backEndId);
     if (targets === undefined) {
       targets = new Map();
-      this.own.set(backEndId, targets);
+      this.ownLoadByBackEnd.set(backEndId, targets);
     }
     let load = targets.get(key);
     if (load === undefined) {
@@ -335,7 +335,7 @@
     const loads: TargetLoad[] = [];
     const now = this.clock.monotonic();
     const oldest = now - RECENT_USE_REPORT_MS;
-    for (const [backEndId, targets] of this.own) {
+    for (const [backEndId, targets] of this.ownLoadByBackEnd) {
       for (const [target, load] of targets) {
         const { requests, unreadTokens, heldTokens, lastStartedAt } = load;
         if (requests > 0 || lastStartedAt >= oldest) {
@@ -349,7 +349,7 @@
           });
         } else targets.delete(target);
       }
-      if (targets.size === 0) this.own.delete(backEndId);
+      if (targets.size === 0) this.ownLoadByBackEnd.delete(backEndId);
     }
     return loads;
   }
@@ -357,16 +357,16 @@
   private ownDemands(): ModelDemand[] {
     const now = this.clock.monotonic();
     const demands: ModelDemand[] = [];
-    for (const [model, demand] of this.demand) {
+    for (const [model, demand] of this.ownDemandByModel) {
       const weight = decayedWeight(demand, now);
       if (weight >= MIN_REPORTED_DEMAND) demands.push({ model, weight });
-      else this.demand.delete(model);
+      else this.ownDemandByModel.delete(model);
     }
     return demands;
   }
 
   private ownDemand(model: string, now: number): number {
-    const demand = this.demand.get(model);
+    const demand = this.ownDemandByModel.get(model);
     return demand === undefined ? 0 : decayedWeight(demand, now);
   }
 
--- a/packages/backends/test/expected-time.test.ts
+++ b/packages/backends/test/expected-time.test.ts
@@ -18,7 +18,7 @@
   });
 });
 
-describe('run time estimator', () => {
+describe('run times', () => {
   it('estimates by the time per expected token of a model, and by that of all models for an unknown one', () => {
     const times = new RunTimes();
     for (let count = 0; count < 30; count += 1) {
--- a/packages/placement/src/placement-planner.ts
+++ b/packages/placement/src/placement-planner.ts
@@ -75,7 +75,7 @@
 /** Minimum share of a worker's memory that must be free to cache a checkpoint in advance. */
 const MIN_WARMING_FREE_SHARE = 0.4;
 
-interface WantedLoad {
+interface NeededLoad {
   readonly model: CatalogModel;
   readonly demand: TotalDemand;
 }
@@ -97,7 +97,7 @@
   private readonly warming: LoadAction[] = [];
   private readonly decided = new Map<string, number>();
   private readonly blocked = new Map<string, BlockedReason>();
-  private readonly wanted: WantedLoad[] = [];
+  private readonly neededLoads: NeededLoad[] = [];
   /** Memory that this plan commits, by worker, in GiB. */
   private readonly plannedGib = new Map<string, number>();
 
@@ -145,15 +145,15 @@
       const serving = holders.filter((worker) => this.isServing(worker, model.id));
       const desired = Math.min(allotment, this.desiredReplicas(model, demand, serving));
       if (desired > 0 || serving.length > 0) this.decided.set(model.id, Math.max(desired, serving.length));
-      if (serving.length > desired) this.shrink(model, serving, desired, allotment);
-      else if (desired > serving.length) this.grow(model, demand, holders, allotment);
+      if (serving.length > desired) this.planShrink(model, serving, desired, allotment);
+      else if (desired > serving.length) this.planGrowth(model, demand, holders, allotment);
       this.planAdapters(model, demand, serving);
     }
   }
 
   /** Plans the needed loads, ordered by priority, then by deadline. */
   planLoads(): void {
-    const ordered = this.wanted.sort(
+    const ordered = this.neededLoads.sort(
       (left, right) =>
         left.demand.topPriority - right.demand.topPriority ||
         left.demand.firstDeadlineMs - right.demand.firstDeadlineMs ||
@@ -169,7 +169,7 @@
    */
   planCheckpointWarming(): void {
     const { state } = this;
-    const isBusy = this.wanted.length > 0 || state.warming.size > 0 || !state.recovered;
+    const isBusy = this.neededLoads.length > 0 || state.warming.size > 0 || !state.recovered;
     if (isBusy || state.workers.some((worker) => loadingCount(worker) > 0)) return;
     const spaciousWorkers = state.workers.filter(
       (worker) => worker.isAccepting && this.hasMemoryForWarming(worker),
@@ -254,7 +254,7 @@
     return 0;
   }
 
-  private shrink(
+  private planShrink(
     model: CatalogModel,
     serving: readonly WorkerView[],
     desired: number,
@@ -267,7 +267,7 @@
     for (const worker of candidates.slice(0, serving.length - desired)) this.unload(model.id, worker, reason);
   }
 
-  private grow(
+  private planGrowth(
     model: CatalogModel,
     demand: TotalDemand,
     holders: readonly WorkerView[],
@@ -277,7 +277,7 @@
       this.blocked.set(model.id, this.state.recovered ? 'limit' : 'recovering');
       return;
     }
-    this.wanted.push({ model, demand });
+    this.neededLoads.push({ model, demand });
   }
 
   private planLoad(model: CatalogModel, demand: TotalDemand): void {
--- a/packages/placement/src/zone-coordinator.ts
+++ b/packages/placement/src/zone-coordinator.ts
@@ -131,7 +131,7 @@
     lease.events.on('lost', () => {
       this.endTenure();
     });
-    peers.handle(reportDemandMethod, (request) => this.onDemand(request));
+    peers.handle(reportDemandMethod, (request) => this.handleDemandReport(request));
     peers.handle(describePlacementMethod, () => this.describe());
   }
 
@@ -206,7 +206,7 @@
       idlePollMs: () => Math.max(this.timings.idlePollMs, tenure.workers.size * IDLE_POLL_SPACING_MS),
       busyPollMs: this.timings.busyPollMs,
       onChange: () => {
-        this.onWorkerChange(tenure);
+        this.handleWorkerChange(tenure);
       },
     });
     tenure.agents.set(id, agent);
@@ -251,7 +251,7 @@
     }
   }
 
-  private onWorkerChange(tenure: Tenure): void {
+  private handleWorkerChange(tenure: Tenure): void {
     if (this.tenure !== tenure) return;
     tenure.publisher.publishChanges();
     this.wakeup.wake();
@@ -368,7 +368,7 @@
     return activity;
   }
 
-  private onDemand(request: ReportDemandRequest): ReportDemandResponse {
+  private handleDemandReport(request: ReportDemandRequest): ReportDemandResponse {
     const tenure = this.currentTenure();
     const now = this.options.clock.monotonic();
     let hasWaitingRequests = false;
--- a/packages/routing/src/model-queue.ts
+++ b/packages/routing/src/model-queue.ts
@@ -71,7 +71,7 @@
   }
 
   /** Number of active grants. */
-  get granted(): number {
+  get activeGrants(): number {
     return this.grants.size;
   }
 
--- a/packages/routing/src/queue-owner.ts
+++ b/packages/routing/src/queue-owner.ts
@@ -71,14 +71,14 @@
       return {};
     });
     peers.handle(replicasChangedMethod, (request) => {
-      this.onReplicasChanged(request);
+      this.handleReplicasChanged(request);
       return {};
     });
     peers.handle(describeQueuesMethod, () => ({
       queues: [...this.queues.values()].map((queue) => ({
         model: queue.model,
         waiting: queue.waiting,
-        granted: queue.granted,
+        granted: queue.activeGrants,
         replicas: queue.currentReplicas.length,
       })),
     }));
@@ -128,7 +128,7 @@
     return queue;
   }
 
-  private onReplicasChanged(request: ReplicasChangedRequest): void {
+  private handleReplicasChanged(request: ReplicasChangedRequest): void {
     if (request.fence < this.highestFence) return;
     this.highestFence = request.fence;
     this.applyReplicas(request.models);
--- a/packages/routing/src/router.ts
+++ b/packages/routing/src/router.ts
@@ -93,8 +93,8 @@
 /** State of one request over all its attempts. */
 interface RequestState {
   readonly request: RoutedRequest;
-  readonly avoid: Set<string>;
-  count: number;
+  readonly avoidedWorkers: Set<string>;
+  attemptCount: number;
   /** Set once an attempt had an unknown outcome: no later error may state that the request was not run. */
   mayHaveRun: boolean;
 }
@@ -129,22 +129,22 @@
    */
   async route(request: RoutedRequest): Promise<HttpResponse> {
     this.retryBudget.recordAttempt();
-    const attempts: RequestState = { request, avoid: new Set(), count: 0, mayHaveRun: false };
+    const state: RequestState = { request, avoidedWorkers: new Set(), attemptCount: 0, mayHaveRun: false };
     try {
-      return await this.routeWithRetries(attempts);
+      return await this.routeWithRetries(state);
     } catch (error) {
-      if (!attempts.mayHaveRun || !isKind(error, ...NOT_RUN_KINDS)) throw error;
+      if (!state.mayHaveRun || !isKind(error, ...NOT_RUN_KINDS)) throw error;
       throw new WoodbarrowError('outcome_unknown', `an earlier attempt may have run: ${error.message}`);
     }
   }
 
-  private async routeWithRetries(attempts: RequestState): Promise<HttpResponse> {
+  private async routeWithRetries(state: RequestState): Promise<HttpResponse> {
     for (;;) {
-      const dispatch = await this.findReplica(attempts);
-      const response = await this.tryReplica(attempts, dispatch);
+      const dispatch = await this.findReplica(state);
+      const response = await this.tryReplica(state, dispatch);
       if (response !== undefined) return response;
-      attempts.count += 1;
-      await this.backOffBeforeRetry(attempts);
+      state.attemptCount += 1;
+      await this.backOffBeforeRetry(state);
     }
   }
 
@@ -157,8 +157,8 @@
   }
 
   /** Makes one attempt. Returns the response, or undefined when the request may be tried again. */
-  private async tryReplica(attempts: RequestState, dispatch: Dispatch): Promise<HttpResponse | undefined> {
-    const { request } = attempts;
+  private async tryReplica(state: RequestState, dispatch: Dispatch): Promise<HttpResponse | undefined> {
+    const { request } = state;
     const { replica } = dispatch;
     const endRequest = this.directory.beginRequest(replica.workerId);
     const finish = (result: 'completed' | 'refused' | 'failed'): void => {
@@ -185,7 +185,7 @@
       return start.response;
     }
     this.directory.invalidate(request.model.id);
-    attempts.avoid.add(replica.workerId);
+    state.avoidedWorkers.add(replica.workerId);
     if (start.outcome === 'not_run') {
       this.counters.refusedByEngine += 1;
       finish('refused');
@@ -193,7 +193,7 @@
     }
     finish('failed');
     this.breakers.recordFailure(replica.workerId);
-    attempts.mayHaveRun = true;
+    state.mayHaveRun = true;
     return this.handleUnknownOutcome(request, start.reason);
   }
 
@@ -210,8 +210,8 @@
     throw new WoodbarrowError('outcome_unknown', `the engine's response was not received: ${reason}`);
   }
 
-  private async backOffBeforeRetry(attempts: RequestState): Promise<void> {
-    const { request } = attempts;
+  private async backOffBeforeRetry(state: RequestState): Promise<void> {
+    const { request } = state;
     if (!this.retryBudget.tryRetry()) {
       this.counters.retriesDenied += 1;
       throw new WoodbarrowError(
@@ -220,31 +220,31 @@
       );
     }
     this.counters.retries += 1;
-    const pause = backoffDelay(BACKOFF, attempts.count - 1, this.options.random);
+    const pause = backoffDelay(BACKOFF, state.attemptCount - 1, this.options.random);
     await sleep(this.options.clock, Math.min(pause, Math.max(0, this.remainingMs(request))), request.signal);
   }
 
-  private async findReplica(attempts: RequestState): Promise<Dispatch> {
-    const { request } = attempts;
+  private async findReplica(state: RequestState): Promise<Dispatch> {
+    const { request } = state;
     this.assertCanContinue(request);
     const direct = this.directory.chooseDirect(request.model.id, request.adapter);
-    if (direct !== undefined && !attempts.avoid.has(direct.workerId)) {
+    if (direct !== undefined && !state.avoidedWorkers.has(direct.workerId)) {
       this.counters.direct += 1;
       return { replica: direct, grantedBy: undefined };
     }
-    return this.waitForGrant(attempts);
+    return this.waitForGrant(state);
   }
 
   /** Waits for a grant from a queue owner, and moves on to another zone when an owner does not respond. */
-  private async waitForGrant(attempts: RequestState): Promise<Dispatch> {
-    const { request } = attempts;
+  private async waitForGrant(state: RequestState): Promise<Dispatch> {
+    const { request } = state;
     let isColdWaitCounted = false;
     /** Index of the model's zone to ask, modulo the number of its zones. */
     let zoneIndex = 0;
     for (;;) {
       this.assertCanContinue(request);
       const owner = this.ownerAddress(request.model, zoneIndex);
-      const response = owner === undefined ? undefined : await this.pollOwner(owner, attempts);
+      const response = owner === undefined ? undefined : await this.pollOwner(owner, state);
       if (owner === undefined || response === undefined) {
         zoneIndex += 1;
         await this.backOffBeforeNextOwner(request, zoneIndex);
@@ -270,8 +270,8 @@
   }
 
   /** Polls a queue owner once; undefined when it did not respond. Throws `queue_full`. */
-  private async pollOwner(owner: string, attempts: RequestState): Promise<EnqueueResponse | undefined> {
-    const { request } = attempts;
+  private async pollOwner(owner: string, state: RequestState): Promise<EnqueueResponse | undefined> {
+    const { request } = state;
     const remainingMs = Math.max(1, this.remainingMs(request));
     const holdMs = Math.min(MAX_HOLD_MS, remainingMs);
     const withdraw = (): void => {
@@ -291,7 +291,7 @@
           remainingMs,
           deferrable: request.deferrable,
           affinity: request.affinity,
-          avoid: [...attempts.avoid],
+          avoid: [...state.avoidedWorkers],
           holdMs,
           queueLimit: request.queueLimit,
           directArrivals: this.directory.takeDirectArrivals(request.model.id),
--- a/packages/routing/test/routing.test.ts
+++ b/packages/routing/test/routing.test.ts
@@ -105,7 +105,7 @@
     expect((await second)?.replica.workerId).to.equal('w1');
     // A grant whose response was lost is returned again.
     expect((await test.enqueue('a'))?.replica.workerId).to.equal('w1');
-    expect(test.queue.granted).to.equal(1);
+    expect(test.queue.activeGrants).to.equal(1);
   });
 
   it('rejects new requests when full, and still accepts polls for queued requests', async () => {
