--- a/packages/backends/src/backend-directory.ts
+++ b/packages/backends/src/backend-directory.ts
@@ -1,6 +1,6 @@
 /**
- * The back ends that a daemon knows. Records of the object store lag behind; what the zones' coordinators
- * announce of loads and unloads goes before a record for a while.
+ * Directory of the back ends that a daemon has observed. Since records of the object store are stale for a while,
+ * loads and unloads announced by the zones' coordinators take precedence over them for a limited time.
  */
 import Emittery from 'emittery';
 import type { CancelTimer, Clock } from '@woodbarrow/runtime';
@@ -10,82 +10,83 @@
 
 /** Events of {@link BackendDirectory}. */
 export interface BackendDirectoryEvents {
-  /** A back end appeared or its record changed. */
+  /** A back end was added, or its record or draining state changed. */
   changed: BackEnd;
-  /** A back end is gone. */
+  /** A back end was removed. */
   removed: BackEnd;
-  /** Word came that a target is, or is no longer, resident somewhere. */
+  /** A target was announced to be, or no longer to be, resident on a back end. */
   residency: { readonly backEndId: string; readonly target: ModelTarget; readonly resident: boolean };
 }
 
-/** Milliseconds during which an announcement goes before the worker's own record, which arrives late. */
+/** Milliseconds for which an announcement takes precedence over the worker's own, delayed record. */
 export const ANNOUNCEMENT_PRECEDENCE_MS = 4000;
 /**
- * Milliseconds for which a back end whose record has vanished is still used: records also vanish while the store
- * is in trouble, and come back with the next heartbeat. Well below the time a leaving back end goes on to serve.
+ * Milliseconds for which a back end is still used after its record has vanished. Records also vanish during faults of
+ * the store and return with the next heartbeat. Well below the time for which a leaving back end continues to serve.
  */
 export const ABSENCE_GRACE_MS = 700;
 /**
- * The same for a back end that a copy lacks from which the store was restored: whoever lives records itself again within this time.
+ * Milliseconds for which a back end is still used after a restored copy of the store lacked its record. A running
+ * back end writes its record again within this time.
  */
 export const RESTORED_ABSENCE_GRACE_MS = 2000;
 /**
- * Milliseconds after a restoration within which a back end whose record had vanished before counts as leaving when it is shown again: longer than
- * the store keeps a record that nobody writes.
+ * Milliseconds after a restoration of the store for which a back end whose record had vanished before, and is listed
+ * again, counts as draining. Longer than the store keeps a record that is no longer written.
  */
-export const RESTORED_DISTRUST_MS = 6000;
-/** Milliseconds for which it is remembered that a record has vanished: copies are some seconds old. */
-const VANISHED_MEMORY_MS = 60_000;
+export const RESTORED_LEAVING_MS = 6000;
+/** Milliseconds for which a vanished record is remembered; exceeds the age of the copies the store is restored from. */
+const VANISHED_RETENTION_MS = 60_000;
 /**
- * Milliseconds for which another daemon's word that a back end leaves goes before its record: it ends within seconds, or this daemon
- * hears it itself. What it told this daemon holds for as long as it lives.
+ * Milliseconds for which another daemon's report that a back end leaves takes precedence over its record. By then the
+ * back end has ended or has notified this daemon itself; its own notice does not expire this early.
  */
-export const TOLD_LEAVING_MS = 20_000;
-/** Milliseconds for which it is remembered that a back end leaves whose record has vanished: it may come back. */
-const LEAVING_MEMORY_MS = 600_000;
-/** Milliseconds during which an incarnation that is proven to have ended is not believed to be back. */
-const ENDED_MEMORY_MS = 60_000;
+export const PEER_LEAVING_TTL_MS = 20_000;
+/** Milliseconds for which a leaving back end is remembered, since its record may vanish and return. */
+const LEAVING_RETENTION_MS = 600_000;
+/** Milliseconds for which records of an incarnation that has ended are ignored. */
+const ENDED_RETENTION_MS = 60_000;
 
 interface Announcement {
-  readonly resident: boolean;
-  readonly at: number;
+  readonly isResident: boolean;
+  readonly announcedAt: number;
 }
 
 interface Entry {
-  /** As its record says, but draining where the back end has said that it leaves. */
+  /** The record, marked as draining if the back end is known to leave. */
   backEnd: BackEnd;
-  /** As its record says. */
+  /** The record as last read. */
   record: BackEnd;
   readonly announcements: Map<string, Announcement>;
-  /** Targets in the record. */
-  recorded: ReadonlySet<string>;
-  /** When the record last changed, monotonic. */
+  /** Keys of the targets in the record. */
+  recordedKeys: ReadonlySet<string>;
+  /** Monotonic time of the last change of the record. */
   changedAt: number;
-  /** Set while the record has vanished and the grace runs. */
+  /** Cancels the scheduled removal; set while the record has vanished and the grace period runs. */
   cancelRemoval: CancelTimer | undefined;
 }
 
-/** Back ends by id and by service. */
+/** Tracks back ends, the targets resident on them, and whether they are draining. */
 export class BackendDirectory {
   readonly events = new Emittery<BackendDirectoryEvents>();
   private readonly entries = new Map<string, Entry>();
-  /** Back ends by service, put together when asked for after a change. */
+  /** Cache of the back ends of each service, invalidated by changes. */
   private readonly byService = new Map<string, BackEnd[]>();
-  /** Back ends that are said to hold a target, in their record or by word that may have run out. */
-  private readonly saidToHold = new TargetIndex();
+  /** Back ends that may hold a target by their record or by an announcement, which may have expired. */
+  private readonly holderIndex = new TargetIndex();
   private readonly endedAt = new Map<string, number>();
-  /** Back ends that have said that they leave: monotonic time until which that is believed. */
+  /** Monotonic time until which each leaving back end counts as draining. */
   private readonly leavingUntil = new Map<string, number>();
-  /** Back ends removed as their record had vanished, and when, monotonic. */
+  /** Monotonic time of removal of each back end whose record had vanished. */
   private readonly vanishedAt = new Map<string, number>();
-  /** Monotonic time at which the records were last listed from a copy. */
+  /** Monotonic time at which records were last listed after a restoration of the store. */
   private restoredAt = -Infinity;
-  /** Id of the incarnation that is known under each name. */
+  /** Id of the current incarnation of each name. */
   private readonly idByName = new Map<string, string>();
 
   constructor(private readonly clock: Clock) {}
 
-  /** Back ends of a service, those that are draining included. */
+  /** Returns the back ends of a service, including draining ones. */
   ofService(service: string): readonly BackEnd[] {
     let members = this.byService.get(service);
     if (members === undefined) {
@@ -95,12 +96,12 @@
     return members;
   }
 
-  /** All back ends. */
+  /** Returns all back ends. */
   all(): BackEnd[] {
     return [...this.entries.values()].map((entry) => entry.backEnd);
   }
 
-  /** Number of back ends of each service. */
+  /** Returns the number of back ends of each service. */
   countByService(): ReadonlyMap<string, number> {
     const counts = new Map<string, number>();
     for (const { service } of this.all()) counts.set(service, (counts.get(service) ?? 0) + 1);
@@ -111,107 +112,110 @@
     return this.entries.get(id)?.backEnd;
   }
 
-  /** Milliseconds since the record of a back end last changed here. */
+  /** Returns the milliseconds since this daemon last stored the record of a back end; Infinity if it is unknown. */
   recordAgeMs(id: string): number {
     const entry = this.entries.get(id);
     return entry === undefined ? Infinity : this.clock.monotonic() - entry.changedAt;
   }
 
-  /** The incarnation that is known under a name. */
+  /** Returns the current incarnation of a name. */
   named(name: string): BackEnd | undefined {
     const id = this.idByName.get(name);
     return id === undefined ? undefined : this.get(id);
   }
 
-  /** Enters a back end or a newer record of it. Another incarnation under its name has ended. */
+  /** Adds or updates a back end. An earlier incarnation with the same name is removed, since it has ended. */
   put(backEnd: BackEnd): void {
     if (this.endedAt.has(backEnd.id)) return;
-    const other = this.named(backEnd.name);
-    if (other !== undefined && other.id !== backEnd.id) {
-      // What an incarnation wrote before its end may arrive after the first word of the next.
-      if ((backEnd.startedAt ?? -Infinity) < (other.startedAt ?? -Infinity)) return;
-      this.remove(other.id);
+    const previous = this.named(backEnd.name);
+    if (previous !== undefined && previous.id !== backEnd.id) {
+      // A record written by an earlier incarnation may arrive after the first record of the next one.
+      if ((backEnd.startedAt ?? -Infinity) < (previous.startedAt ?? -Infinity)) return;
+      this.remove(previous.id);
     }
     this.idByName.set(backEnd.name, backEnd.id);
     const now = this.clock.monotonic();
-    this.rememberLeaving(backEnd, now);
-    const known = this.entries.get(backEnd.id);
-    const recorded = recordedTargets(backEnd);
-    if (known === undefined) {
+    this.recordLeaving(backEnd, now);
+    const existing = this.entries.get(backEnd.id);
+    const recordedKeys = recordedTargets(backEnd);
+    if (existing === undefined) {
       this.entries.set(backEnd.id, {
-        backEnd: this.withLeaving(backEnd),
+        backEnd: this.applyLeaving(backEnd),
         record: backEnd,
         announcements: new Map(),
-        recorded,
+        recordedKeys,
         changedAt: now,
         cancelRemoval: undefined,
       });
     } else {
-      known.cancelRemoval?.();
-      known.cancelRemoval = undefined;
-      known.backEnd = this.withLeaving(backEnd);
-      known.record = backEnd;
-      known.recorded = recorded;
-      known.changedAt = now;
+      existing.cancelRemoval?.();
+      existing.cancelRemoval = undefined;
+      existing.backEnd = this.applyLeaving(backEnd);
+      existing.record = backEnd;
+      existing.recordedKeys = recordedKeys;
+      existing.changedAt = now;
     }
-    for (const key of recorded) this.saidToHold.add(key, backEnd.id);
+    for (const key of recordedKeys) this.holderIndex.add(key, backEnd.id);
     this.byService.delete(backEnd.service);
-    void this.events.emit('changed', this.withLeaving(backEnd));
+    void this.events.emit('changed', this.applyLeaving(backEnd));
   }
 
   /**
-   * A back end has said that it leaves, whatever its record says. Returns whether that is new here.
+   * Marks a back end as leaving, whatever its record says. Returns whether it was not marked before.
    *
-   * @param source Whether it told this daemon, or another one.
+   * @param source `answer` if the back end notified this daemon itself, `peer` if another daemon reported it.
    */
   noteLeaving(id: string, source: 'answer' | 'peer'): boolean {
     const now = this.clock.monotonic();
-    this.forgetLeaving(now);
+    this.removeExpiredLeaving(now);
     const isKnown = this.isLeaving(id);
-    const until = source === 'answer' ? now + LEAVING_MEMORY_MS : now + TOLD_LEAVING_MS;
-    this.believeLeaving(id, until);
-    if (source === 'peer') this.clock.schedule(TOLD_LEAVING_MS + 1, () => this.refresh(id));
-    this.refresh(id);
+    const until = source === 'answer' ? now + LEAVING_RETENTION_MS : now + PEER_LEAVING_TTL_MS;
+    this.extendLeaving(id, until);
+    if (source === 'peer') this.clock.schedule(PEER_LEAVING_TTL_MS + 1, () => this.updateDraining(id));
+    this.updateDraining(id);
     return !isKnown;
   }
 
-  /** The record of a name has vanished: its back end is removed unless the record comes back within a grace. */
+  /** Removes a back end whose record has vanished, unless the record returns within the grace period. */
   recordVanished(name: string): void {
-    this.removeLater(name, ABSENCE_GRACE_MS, (id) => this.vanishedAt.set(id, this.clock.monotonic()));
+    this.scheduleRemoval(name, ABSENCE_GRACE_MS, (id) => this.vanishedAt.set(id, this.clock.monotonic()));
   }
 
-  private removeLater(
+  private scheduleRemoval(
     name: string,
     graceMs: number,
-    onRemoved: (id: string) => void = () => undefined,
+    beforeRemoval: (id: string) => void = () => undefined,
   ): void {
     const id = this.idByName.get(name);
     const entry = id === undefined ? undefined : this.entries.get(id);
     if (id === undefined || entry === undefined || entry.cancelRemoval !== undefined) return;
     entry.cancelRemoval = this.clock.schedule(graceMs, () => {
-      onRemoved(id);
-      this.delete(id);
+      beforeRemoval(id);
+      this.removeEntry(id);
     });
   }
 
-  /** An incarnation is proven to have ended: it is removed at once and for good. */
+  /** Removes an incarnation that is known to have ended, and ignores later records of it. */
   remove(id: string): void {
     const now = this.clock.monotonic();
-    this.forgetEnded(now);
+    this.removeExpiredEnded(now);
     this.endedAt.set(id, now);
-    this.delete(id);
+    this.removeEntry(id);
   }
 
-  /** Makes the directory hold just these back ends. */
+  /** Applies a complete list of back ends; those that it lacks count as vanished. */
   replaceAll(backEnds: readonly BackEnd[]): void {
     for (const name of this.namesMissingIn(backEnds)) this.recordVanished(name);
     for (const backEnd of backEnds) this.put(backEnd);
   }
 
-  /** The same as a copy shows them from which the store was restored: newer ones are missing there, and some that had gone are back. */
+  /**
+   * Applies a complete list of back ends after the store was restored from a copy, which lacks newer back ends and may
+   * list some that have ended.
+   */
   restoreAll(backEnds: readonly BackEnd[]): void {
     this.restoredAt = this.clock.monotonic();
-    for (const name of this.namesMissingIn(backEnds)) this.removeLater(name, RESTORED_ABSENCE_GRACE_MS);
+    for (const name of this.namesMissingIn(backEnds)) this.scheduleRemoval(name, RESTORED_ABSENCE_GRACE_MS);
     for (const backEnd of backEnds) this.put(backEnd);
   }
 
@@ -220,73 +224,75 @@
     return [...this.idByName.keys()].filter((name) => !names.has(name));
   }
 
-  /** Notes that a target is, or is no longer, resident on a back end. */
-  announce(id: string, target: ModelTarget, resident: boolean): void {
+  /** Records an announcement that a target is, or is no longer, resident on a back end. */
+  announce(id: string, target: ModelTarget, isResident: boolean): void {
     const entry = this.entries.get(id);
     if (entry === undefined) return;
-    const at = this.clock.elapsed();
+    const announcedAt = this.clock.elapsed();
     const key = targetKey(target);
-    entry.announcements.set(key, { resident, at });
-    if (resident) this.saidToHold.add(key, id);
-    if (target.adapterVersion !== undefined && hasAdapter(target)) this.announceAnyVersion(entry, target, at);
-    void this.events.emit('residency', { backEndId: id, target, resident });
+    entry.announcements.set(key, { isResident, announcedAt });
+    if (isResident) this.holderIndex.add(key, id);
+    if (target.adapterVersion !== undefined && hasAdapter(target))
+      this.announceAnyVersion(entry, target, announcedAt);
+    void this.events.emit('residency', { backEndId: id, target, resident: isResident });
   }
 
-  /** Whether a target is believed to be resident on a back end. */
+  /** Whether a target is resident on a back end, by its announcements and its record. */
   holds(id: string, target: ModelTarget): boolean {
     const entry = this.entries.get(id);
     if (entry === undefined) return false;
-    if (target.adapter !== undefined && !this.believes(entry, target.model)) return false;
-    return this.believes(entry, targetKey(target));
+    if (target.adapter !== undefined && !this.isResident(entry, target.model)) return false;
+    return this.isResident(entry, targetKey(target));
   }
 
-  /** Back ends of a service that take requests and hold a target. */
+  /** Returns the back ends of a service that accept requests and hold a target. */
   holdersOf(service: string, target: ModelTarget): BackEnd[] {
     const holders: BackEnd[] = [];
     const key = targetKey(target);
-    for (const id of this.saidToHold.of(key)) {
+    for (const id of this.holderIndex.backEndsFor(key)) {
       const entry = this.entries.get(id);
-      if (entry === undefined || !isSaidToHold(entry, key)) this.saidToHold.remove(key, id);
+      if (entry === undefined || !mayHold(entry, key)) this.holderIndex.remove(key, id);
       else if (entry.backEnd.service === service && !entry.backEnd.draining && this.holds(id, target))
         holders.push(entry.backEnd);
     }
     return holders;
   }
 
-  /** After word of one version: whether a request that takes any is served. */
-  private announceAnyVersion(entry: Entry, { model, adapter }: AdapterTarget, at: number): void {
+  /** Updates the target without a version after an announcement for one version of its adapter. */
+  private announceAnyVersion(entry: Entry, { model, adapter }: AdapterTarget, announcedAt: number): void {
     const anyVersion = targetKey({ model, adapter });
-    const known = [...entry.recorded, ...entry.announcements.keys()];
-    const resident = known.some((key) => key.startsWith(`${anyVersion}@`) && this.believes(entry, key));
-    entry.announcements.set(anyVersion, { resident, at });
-    if (resident) this.saidToHold.add(anyVersion, entry.backEnd.id);
+    const keys = [...entry.recordedKeys, ...entry.announcements.keys()];
+    const isResident = keys.some((key) => key.startsWith(`${anyVersion}@`) && this.isResident(entry, key));
+    entry.announcements.set(anyVersion, { isResident, announcedAt });
+    if (isResident) this.holderIndex.add(anyVersion, entry.backEnd.id);
   }
 
-  private believes(entry: Entry, key: string): boolean {
-    const word = entry.announcements.get(key);
-    if (word === undefined) return entry.recorded.has(key);
-    if (this.clock.elapsed() - word.at <= ANNOUNCEMENT_PRECEDENCE_MS) return word.resident;
+  private isResident(entry: Entry, key: string): boolean {
+    const announcement = entry.announcements.get(key);
+    if (announcement === undefined) return entry.recordedKeys.has(key);
+    if (this.clock.elapsed() - announcement.announcedAt <= ANNOUNCEMENT_PRECEDENCE_MS)
+      return announcement.isResident;
     entry.announcements.delete(key);
-    return entry.recorded.has(key);
+    return entry.recordedKeys.has(key);
   }
 
   /**
-   * What an incarnation has said of its leaving, or the store of its end, is never taken back; a copy from which the store was restored shows
-   * what was before.
+   * Records that a back end is leaving if its record says so, or if its record had vanished and was listed again after
+   * a restoration. An incarnation never returns from leaving, but a restored copy of the store may show earlier states.
    */
-  private rememberLeaving({ id, draining }: BackEnd, now: number): void {
+  private recordLeaving({ id, draining }: BackEnd, now: number): void {
     if (draining) {
-      this.believeLeaving(id, now + LEAVING_MEMORY_MS);
+      this.extendLeaving(id, now + LEAVING_RETENTION_MS);
       return;
     }
     for (const [vanished, at] of this.vanishedAt)
-      if (now - at > VANISHED_MEMORY_MS) this.vanishedAt.delete(vanished);
-    if (!this.vanishedAt.has(id) || now - this.restoredAt > RESTORED_DISTRUST_MS) return;
-    this.believeLeaving(id, this.restoredAt + RESTORED_DISTRUST_MS);
-    this.clock.schedule(this.restoredAt + RESTORED_DISTRUST_MS - now + 1, () => this.refresh(id));
+      if (now - at > VANISHED_RETENTION_MS) this.vanishedAt.delete(vanished);
+    if (!this.vanishedAt.has(id) || now - this.restoredAt > RESTORED_LEAVING_MS) return;
+    this.extendLeaving(id, this.restoredAt + RESTORED_LEAVING_MS);
+    this.clock.schedule(this.restoredAt + RESTORED_LEAVING_MS - now + 1, () => this.updateDraining(id));
   }
 
-  private believeLeaving(id: string, until: number): void {
+  private extendLeaving(id: string, until: number): void {
     this.leavingUntil.set(id, Math.max(until, this.leavingUntil.get(id) ?? 0));
   }
 
@@ -294,26 +300,26 @@
     return (this.leavingUntil.get(id) ?? -Infinity) > this.clock.monotonic();
   }
 
-  private withLeaving(backEnd: BackEnd): BackEnd {
+  private applyLeaving(backEnd: BackEnd): BackEnd {
     return backEnd.draining || !this.isLeaving(backEnd.id) ? backEnd : { ...backEnd, draining: true };
   }
 
-  /** Works out anew whether a back end counts as draining. */
-  private refresh(id: string): void {
+  /** Updates whether a back end counts as draining. */
+  private updateDraining(id: string): void {
     const entry = this.entries.get(id);
     if (entry === undefined) return;
-    const before = entry.backEnd.draining;
-    entry.backEnd = this.withLeaving(entry.record);
-    if (entry.backEnd.draining === before) return;
+    const wasDraining = entry.backEnd.draining;
+    entry.backEnd = this.applyLeaving(entry.record);
+    if (entry.backEnd.draining === wasDraining) return;
     this.byService.delete(entry.record.service);
     void this.events.emit('changed', entry.backEnd);
   }
 
-  private forgetLeaving(now: number): void {
+  private removeExpiredLeaving(now: number): void {
     for (const [id, until] of this.leavingUntil) if (until <= now) this.leavingUntil.delete(id);
   }
 
-  private delete(id: string): void {
+  private removeEntry(id: string): void {
     const entry = this.entries.get(id);
     if (entry === undefined) return;
     entry.cancelRemoval?.();
@@ -323,16 +329,16 @@
     void this.events.emit('removed', entry.backEnd);
   }
 
-  private forgetEnded(now: number): void {
+  private removeExpiredEnded(now: number): void {
     for (const [id, at] of this.endedAt) {
-      if (now - at > ENDED_MEMORY_MS) this.endedAt.delete(id);
+      if (now - at > ENDED_RETENTION_MS) this.endedAt.delete(id);
     }
   }
 }
 
-/** Whether a target stands in the record of a back end, or there is word of it. */
-function isSaidToHold({ recorded, announcements }: Entry, key: string): boolean {
-  return recorded.has(key) || announcements.has(key);
+/** Whether a target is in the record of a back end or has an announcement. */
+function mayHold({ recordedKeys, announcements }: Entry, key: string): boolean {
+  return recordedKeys.has(key) || announcements.has(key);
 }
 
 function recordedTargets(backEnd: BackEnd): ReadonlySet<string> {
--- a/packages/backends/src/index.ts
+++ b/packages/backends/src/index.ts
@@ -1,8 +1,8 @@
-/** Back ends as the daemons know them. */
+/** Back ends, their services and models, and the load on them. */
 export * from './back-end.js';
 export * from './backend-directory.js';
 export * from './expected-time.js';
-export * from './load-book.js';
+export * from './load-tracker.js';
 export * from './run-times.js';
 export * from './load-report.js';
 export * from './model-name.js';
--- a/packages/backends/src/run-times.ts
+++ b/packages/backends/src/run-times.ts
@@ -1,45 +1,47 @@
-/** How long runs of models take: learnt from runs that have ended, against the tokens that clients expected of them. */
+/** Estimates the duration of model runs from completed runs and the output tokens that clients expected of them. */
 
-/** Milliseconds a token until something is measured, for engines that step in 4 to 5 ms. */
-const FIRST_MS_PER_TOKEN = 6;
-/** Tokens of a run whose client expects no number, until something is measured. */
-const FIRST_TOKENS = 200;
-/** What earlier runs count at each new one; about twenty runs make the figure. */
-const MEMORY = 0.95;
-/** Runs after which a model's own figure is believed; until then that of all models stands. */
-const RUNS_BELIEVED = 5;
+/** Milliseconds per output token before any run has completed. */
+const DEFAULT_MS_PER_TOKEN = 6;
+/** Output tokens assumed for a run without an expected number before any run has completed. */
+const DEFAULT_OUTPUT_TOKENS = 200;
+/** Factor by which each new run reduces the weight of the earlier ones. */
+const DECAY_PER_RUN = 0.95;
+/** Number of (decayed) runs from which a model has its own estimate; below it, that of all models applies. */
+const MIN_RUNS_PER_MODEL = 5;
 
 interface RunSums {
   runs: number;
   tokens: number;
-  tookMs: number;
+  durationMs: number;
 }
 
-/** Times of runs as one daemon sees them. */
+/** Tracks the durations of the runs that one daemon observes, by model. */
 export class RunTimes {
   private readonly byModel = new Map<string, RunSums>();
-  private readonly all: RunSums = { runs: 0, tokens: 0, tookMs: 0 };
+  private readonly allModels: RunSums = { runs: 0, tokens: 0, durationMs: 0 };
 
-  /** Expected milliseconds of a run. @param tokens Tokens out that the client expects; undefined when it tells none. */
+  /** Returns the expected milliseconds of a run. @param tokens Output tokens that the client expects, if stated. */
   expectedMs(model: string, tokens: number | undefined): number {
-    const own = this.byModel.get(model);
-    const sums = own !== undefined && own.runs >= RUNS_BELIEVED ? own : this.all;
-    if (sums.tokens <= 0) return (tokens ?? FIRST_TOKENS) * FIRST_MS_PER_TOKEN;
-    return (tokens ?? sums.tokens / sums.runs) * (sums.tookMs / sums.tokens);
+    const modelSums = this.byModel.get(model);
+    const sums = modelSums !== undefined && modelSums.runs >= MIN_RUNS_PER_MODEL ? modelSums : this.allModels;
+    if (sums.tokens <= 0) return (tokens ?? DEFAULT_OUTPUT_TOKENS) * DEFAULT_MS_PER_TOKEN;
+    return (tokens ?? sums.tokens / sums.runs) * (sums.durationMs / sums.tokens);
   }
 
-  /** Notes a run that has ended well. */
-  note(model: string, tokens: number | undefined, tookMs: number): void {
-    let own = this.byModel.get(model);
-    if (own === undefined) {
-      own = { runs: 0, tokens: 0, tookMs: 0 };
-      this.byModel.set(model, own);
+  /** Records a successful run. */
+  note(model: string, tokens: number | undefined, durationMs: number): void {
+    let modelSums = this.byModel.get(model);
+    if (modelSums === undefined) {
+      modelSums = { runs: 0, tokens: 0, durationMs: 0 };
+      this.byModel.set(model, modelSums);
     }
-    const counted = tokens ?? (this.all.runs > 0 ? this.all.tokens / this.all.runs : FIRST_TOKENS);
-    for (const sums of [own, this.all]) {
-      sums.runs = sums.runs * MEMORY + 1;
-      sums.tokens = sums.tokens * MEMORY + counted;
-      sums.tookMs = sums.tookMs * MEMORY + tookMs;
+    const countedTokens =
+      tokens ??
+      (this.allModels.runs > 0 ? this.allModels.tokens / this.allModels.runs : DEFAULT_OUTPUT_TOKENS);
+    for (const sums of [modelSums, this.allModels]) {
+      sums.runs = sums.runs * DECAY_PER_RUN + 1;
+      sums.tokens = sums.tokens * DECAY_PER_RUN + countedTokens;
+      sums.durationMs = sums.durationMs * DECAY_PER_RUN + durationMs;
     }
   }
 }
--- a/packages/placement/src/load-cost.ts
+++ b/packages/placement/src/load-estimate.ts
@@ -1,11 +1,11 @@
-/** How long a load would take on each worker, by the nearest copy of the checkpoint. */
+/** Estimates the load time of a model on a worker from the nearest copy of its checkpoint. */
 import type { CatalogModel } from '@woodbarrow/configuration';
 import type { WorkerView } from './worker-view.js';
 
-/** Where a checkpoint comes from. */
+/** Source of a checkpoint: the worker's host memory or disk, another worker's cache, or the weight store. */
 export type LoadSource = 'host' | 'disk' | 'peer' | 'remote';
 
-/** Estimated load of one model on one worker. */
+/** Estimated load time of one model on one worker. */
 export interface LoadEstimate {
   readonly source: LoadSource;
   readonly seconds: number;
@@ -13,27 +13,27 @@
   readonly copyFrom?: string;
 }
 
-/** Time to copy from a peer's cache, as a share of the time from the weight store. */
-const PEER_COPY_SHARE = 0.4;
+/** Ratio of the load time from a peer's cache to that from the weight store. */
+const PEER_COPY_TIME_RATIO = 0.4;
 
-/** Name of a model's checkpoint in the workers' caches. */
+/** Returns the name of a model's checkpoint in the workers' caches, `name@version`. */
 export function checkpointOf(model: CatalogModel): string {
   return `${model.parameters.name}@${model.parameters.version}`;
 }
 
-/** Live workers by checkpoint that they have a copy of, in host memory or on disk. */
+/** Live workers that have a copy of a checkpoint in host memory or on disk, by checkpoint. */
 export type CheckpointCopies = ReadonlyMap<string, readonly string[]>;
 
-/** Finds all copies in a zone, once for many estimates. */
+/** Indexes all checkpoint copies of a zone, so that many estimates can share the index. */
 export function findCopies(workers: Iterable<WorkerView>): CheckpointCopies {
   const copies = new Map<string, string[]>();
   for (const worker of workers) {
     if (worker.inventory === undefined || worker.machineState !== 'live') continue;
     const { hostCache, diskCache } = worker.inventory;
     for (const checkpoint of new Set([...hostCache, ...diskCache])) {
-      const known = copies.get(checkpoint);
-      if (known === undefined) copies.set(checkpoint, [worker.id]);
-      else known.push(worker.id);
+      const holders = copies.get(checkpoint);
+      if (holders === undefined) copies.set(checkpoint, [worker.id]);
+      else holders.push(worker.id);
     }
   }
   return copies;
@@ -53,5 +53,5 @@
     return { source: 'disk', seconds: loadSeconds.disk };
   const peer = copies.get(checkpoint)?.find((id) => id !== worker.id);
   if (peer === undefined) return { source: 'remote', seconds: loadSeconds.remote };
-  return { source: 'peer', seconds: loadSeconds.remote * PEER_COPY_SHARE, copyFrom: peer };
+  return { source: 'peer', seconds: loadSeconds.remote * PEER_COPY_TIME_RATIO, copyFrom: peer };
 }
--- a/packages/placement/src/worker-agent.ts
+++ b/packages/placement/src/worker-agent.ts
@@ -1,11 +1,11 @@
-/** The task of one worker under one lease: one order at a time, each outcome established before the next. */
+/** Sends orders to one worker during one lease, one at a time, each only after the outcome of the previous one. */
 import type { Lease } from '@woodbarrow/coordination';
 import type { CatalogModel } from '@woodbarrow/configuration';
 import type { EngineClient, EngineOrder, Inventory } from '@woodbarrow/engine';
 import { isKind } from '@woodbarrow/errors';
 import { Wakeup, type Clock } from '@woodbarrow/runtime';
-import { checkpointOf, type LoadEstimate } from './load-cost.js';
-import { UNANSWERED_LIMIT, workerRecordKey, type Holding, type WorkerView } from './worker-view.js';
+import { checkpointOf, type LoadEstimate } from './load-estimate.js';
+import { MAX_UNANSWERED_CALLS, workerRecordKey, type Holding, type WorkerView } from './worker-view.js';
 
 /** Options of {@link WorkerAgent}. */
 export interface WorkerAgentOptions {
@@ -19,22 +19,22 @@
     ordersRefused: number;
     ordersUnanswered: number;
   };
-  /** Pause between two inventories while nothing is under way. */
+  /** Milliseconds between two inventory polls while no load or unload is in progress. */
   readonly idlePollMs: () => number;
   readonly busyPollMs: number;
-  /** Called when the worker's inventory has changed. */
+  /** Called when the worker's inventory or its availability has changed. */
   readonly onChange: () => void;
 }
 
 interface QueuedOrder {
   readonly order: EngineOrder;
-  /** Memory that the order commits, recorded before it is sent. */
+  /** Memory that the order commits; replicated before the order is sent. */
   readonly holding?: Holding;
 }
 
-const UNREACHED_RETRY_MS = 500;
+const UNREACHABLE_RETRY_MS = 500;
 
-/** Sends orders to one worker and follows its inventory. */
+/** Executes the queued orders of one worker and polls its inventory. */
 export class WorkerAgent {
   private readonly queue: QueuedOrder[] = [];
   private readonly wakeup = new Wakeup();
@@ -42,7 +42,7 @@
 
   constructor(private readonly options: WorkerAgentOptions) {}
 
-  /** Queues a load. Its memory counts as committed from now on. */
+  /** Queues a load. Its memory counts as committed immediately. */
   load(model: CatalogModel, estimate: LoadEstimate): void {
     const { worker } = this.options;
     const holding: Holding = { model: model.id, memoryGib: model.parameters.memoryGib };
@@ -61,17 +61,17 @@
     });
   }
 
-  /** Queues an unload; the engine finishes what runs first. */
+  /** Queues an unload; the engine completes running requests first. */
   unload(model: string): void {
     this.enqueue({ order: { type: 'unload', model } });
   }
 
-  /** Queues the load of an adapter. */
+  /** Queues the load of an adapter, unless it is already queued. */
   loadAdapter(model: string, adapter: string, memoryGib: number): void {
-    const already = this.queue.some(
+    const isQueued = this.queue.some(
       ({ order }) => order.type === 'load_adapter' && order.adapter === adapter,
     );
-    if (already) return;
+    if (isQueued) return;
     const base = this.options.worker.loaded(model)?.memoryGib ?? 0;
     this.enqueue({
       holding: { model, memoryGib: base + memoryGib },
@@ -79,24 +79,24 @@
     });
   }
 
-  /** Asks for the inventory now: a request was refused or failed there. */
+  /** Polls the inventory without delay, after a request was refused or failed on the worker. */
   pollSoon(): void {
-    if (this.options.worker.unanswered === 0) this.wakeup.wake();
+    if (this.options.worker.unansweredCalls === 0) this.wakeup.wake();
   }
 
-  /** Ends the task. */
+  /** Stops the task after the current step. */
   stop(): void {
     this.stopped = true;
     this.wakeup.wake();
   }
 
-  /** The task itself. */
+  /** Runs the task until it is stopped or aborted, or the lease ends. */
   async run(signal: AbortSignal): Promise<void> {
     const { lease } = this.options;
     while (!signal.aborted && !this.stopped && lease.isValid) {
       const next = this.queue[0];
-      if (!this.options.worker.reached || this.options.worker.outcomeOpen) await this.raiseFence();
-      else if (next !== undefined) await this.carryOut(next);
+      if (!this.options.worker.isReached || this.options.worker.hasUnknownOutcome) await this.raiseFence();
+      else if (next !== undefined) await this.execute(next);
       else await this.poll();
       await this.pause(signal);
     }
@@ -104,58 +104,60 @@
 
   private enqueue(order: QueuedOrder): void {
     this.queue.push(order);
-    // A worker that does not answer is asked again in its own time.
-    if (this.options.worker.unanswered === 0) this.wakeup.wake();
+    // An unresponsive worker is retried at its own interval.
+    if (this.options.worker.unansweredCalls === 0) this.wakeup.wake();
   }
 
   private async pause(signal: AbortSignal): Promise<void> {
     const { worker, clock } = this.options;
-    if (this.queue.length > 0 && worker.unanswered === 0 && !worker.outcomeOpen) return;
+    if (this.queue.length > 0 && worker.unansweredCalls === 0 && !worker.hasUnknownOutcome) return;
     await this.wakeup.wait(clock, this.pauseMs(), signal);
   }
 
   private pauseMs(): number {
     const { worker, idlePollMs, busyPollMs } = this.options;
-    if (worker.unanswered > 0 || worker.outcomeOpen) return UNREACHED_RETRY_MS;
+    if (worker.unansweredCalls > 0 || worker.hasUnknownOutcome) return UNREACHABLE_RETRY_MS;
     const busy = worker.inventory?.models.some((entry) => entry.state !== 'ready') ?? false;
     return busy || worker.retiring.size > 0 ? busyPollMs : idlePollMs();
   }
 
-  /** Makes every earlier order ineffective, and learns what the worker really holds. */
+  /** Raises the worker's fence, which voids all earlier orders, and applies the returned inventory. */
   private async raiseFence(): Promise<void> {
     const { worker, lease, engines } = this.options;
     if (!lease.isValid) return;
     try {
       const order: EngineOrder = { type: 'raise_fence' };
       const inventory = await engines.order(worker.origin, lease.nextOrderNumber(), order, worker.inventory);
-      worker.outcomeOpen = false;
-      this.confirm(inventory);
+      worker.hasUnknownOutcome = false;
+      this.applyInventory(inventory);
     } catch (error) {
-      this.noteFailure(error);
+      this.handleFailure(error);
     }
   }
 
-  private async carryOut(next: QueuedOrder): Promise<void> {
+  private async execute(next: QueuedOrder): Promise<void> {
     const { worker, lease, engines, counters } = this.options;
     this.queue.shift();
     if (next.holding !== undefined) {
       worker.intents.set(next.holding.model, next.holding);
       if (!(await this.recordHoldings())) return;
     }
-    // Nothing may stand between this check and the sending.
+    // No await may come between this check and sending the order.
     if (!lease.isValid) return;
     if (next.order.type === 'load') counters.loadsOrdered += 1;
     if (next.order.type === 'unload') counters.unloadsOrdered += 1;
     try {
-      this.confirm(await engines.order(worker.origin, lease.nextOrderNumber(), next.order, worker.inventory));
+      this.applyInventory(
+        await engines.order(worker.origin, lease.nextOrderNumber(), next.order, worker.inventory),
+      );
     } catch (error) {
-      worker.outcomeOpen = true;
+      worker.hasUnknownOutcome = true;
       if (next.order.type === 'unload') worker.retiring.delete(next.order.model);
-      this.noteFailure(error);
+      this.handleFailure(error);
     }
   }
 
-  /** Replicates what the worker may hold. When that fails the order is not sent: the plan asks again. */
+  /** Replicates the worker's holdings; returns false on failure. The order is then not sent but planned again. */
   private async recordHoldings(): Promise<boolean> {
     const { worker, lease } = this.options;
     try {
@@ -169,27 +171,27 @@
   private async poll(): Promise<void> {
     const { worker, engines } = this.options;
     try {
-      this.confirm(await engines.inventory(worker.origin, worker.inventory));
+      this.applyInventory(await engines.inventory(worker.origin, worker.inventory));
     } catch (error) {
-      this.noteFailure(error);
+      this.handleFailure(error);
     }
   }
 
-  private confirm(inventory: Inventory): void {
+  private applyInventory(inventory: Inventory): void {
     const { worker, clock, onChange } = this.options;
-    const before = worker.inventory?.generation;
-    const wasOpen = worker.mayHoldAnything || worker.intents.size > 0 || worker.unanswered > 0;
-    worker.confirm(inventory, clock.monotonic());
+    const previousGeneration = worker.inventory?.generation;
+    const wasUncertain = worker.hasUnknownHoldings || worker.intents.size > 0 || worker.unansweredCalls > 0;
+    worker.applyInventory(inventory, clock.monotonic());
     for (const { holding } of this.queue) {
       if (holding !== undefined) worker.intents.set(holding.model, holding);
     }
-    if (wasOpen || before !== inventory.generation) onChange();
+    if (wasUncertain || previousGeneration !== inventory.generation) onChange();
   }
 
-  private noteFailure(error: unknown): void {
+  private handleFailure(error: unknown): void {
     const { worker, counters, lease, onChange } = this.options;
     if (isKind(error, 'fence_too_low')) {
-      // Another coordinator has been at this worker: this lease is over, whatever the clock says.
+      // Another coordinator has raised the fence: this lease has ended, even if its time has not expired.
       counters.ordersRefused += 1;
       lease.end();
       return;
@@ -199,7 +201,7 @@
       return;
     }
     counters.ordersUnanswered += 1;
-    worker.unanswered += 1;
-    if (worker.unanswered === UNANSWERED_LIMIT) onChange();
+    worker.unansweredCalls += 1;
+    if (worker.unansweredCalls === MAX_UNANSWERED_CALLS) onChange();
   }
 }
--- a/packages/routing/src/queue-owner.ts
+++ b/packages/routing/src/queue-owner.ts
@@ -1,4 +1,4 @@
-/** The queue owner: orders the waiting requests of the models it owns in its zone, and reports their demand. */
+/** The queue owner: queues the waiting requests of its models in its zone and reports their demand. */
 import { ownerByRendezvous, type LeaseLocator } from '@woodbarrow/coordination';
 import type { Membership } from '@woodbarrow/membership';
 import type { PeerNetwork } from '@woodbarrow/peering';
@@ -30,31 +30,34 @@
   readonly onTaskFailure?: (name: string, error: unknown) => void;
 }
 
-/** Pause between two reports while something waits. */
-const BUSY_REPORT_MS = 250;
-/** Pause between two reports while something runs. */
-const IDLE_REPORT_MS = 1000;
-/** Requests that arrive together are reported together. */
-const COALESCE_MS = 3;
-const SWEEP_MS = 1000;
-/** A queue unused for this long is dropped. */
-const FORGET_QUEUE_MS = 120_000;
+/** Pause between two demand reports while requests wait. */
+const BUSY_REPORT_INTERVAL_MS = 250;
+/** Maximum pause between two demand reports while no request waits. */
+const IDLE_REPORT_INTERVAL_MS = 1000;
+/** Delay before a report, so that requests that arrive together share one report. */
+const REPORT_COALESCE_MS = 3;
+const SWEEP_INTERVAL_MS = 1000;
+/** Time without requests after which an idle queue is removed. */
+const IDLE_QUEUE_EXPIRY_MS = 120_000;
 const REPORT_TIMEOUT_MS = 1000;
 
-/** Owns queues for as long as requests come to it. Two owners of one model are harmless: engines limit themselves. */
+/**
+ * Owns the queues of the models whose requests arrive here. Two owners of one model are safe for a while, since
+ * engines enforce their own concurrency limits.
+ */
 export class QueueOwner extends BackgroundService {
   private readonly queues = new Map<string, ModelQueue>();
-  /** Models that have changed since the last report. */
-  private readonly changed = new Set<string>();
+  /** Models to include in the next report although their queues may be idle. */
+  private readonly changedModels = new Set<string>();
   private readonly wakeup = new Wakeup();
-  /** Highest fence of a coordinator heard of; a former coordinator's word is dropped. */
-  private fence = 0;
+  /** Highest fencing token received from a coordinator; updates with a lower one are ignored. */
+  private highestFence = 0;
 
   constructor(private readonly options: QueueOwnerOptions) {
     super(options.clock, options.onTaskFailure);
   }
 
-  /** Starts answering. */
+  /** Registers the peer handlers and starts the reporting and sweeping tasks. */
   start(): void {
     const { peers, membership } = this.options;
     peers.handle(enqueueMethod, (request) => this.enqueue(request));
@@ -64,28 +67,28 @@
     });
     peers.handle(grantEndedMethod, (request) => {
       this.queues.get(request.model)?.endGrant(request.requestId, request.workerId, request.result);
-      if (request.result !== 'completed') this.reportSoon(request.model);
+      if (request.result !== 'completed') this.scheduleReport(request.model);
       return {};
     });
     peers.handle(replicasChangedMethod, (request) => {
-      this.onReplicasChanged(request);
+      this.handleReplicasChanged(request);
       return {};
     });
     peers.handle(describeQueuesMethod, () => ({
       queues: [...this.queues.values()].map((queue) => ({
         model: queue.model,
         waiting: queue.waiting,
-        granted: queue.granted,
-        replicas: queue.knownReplicas.length,
+        granted: queue.activeGrants,
+        replicas: queue.currentReplicas.length,
       })),
     }));
     membership.events.on('down', (member) => {
-      for (const queue of this.queues.values()) queue.routerGone(member.id);
+      for (const queue of this.queues.values()) queue.removeRouter(member.id);
     });
     this.tasks.spawn('routing.report', (signal) => this.reportLoop(signal));
     this.tasks.loop(
       'routing.sweep',
-      () => SWEEP_MS,
+      () => SWEEP_INTERVAL_MS,
       () => {
         this.sweep();
         return Promise.resolve();
@@ -93,7 +96,7 @@
     );
   }
 
-  /** Requests waiting at this owner. */
+  /** Number of requests that wait in all queues of this owner. */
   get waiting(): number {
     let waiting = 0;
     for (const queue of this.queues.values()) waiting += queue.waiting;
@@ -101,22 +104,22 @@
   }
 
   private async enqueue(request: EnqueueRequest): Promise<EnqueueResponse> {
-    const queue = this.queueOf(request.model);
-    const cold = queue.knownReplicas.every((replica) => !replica.accepting);
+    const queue = this.getOrCreateQueue(request.model);
+    const isCold = queue.currentReplicas.every((replica) => !replica.accepting);
     const granted = queue.enqueue(request);
-    if (queue.waiting > 0) this.reportSoon(request.model);
-    else this.changed.add(request.model);
+    if (queue.waiting > 0) this.scheduleReport(request.model);
+    else this.changedModels.add(request.model);
     const grant = await granted;
     const response = {
-      replicas: queue.knownReplicas,
+      replicas: queue.currentReplicas,
       scarce: queue.isScarce,
       saturated: queue.isSaturated,
-      waitedForLoad: cold,
+      waitedForLoad: isCold,
     };
     return grant === undefined ? response : { ...response, replica: grant.replica };
   }
 
-  private queueOf(model: string): ModelQueue {
+  private getOrCreateQueue(model: string): ModelQueue {
     let queue = this.queues.get(model);
     if (queue === undefined) {
       queue = new ModelQueue(model, this.options.clock, this.options.random);
@@ -125,20 +128,20 @@
     return queue;
   }
 
-  private onReplicasChanged(request: ReplicasChangedRequest): void {
-    if (request.fence < this.fence) return;
-    this.fence = request.fence;
-    this.takeIn(request.models);
+  private handleReplicasChanged(request: ReplicasChangedRequest): void {
+    if (request.fence < this.highestFence) return;
+    this.highestFence = request.fence;
+    this.applyReplicas(request.models);
   }
 
-  private takeIn(models: readonly ModelReplicas[]): void {
+  private applyReplicas(models: readonly ModelReplicas[]): void {
     for (const { model, replicas } of models) {
-      if (replicas.length > 0 || this.queues.has(model)) this.queueOf(model).setReplicas(replicas);
+      if (replicas.length > 0 || this.queues.has(model)) this.getOrCreateQueue(model).setReplicas(replicas);
     }
   }
 
-  private reportSoon(model: string): void {
-    this.changed.add(model);
+  private scheduleReport(model: string): void {
+    this.changedModels.add(model);
     this.wakeup.wake();
   }
 
@@ -146,17 +149,17 @@
     const { clock } = this.options;
     while (!signal.aborted) {
       await this.report();
-      const somethingWaits = [...this.queues.values()].some((queue) => queue.waiting > 0);
-      await this.wakeup.wait(clock, somethingWaits ? BUSY_REPORT_MS : IDLE_REPORT_MS, signal);
-      await sleep(clock, COALESCE_MS, signal);
+      const hasWaiters = [...this.queues.values()].some((queue) => queue.waiting > 0);
+      await this.wakeup.wait(clock, hasWaiters ? BUSY_REPORT_INTERVAL_MS : IDLE_REPORT_INTERVAL_MS, signal);
+      await sleep(clock, REPORT_COALESCE_MS, signal);
     }
   }
 
-  /** Reports all models that are in use; the answer tells where their replicas are. */
+  /** Reports the demand of all active models; the response lists their replicas. */
   private async report(): Promise<void> {
     const { locator, coordinatorGroup, peers, membership } = this.options;
     const active = [...this.queues.values()].filter(
-      (queue) => !queue.isIdle || this.changed.has(queue.model),
+      (queue) => !queue.isIdle || this.changedModels.has(queue.model),
     );
     if (active.length === 0) return;
     const coordinator = await locator.find(coordinatorGroup);
@@ -164,14 +167,14 @@
     const models = active.map((queue) => queue.model);
     const demands = active.map((queue) => queue.takeDemand());
     try {
-      const answer = await peers.call(
+      const response = await peers.call(
         coordinator.address,
         reportDemandMethod,
         { owner: membership.local.id, demands },
         { timeoutMs: REPORT_TIMEOUT_MS },
       );
-      for (const model of models) this.changed.delete(model);
-      this.takeIn(answer.models);
+      for (const model of models) this.changedModels.delete(model);
+      this.applyReplicas(response.models);
     } catch {
       locator.forget(coordinatorGroup);
     }
@@ -181,12 +184,12 @@
     const now = this.options.clock.monotonic();
     for (const [model, queue] of this.queues) {
       queue.sweep();
-      if (queue.isIdle && now - queue.lastUsedAt > FORGET_QUEUE_MS) this.queues.delete(model);
+      if (queue.isIdle && now - queue.lastUsedAt > IDLE_QUEUE_EXPIRY_MS) this.queues.delete(model);
     }
   }
 }
 
-/** The daemon that owns a model's queue in a zone, by the present view. */
+/** Returns the daemon that owns a model's queue in a zone, by rendezvous hashing over the current members. */
 export function queueOwnerOf(
   membership: Membership,
   zone: string,
--- a/packages/routing/src/replica-directory.ts
+++ b/packages/routing/src/replica-directory.ts
@@ -1,21 +1,21 @@
-/** Replicas that a router may send to directly, as last told by the queue owner. */
+/** Cache of the replicas that a router may send requests to directly, as last reported by the queue owner. */
 import type { ReplicaInfo } from '@woodbarrow/protocol';
 import type { Clock, Random } from '@woodbarrow/runtime';
 import type { CircuitBreakers } from './circuit-breaker.js';
 
-/** What a router was told stays good for this long. */
-const VALID_MS = 2000;
-/** Share of a replica's concurrency that routers may use without asking. */
-const DIRECT_SHARE = 0.5;
+/** Time for which a queue owner's response is cached. */
+const ENTRY_TTL_MS = 2000;
+/** Share of a replica's concurrency that a router may use without a grant. */
+const DIRECT_CONCURRENCY_SHARE = 0.5;
 
 interface DirectoryEntry {
   readonly replicas: readonly ReplicaInfo[];
   readonly scarce: boolean;
-  readonly until: number;
+  readonly expiresAt: number;
   directArrivals: number;
 }
 
-/** One router's knowledge of replicas. */
+/** Caches the replicas of each model for one router, and counts its requests in flight by worker. */
 export class ReplicaDirectory {
   private readonly entries = new Map<string, DirectoryEntry>();
   private readonly inFlight = new Map<string, number>();
@@ -26,22 +26,22 @@
     private readonly breakers: CircuitBreakers,
   ) {}
 
-  /** Takes in a queue owner's word. */
+  /** Stores the replicas from a queue owner's response. */
   update(model: string, replicas: readonly ReplicaInfo[], scarce: boolean): void {
     this.entries.set(model, {
       replicas,
       scarce,
-      until: this.clock.monotonic() + VALID_MS,
+      expiresAt: this.clock.monotonic() + ENTRY_TTL_MS,
       directArrivals: 0,
     });
   }
 
-  /** Forgets a model's replicas, after one of them turned out not to take work. */
+  /** Removes a model's replicas after one of them did not accept a request. */
   invalidate(model: string): void {
     this.entries.delete(model);
   }
 
-  /** Requests sent directly since the owner was last asked; resets the count. */
+  /** Returns the number of requests sent directly since the queue owner was last polled, and resets it. */
   takeDirectArrivals(model: string): number {
     const entry = this.entries.get(model);
     const arrivals = entry?.directArrivals ?? 0;
@@ -49,39 +49,39 @@
     return arrivals;
   }
 
-  /** A replica to send to without asking, or undefined when the owner must be asked. */
+  /** Chooses a replica that needs no grant; undefined when the queue owner must grant one. */
   chooseDirect(model: string, adapter: string): ReplicaInfo | undefined {
     const entry = this.entries.get(model);
-    if (entry === undefined || entry.scarce || entry.until < this.clock.monotonic()) return undefined;
-    const usable = entry.replicas.filter(
+    if (entry === undefined || entry.scarce || entry.expiresAt < this.clock.monotonic()) return undefined;
+    const eligible = entry.replicas.filter(
       (replica) =>
         replica.accepting &&
         (adapter === '' || replica.adapters.includes(adapter)) &&
-        this.breakers.allows(replica.workerId) &&
-        this.load(replica) < replica.concurrency * DIRECT_SHARE,
+        this.breakers.canTry(replica.workerId) &&
+        this.loadOf(replica) < replica.concurrency * DIRECT_CONCURRENCY_SHARE,
     );
-    const first = this.random.pick(usable);
-    const second = this.random.pick(usable);
+    const first = this.random.pick(eligible);
+    const second = this.random.pick(eligible);
     if (first === undefined || second === undefined) return undefined;
     entry.directArrivals += 1;
-    return this.load(first) <= this.load(second) ? first : second;
+    return this.loadOf(first) <= this.loadOf(second) ? first : second;
   }
 
-  /** Counts a request sent to a worker; returns the function that ends it. */
+  /** Counts a request in flight to a worker; returns an idempotent function that ends it. */
   beginRequest(workerId: string): () => void {
     this.inFlight.set(workerId, (this.inFlight.get(workerId) ?? 0) + 1);
     let ended = false;
     return () => {
       if (ended) return;
       ended = true;
-      const left = (this.inFlight.get(workerId) ?? 1) - 1;
-      if (left === 0) this.inFlight.delete(workerId);
-      else this.inFlight.set(workerId, left);
+      const remaining = (this.inFlight.get(workerId) ?? 1) - 1;
+      if (remaining === 0) this.inFlight.delete(workerId);
+      else this.inFlight.set(workerId, remaining);
     };
   }
 
-  /** Own requests under way, and what others were last reported to run. */
-  private load(replica: ReplicaInfo): number {
+  /** Requests on a replica: the larger of this router's own in flight and the last reported number. */
+  private loadOf(replica: ReplicaInfo): number {
     return Math.max(this.inFlight.get(replica.workerId) ?? 0, replica.running);
   }
 }
--- a/packages/routing/src/router.ts
+++ b/packages/routing/src/router.ts
@@ -1,6 +1,6 @@
 /**
- * The router: takes one admitted request to one replica and its answer back. It alone answers for the request:
- * served, or refused within the allowed wait, with a truthful word on whether it ran.
+ * The router: sends an admitted request to a replica and returns the response. Each request is either served or
+ * rejected within its maximum wait, and a rejection states whether the request may have run.
  */
 import type { CatalogModel } from '@woodbarrow/configuration';
 import type { EngineClient } from '@woodbarrow/engine';
@@ -42,24 +42,24 @@
 export interface RoutedRequest {
   readonly requestId: string;
   readonly model: CatalogModel;
-  /** Empty for the base model. */
+  /** Name of the adapter; empty for the base model. */
   readonly adapter: string;
   readonly path: string;
   readonly body: Uint8Array;
   readonly streaming: boolean;
   readonly priority: number;
   readonly deferrable: boolean;
-  /** Monotonic time at which the request came in. */
+  /** Monotonic time at which the request was received. */
   readonly receivedAt: number;
-  /** Monotonic time by which the answer must have begun. */
+  /** Monotonic time by which the response must have begun. */
   readonly deadline: number;
-  /** Milliseconds that a whole answer may take once it was sent to a replica. */
+  /** Maximum milliseconds until a replica has returned a whole (not streamed) response. */
   readonly runLimitMs: number;
-  /** Whether a second run would do no harm. */
+  /** Whether the request is idempotent, so that it may be retried after an unknown outcome. */
   readonly repeatable: boolean;
   readonly affinity: number;
   readonly queueLimit: number;
-  /** Aborts when the caller has gone. */
+  /** Aborts when the caller disconnects. */
   readonly signal: AbortSignal;
 }
 
@@ -74,32 +74,32 @@
   coldWaits: number;
 }
 
-const HOLD_MS = 1000;
-const HOLD_ANSWER_MARGIN_MS = 600;
+const MAX_HOLD_MS = 1000;
+const HOLD_RESPONSE_MARGIN_MS = 600;
 const BACKOFF = { initialMs: 30, maximumMs: 500 };
-/** The answer goes out this long before the allowed wait ends, so that it arrives within. */
-const ANSWER_MARGIN_MS = 30;
-/** Refusals of this module that say that the request was not run. */
+/** Time before the deadline at which a response must be sent, so that it arrives before the deadline. */
+const RESPONSE_MARGIN_MS = 30;
+/** Error kinds of this module that state that the request was not run. */
 const NOT_RUN_KINDS = ['wait_expired', 'engine_refused', 'queue_full', 'stopping', 'caller_gone'] as const;
 const RETRY_BUDGET = { ratio: 0.2, minimumPerSecond: 5, maximumSaved: 50 };
 
-/** A replica to try, with how it was come by. */
+/** A replica to try. */
 interface Dispatch {
   readonly replica: ReplicaInfo;
-  /** Address of the owner that granted it; undefined when the router chose by itself. */
+  /** Address of the queue owner that granted the replica; undefined when the router chose it without a grant. */
   readonly grantedBy: string | undefined;
 }
 
-/** State of one request on its way. */
-interface Attempts {
+/** State of one request over all its attempts. */
+interface RequestState {
   readonly request: RoutedRequest;
-  readonly avoid: Set<string>;
-  count: number;
-  /** True once an attempt's outcome was not known: no later refusal may say that the request was not run. */
+  readonly avoidedWorkers: Set<string>;
+  attemptCount: number;
+  /** Set once an attempt had an unknown outcome: no later error may state that the request was not run. */
   mayHaveRun: boolean;
 }
 
-/** Routes requests. */
+/** Routes requests to replicas, with retries. */
 export class Router {
   readonly counters: RouterCounters = {
     direct: 0,
@@ -113,8 +113,8 @@
   private readonly breakers: CircuitBreakers;
   private readonly directory: ReplicaDirectory;
   private readonly retryBudget: RetryBudget;
-  /** Requests with a later deadline than this are not waited for any more. */
-  private waitLimit = Infinity;
+  /** Monotonic time; requests with a later deadline no longer wait. Infinity until a planned stop. */
+  private latestWaitDeadline = Infinity;
 
   constructor(private readonly options: RouterOptions) {
     this.breakers = new CircuitBreakers(options.clock);
@@ -123,42 +123,42 @@
   }
 
   /**
-   * Serves a request: resolves with the engine's answer once it has begun.
+   * Routes a request and resolves with the engine's response once it has begun.
    *
-   * @throws WoodbarrowError whose `ran` says whether the request ran.
+   * @throws WoodbarrowError whose `ran` states whether the request ran.
    */
   async route(request: RoutedRequest): Promise<HttpResponse> {
     this.retryBudget.recordAttempt();
-    const attempts: Attempts = { request, avoid: new Set(), count: 0, mayHaveRun: false };
+    const state: RequestState = { request, avoidedWorkers: new Set(), attemptCount: 0, mayHaveRun: false };
     try {
-      return await this.routeWithRetries(attempts);
+      return await this.routeWithRetries(state);
     } catch (error) {
-      if (!attempts.mayHaveRun || !isKind(error, ...NOT_RUN_KINDS)) throw error;
+      if (!state.mayHaveRun || !isKind(error, ...NOT_RUN_KINDS)) throw error;
       throw new WoodbarrowError('outcome_unknown', `an earlier attempt may have run: ${error.message}`);
     }
   }
 
-  private async routeWithRetries(attempts: Attempts): Promise<HttpResponse> {
+  private async routeWithRetries(state: RequestState): Promise<HttpResponse> {
     for (;;) {
-      const dispatch = await this.findReplica(attempts);
-      const response = await this.tryReplica(attempts, dispatch);
+      const dispatch = await this.findReplica(state);
+      const response = await this.tryReplica(state, dispatch);
       if (response !== undefined) return response;
-      attempts.count += 1;
-      await this.pauseBeforeRetry(attempts);
+      state.attemptCount += 1;
+      await this.backOffBeforeRetry(state);
     }
   }
 
   /**
-   * Before a planned stop: requests that wait, and whose wait would end after monotonic time `limit`, are refused
-   * as not run, so that their callers can go to another daemon at once.
+   * Prepares a planned stop: rejects waiting requests with a deadline after the given monotonic time as not run, so
+   * that their callers can use another daemon at once.
    */
-  refuseWaitingBeyond(limit: number): void {
-    this.waitLimit = limit;
+  refuseWaitingBeyond(latestDeadline: number): void {
+    this.latestWaitDeadline = latestDeadline;
   }
 
-  /** One attempt: the response, or undefined when the request certainly did not run and may be tried again. */
-  private async tryReplica(attempts: Attempts, dispatch: Dispatch): Promise<HttpResponse | undefined> {
-    const { request } = attempts;
+  /** Makes one attempt. Returns the response, or undefined when the request may be tried again. */
+  private async tryReplica(state: RequestState, dispatch: Dispatch): Promise<HttpResponse | undefined> {
+    const { request } = state;
     const { replica } = dispatch;
     const endRequest = this.directory.beginRequest(replica.workerId);
     const finish = (result: 'completed' | 'refused' | 'failed'): void => {
@@ -174,10 +174,10 @@
       adapter: request.adapter,
       priority: request.priority,
       signal: request.signal,
-      headTimeoutMs: this.headTimeoutOf(request),
+      headTimeoutMs: this.responseHeadTimeoutMs(request),
     });
     if (start.outcome === 'started') {
-      this.breakers.succeeded(replica.workerId);
+      this.breakers.recordSuccess(replica.workerId);
       return forwardStream(start.response, request.streaming, finish);
     }
     if (start.outcome === 'rejected') {
@@ -185,95 +185,95 @@
       return start.response;
     }
     this.directory.invalidate(request.model.id);
-    attempts.avoid.add(replica.workerId);
+    state.avoidedWorkers.add(replica.workerId);
     if (start.outcome === 'not_run') {
       this.counters.refusedByEngine += 1;
       finish('refused');
       return undefined;
     }
     finish('failed');
-    this.breakers.failed(replica.workerId);
-    attempts.mayHaveRun = true;
-    return this.afterUnknownOutcome(request, start.reason);
+    this.breakers.recordFailure(replica.workerId);
+    state.mayHaveRun = true;
+    return this.handleUnknownOutcome(request, start.reason);
   }
 
-  /** A stream begins when the request does; a whole answer comes only when it has been made. */
-  private headTimeoutOf(request: RoutedRequest): number {
-    return request.streaming ? Math.max(1, this.remaining(request)) : request.runLimitMs;
+  /** Timeout of the response head: a stream sends it at the start, a whole response only when it is complete. */
+  private responseHeadTimeoutMs(request: RoutedRequest): number {
+    return request.streaming ? Math.max(1, this.remainingMs(request)) : request.runLimitMs;
   }
 
-  /** The request may have run: only one that does no harm twice, with time left, is tried again. */
-  private afterUnknownOutcome(request: RoutedRequest, reason: string): undefined {
+  /** Allows a retry after an unknown outcome only for an idempotent request with time left; throws otherwise. */
+  private handleUnknownOutcome(request: RoutedRequest, reason: string): undefined {
     this.counters.unknownOutcomes += 1;
     if (request.signal.aborted) throw new WoodbarrowError('caller_gone', 'the caller closed the connection');
-    if (request.repeatable && this.remaining(request) > 0) return undefined;
-    throw new WoodbarrowError('outcome_unknown', `the engine's answer was lost: ${reason}`);
+    if (request.repeatable && this.remainingMs(request) > 0) return undefined;
+    throw new WoodbarrowError('outcome_unknown', `the engine's response was not received: ${reason}`);
   }
 
-  private async pauseBeforeRetry(attempts: Attempts): Promise<void> {
-    const { request } = attempts;
+  private async backOffBeforeRetry(state: RequestState): Promise<void> {
+    const { request } = state;
     if (!this.retryBudget.tryRetry()) {
       this.counters.retriesDenied += 1;
       throw new WoodbarrowError(
         'engine_refused',
-        'no replica took the request, and the retry budget is spent',
+        'no replica accepted the request, and the retry budget is exhausted',
       );
     }
     this.counters.retries += 1;
-    const pause = backoffDelay(BACKOFF, attempts.count - 1, this.options.random);
-    await sleep(this.options.clock, Math.min(pause, Math.max(0, this.remaining(request))), request.signal);
+    const pause = backoffDelay(BACKOFF, state.attemptCount - 1, this.options.random);
+    await sleep(this.options.clock, Math.min(pause, Math.max(0, this.remainingMs(request))), request.signal);
   }
 
-  private async findReplica(attempts: Attempts): Promise<Dispatch> {
-    const { request } = attempts;
-    this.assertWorthwhile(request);
+  private async findReplica(state: RequestState): Promise<Dispatch> {
+    const { request } = state;
+    this.assertCanContinue(request);
     const direct = this.directory.chooseDirect(request.model.id, request.adapter);
-    if (direct !== undefined && !attempts.avoid.has(direct.workerId)) {
+    if (direct !== undefined && !state.avoidedWorkers.has(direct.workerId)) {
       this.counters.direct += 1;
       return { replica: direct, grantedBy: undefined };
     }
-    return this.waitForGrant(attempts);
+    return this.waitForGrant(state);
   }
 
-  /** Waits at the queue owner; a lost owner costs one question, after which the request waits at the next. */
-  private async waitForGrant(attempts: Attempts): Promise<Dispatch> {
-    const { request } = attempts;
-    let coldCounted = false;
-    /** Grows with each reason to ask in another zone. */
-    let turn = 0;
+  /** Waits for a grant from a queue owner, and moves on to another zone when an owner does not respond. */
+  private async waitForGrant(state: RequestState): Promise<Dispatch> {
+    const { request } = state;
+    let isColdWaitCounted = false;
+    /** Index of the model's zone to ask, modulo the number of its zones. */
+    let zoneIndex = 0;
     for (;;) {
-      this.assertWorthwhile(request);
-      const owner = this.ownerFor(request.model, turn);
-      const answer = owner === undefined ? undefined : await this.ask(owner, attempts);
-      if (owner === undefined || answer === undefined) {
-        turn += 1;
-        await this.pauseForOwner(request, turn);
+      this.assertCanContinue(request);
+      const owner = this.ownerAddress(request.model, zoneIndex);
+      const response = owner === undefined ? undefined : await this.pollOwner(owner, state);
+      if (owner === undefined || response === undefined) {
+        zoneIndex += 1;
+        await this.backOffBeforeNextOwner(request, zoneIndex);
         continue;
       }
-      this.directory.update(request.model.id, answer.replicas, answer.scarce);
-      if (answer.waitedForLoad && !coldCounted) {
-        coldCounted = true;
+      this.directory.update(request.model.id, response.replicas, response.scarce);
+      if (response.waitedForLoad && !isColdWaitCounted) {
+        isColdWaitCounted = true;
         this.counters.coldWaits += 1;
       }
-      if (answer.replica !== undefined) {
-        // A grant that came too late to be tried goes back.
-        if (!this.isInTime(request)) this.withdraw(owner, request);
-        this.assertWorthwhile(request);
+      if (response.replica !== undefined) {
+        // A grant that arrives too late for an attempt is returned.
+        if (!this.hasTimeForAttempt(request)) this.withdraw(owner, request);
+        this.assertCanContinue(request);
         this.counters.granted += 1;
-        return { replica: answer.replica, grantedBy: owner };
+        return { replica: response.replica, grantedBy: owner };
       }
-      if (answer.saturated && request.model.allotments.length > 1) {
+      if (response.saturated && request.model.allotments.length > 1) {
         this.withdraw(owner, request);
-        turn += 1;
+        zoneIndex += 1;
       }
     }
   }
 
-  /** One question to the owner; undefined when it did not answer. */
-  private async ask(owner: string, attempts: Attempts): Promise<EnqueueResponse | undefined> {
-    const { request } = attempts;
-    const remainingMs = Math.max(1, this.remaining(request));
-    const holdMs = Math.min(HOLD_MS, remainingMs);
+  /** Polls a queue owner once; undefined when it did not respond. Throws `queue_full`. */
+  private async pollOwner(owner: string, state: RequestState): Promise<EnqueueResponse | undefined> {
+    const { request } = state;
+    const remainingMs = Math.max(1, this.remainingMs(request));
+    const holdMs = Math.min(MAX_HOLD_MS, remainingMs);
     const withdraw = (): void => {
       this.withdraw(owner, request);
     };
@@ -291,12 +291,12 @@
           remainingMs,
           deferrable: request.deferrable,
           affinity: request.affinity,
-          avoid: [...attempts.avoid],
+          avoid: [...state.avoidedWorkers],
           holdMs,
           queueLimit: request.queueLimit,
           directArrivals: this.directory.takeDirectArrivals(request.model.id),
         },
-        { timeoutMs: Math.min(holdMs + HOLD_ANSWER_MARGIN_MS, remainingMs + ANSWER_MARGIN_MS / 2) },
+        { timeoutMs: Math.min(holdMs + HOLD_RESPONSE_MARGIN_MS, remainingMs + RESPONSE_MARGIN_MS / 2) },
       );
     } catch (error) {
       if (isKind(error, 'queue_full')) throw error;
@@ -308,18 +308,18 @@
   }
 
   /**
-   * The owner in the zone whose turn it is. The model's first zone comes first for routers everywhere, so that a
-   * cold burst loads one replica rather than one in each zone.
+   * Address of the queue owner in one of the model's zones. Routers everywhere start with the model's first zone, so
+   * that a cold burst loads one replica rather than one in each zone.
    */
-  private ownerFor(model: CatalogModel, turn: number): string | undefined {
+  private ownerAddress(model: CatalogModel, zoneIndex: number): string | undefined {
     const { allotments } = model;
-    const zone = allotments[turn % Math.max(1, allotments.length)]?.zone;
+    const zone = allotments[zoneIndex % Math.max(1, allotments.length)]?.zone;
     return zone === undefined ? undefined : queueOwnerOf(this.options.membership, zone, model.id)?.address;
   }
 
-  private async pauseForOwner(request: RoutedRequest, failures: number): Promise<void> {
+  private async backOffBeforeNextOwner(request: RoutedRequest, failures: number): Promise<void> {
     const pause = backoffDelay(BACKOFF, failures, this.options.random);
-    await sleep(this.options.clock, Math.min(pause, Math.max(0, this.remaining(request))), request.signal);
+    await sleep(this.options.clock, Math.min(pause, Math.max(0, this.remainingMs(request))), request.signal);
   }
 
   private withdraw(owner: string, request: RoutedRequest): void {
@@ -344,32 +344,32 @@
       .catch(() => undefined);
   }
 
-  private assertWorthwhile(request: RoutedRequest): void {
+  private assertCanContinue(request: RoutedRequest): void {
     if (request.signal.aborted)
       throw new WoodbarrowError('caller_gone', 'the caller closed the connection', { ran: 'no' });
-    if (request.deadline > this.waitLimit) {
+    if (request.deadline > this.latestWaitDeadline) {
       throw new WoodbarrowError('stopping', 'this daemon is stopping; send the request to another');
     }
-    if (!this.isInTime(request)) {
+    if (!this.hasTimeForAttempt(request)) {
       throw new WoodbarrowError('wait_expired', 'no replica was free within the allowed wait');
     }
   }
 
-  /** Whether an attempt that begins now can still be answered for within the allowed wait. */
-  private isInTime(request: RoutedRequest): boolean {
-    return this.remaining(request) > this.reserveOf(request);
+  /** Whether an attempt that starts now can still succeed or be rejected before the deadline. */
+  private hasTimeForAttempt(request: RoutedRequest): boolean {
+    return this.remainingMs(request) > this.connectReserveMs(request);
   }
 
   /**
-   * Time kept for finding out that a replica cannot be reached. Only a stream can be given up while it connects; a
-   * whole answer is waited for as long as it runs, so its last attempt begins that much earlier.
+   * Milliseconds reserved to detect an unreachable replica. Only a stream has a response timeout that ends at the
+   * deadline; a whole response may take as long as the request runs, so its last attempt must start earlier.
    */
-  private reserveOf(request: RoutedRequest): number {
+  private connectReserveMs(request: RoutedRequest): number {
     const waited = this.options.clock.monotonic() - request.receivedAt;
     return request.streaming || waited < CONNECT_TIMEOUT_MS ? 0 : CONNECT_TIMEOUT_MS;
   }
 
-  private remaining(request: RoutedRequest): number {
-    return request.deadline - ANSWER_MARGIN_MS - this.options.clock.monotonic();
+  private remainingMs(request: RoutedRequest): number {
+    return request.deadline - RESPONSE_MARGIN_MS - this.options.clock.monotonic();
   }
 }
