--- a/packages/quarantine/src/crash-marks.ts
+++ b/packages/quarantine/src/crash-marks.ts
@@ -29,33 +29,33 @@
 /** Time for which a mark is kept, in milliseconds: clients send the same request again within a few deadlines of 15 s. */
 export const MARK_LIFETIME_MS = 600_000;
 /** Marks kept at most, the newest: some 200 KB. A rack of 13 processes with 64 requests each leaves 832. */
-export const MOST_MARKS = 4096;
+export const MAX_MARKS = 4096;
 
 /** Marks of one daemon, those of others included. */
 export class CrashMarks {
   private readonly byContent = new Map<string, Map<string, CrashMark>>();
   /** Contents with a mark at each process. */
   private readonly byProcess = new Map<string, Set<string>>();
-  private count = 0;
-  private combined = 0;
+  private markCount = 0;
+  private combinedDigest = 0;
 
   constructor(private readonly clock: Clock) {}
 
   /** Digest of all marks, equal on daemons that know the same ones; 0 when there are none. */
   get digest(): number {
     this.dropExpired();
-    return this.combined;
+    return this.combinedDigest;
   }
 
   /** Number of marks, and of contents that have some which count. */
   get totals(): { readonly marks: number; readonly suspects: number } {
     const suspects = this.suspects.length;
-    return { marks: this.count, suspects };
+    return { marks: this.markCount, suspects };
   }
 
   /** Whether there are no marks at all. */
   get isEmpty(): boolean {
-    return this.count === 0;
+    return this.markCount === 0;
   }
 
   /** Contents with marks that count. */
@@ -69,13 +69,13 @@
     if (this.clock.monotonic() - mark.endedAt > MARK_LIFETIME_MS) return false;
     const marks = this.byContent.get(mark.content) ?? new Map<string, CrashMark>();
     this.byContent.set(mark.content, marks);
-    const known = marks.get(mark.processId);
-    const merged = known === undefined ? mark : mergedOf(known, mark);
-    if (known !== undefined && merged.isCleared === known.isCleared) {
+    const existing = marks.get(mark.processId);
+    const merged = existing === undefined ? mark : mergeMarks(existing, mark);
+    if (existing !== undefined && merged.isCleared === existing.isCleared) {
       marks.set(mark.processId, merged);
       return false;
     }
-    this.put(marks, known, merged);
+    this.put(marks, existing, merged);
     this.dropOldest();
     // One that is older than all that are kept is no news, or daemons with full sets would tell each other without end.
     return this.byContent.get(mark.content)?.get(mark.processId) === merged;
@@ -96,41 +96,41 @@
 
   /** Processes that ended under a content, as far as they count. */
   endsOf(content: string): number {
-    return this.counting(content).length;
+    return this.findActiveMarks(content).length;
   }
 
   /** Marks against a content, as far as they count. */
-  marksOf(content: string): readonly CrashMark[] {
-    return this.counting(content);
+  activeMarksOf(content: string): readonly CrashMark[] {
+    return this.findActiveMarks(content);
   }
 
   /** Contents under which a process ended, as far as these marks count. */
   contentsOf(processId: string): readonly string[] {
     const contents = [...(this.byProcess.get(processId) ?? [])];
-    return contents.filter((content) => this.counts(content, processId));
+    return contents.filter((content) => this.hasActiveMark(content, processId));
   }
 
   /** All marks that count. */
-  allCounting(): readonly CrashMark[] {
-    return [...this.byContent.keys()].flatMap((content) => this.counting(content));
+  allActiveMarks(): readonly CrashMark[] {
+    return [...this.byContent.keys()].flatMap((content) => this.findActiveMarks(content));
   }
 
   /** Whether a mark counts. */
-  counts(content: string, processId: string): boolean {
+  hasActiveMark(content: string, processId: string): boolean {
     const mark = this.byContent.get(content)?.get(processId);
-    return mark !== undefined && this.isCounting(mark);
+    return mark !== undefined && this.isActiveMark(mark);
   }
 
   /** Ids of the processes that ended under a content, as far as they count. */
   processesOf(content: string): string[] {
-    return this.counting(content).map(({ processId }) => processId);
+    return this.findActiveMarks(content).map(({ processId }) => processId);
   }
 
   /** All marks, in the form of messages. */
   entries(): CrashMarkEntry[] {
     this.dropExpired();
     const now = this.clock.monotonic();
-    return this.all().map(({ content, processId, begunAt, endedAt, isCleared, isTrial }) => ({
+    return this.allMarks().map(({ content, processId, begunAt, endedAt, isCleared, isTrial }) => ({
       c: content,
       p: processId,
       b: Math.round(now - begunAt),
@@ -154,23 +154,23 @@
     return marks.filter((mark) => this.add(mark));
   }
 
-  private all(): CrashMark[] {
+  private allMarks(): CrashMark[] {
     return [...this.byContent.values()].flatMap((marks) => [...marks.values()]);
   }
 
-  private counting(content: string): CrashMark[] {
+  private findActiveMarks(content: string): CrashMark[] {
     const marks = [...(this.byContent.get(content)?.values() ?? [])];
-    return marks.filter((mark) => this.isCounting(mark));
+    return marks.filter((mark) => this.isActiveMark(mark));
   }
 
-  private isCounting({ isCleared, endedAt }: CrashMark): boolean {
+  private isActiveMark({ isCleared, endedAt }: CrashMark): boolean {
     return !isCleared && endedAt >= this.clock.monotonic() - MARK_LIFETIME_MS;
   }
 
-  private put(marks: Map<string, CrashMark>, known: CrashMark | undefined, mark: CrashMark): void {
-    if (known === undefined) this.count += 1;
-    else this.combined ^= digestOf(known);
-    this.combined ^= digestOf(mark);
+  private put(marks: Map<string, CrashMark>, existing: CrashMark | undefined, mark: CrashMark): void {
+    if (existing === undefined) this.markCount += 1;
+    else this.combinedDigest ^= digestOfMark(existing);
+    this.combinedDigest ^= digestOfMark(mark);
     marks.set(mark.processId, mark);
     const contents = this.byProcess.get(mark.processId) ?? new Set();
     this.byProcess.set(mark.processId, contents.add(mark.content));
@@ -178,41 +178,41 @@
 
   private drop({ content, processId }: CrashMark): void {
     const marks = this.byContent.get(content);
-    const known = marks?.get(processId);
-    if (marks === undefined || known === undefined) return;
+    const existing = marks?.get(processId);
+    if (marks === undefined || existing === undefined) return;
     marks.delete(processId);
     if (marks.size === 0) this.byContent.delete(content);
     const contents = this.byProcess.get(processId);
     contents?.delete(content);
     if (contents?.size === 0) this.byProcess.delete(processId);
-    this.count -= 1;
-    this.combined ^= digestOf(known);
+    this.markCount -= 1;
+    this.combinedDigest ^= digestOfMark(existing);
   }
 
   private dropExpired(): void {
-    if (this.count === 0) return;
+    if (this.markCount === 0) return;
     const oldest = this.clock.monotonic() - MARK_LIFETIME_MS;
-    for (const mark of this.all()) if (mark.endedAt < oldest) this.drop(mark);
+    for (const mark of this.allMarks()) if (mark.endedAt < oldest) this.drop(mark);
   }
 
   private dropOldest(): void {
-    if (this.count <= MOST_MARKS) return;
-    const byAge = this.all().sort((left, right) => left.endedAt - right.endedAt);
-    for (const mark of byAge.slice(0, this.count - MOST_MARKS)) this.drop(mark);
+    if (this.markCount <= MAX_MARKS) return;
+    const byAge = this.allMarks().sort((left, right) => left.endedAt - right.endedAt);
+    for (const mark of byAge.slice(0, this.markCount - MAX_MARKS)) this.drop(mark);
   }
 }
 
 /** Two daemons may have seen the same end, each under an attempt of its own. */
-function mergedOf(known: CrashMark, other: CrashMark): CrashMark {
+function mergeMarks(existing: CrashMark, other: CrashMark): CrashMark {
   return {
-    ...known,
-    begunAt: Math.min(known.begunAt, other.begunAt),
-    endedAt: Math.min(known.endedAt, other.endedAt),
-    isCleared: known.isCleared || other.isCleared,
-    isTrial: known.isTrial === true || other.isTrial === true,
+    ...existing,
+    begunAt: Math.min(existing.begunAt, other.begunAt),
+    endedAt: Math.min(existing.endedAt, other.endedAt),
+    isCleared: existing.isCleared || other.isCleared,
+    isTrial: existing.isTrial === true || other.isTrial === true,
   };
 }
 
-function digestOf({ content, processId, isCleared }: CrashMark): number {
+function digestOfMark({ content, processId, isCleared }: CrashMark): number {
   return hashText(`${content} ${processId}${isCleared ? ' cleared' : ''}`) | 0;
 }
--- a/packages/quarantine/src/index.ts
+++ b/packages/quarantine/src/index.ts
@@ -1,11 +1,11 @@
 /** Requests and loads that end the processes which run them: evidence, verdict, and how it is shared and kept. */
 export * from './crash-marks.js';
 export * from './culprit-search.js';
-export * from './ends-records.js';
+export * from './crash-batch-records.js';
 export * from './load-content.js';
 export * from './load-quarantine.js';
-export * from './process-fates.js';
+export * from './process-state-checker.js';
 export * from './quarantine-record.js';
 export * from './request-quarantine.js';
 export * from './suspect-trials.js';
-export * from './suspect-turns.js';
+export * from './suspect-slots.js';
--- a/packages/quarantine/src/load-quarantine.ts
+++ b/packages/quarantine/src/load-quarantine.ts
@@ -8,7 +8,7 @@
 import type { Clock } from '@woodbarrow/runtime';
 import { isLoadContent, loadContent, loadName } from './load-content.js';
 import type { ContentAttempt, RequestQuarantine, Verdict } from './request-quarantine.js';
-import type { Turn } from './suspect-turns.js';
+import type { Turn } from './suspect-slots.js';
 
 /** Options of {@link LoadQuarantine}. */
 export interface LoadQuarantineOptions {
@@ -35,11 +35,11 @@
   /** The worker has begun to leave, or its record went while it ran: its end says nothing. */
   isLeaving: boolean;
   /** Monotonic time of the first call that the worker did not answer. */
-  silentSince?: number;
+  unresponsiveSince?: number;
   /** Set while it is found out whether the process has ended. */
   check?: Promise<void>;
   /** It did not come about, and is dropped when that is known. */
-  isClosing: boolean;
+  isConcluding: boolean;
 }
 
 /** Loads of one daemon's zones, and what all daemons hold against loads. */
@@ -54,12 +54,12 @@
       this.noteProcessEnded(processId);
     };
     directory.events.on('changed', ({ id, draining }) => {
-      if (draining) for (const load of this.watchedAt(id)) load.isLeaving = true;
+      if (draining) for (const load of this.loadsOnProcess(id)) load.isLeaving = true;
     });
     directory.events.on('removed', ({ id, draining }) => {
-      for (const load of this.watchedAt(id)) {
+      for (const load of this.loadsOnProcess(id)) {
         load.isLeaving ||= draining;
-        void this.close(load);
+        void this.conclude(load);
       }
     });
   }
@@ -78,13 +78,13 @@
   verdictOf(service: string, target: ModelTarget): Verdict | undefined {
     const { contents } = this.options;
     // Asked for each demand and each plan, and nearly always nothing is known against anything.
-    return contents.isClean ? undefined : contents.verdictOf(loadContent(service, target));
+    return contents.hasNoEvidence ? undefined : contents.verdictOf(loadContent(service, target));
   }
 
   /** When the last worker ended under a load of a target, monotonic; undefined while it is not suspected. */
   lastEndOf(service: string, target: ModelTarget): number | undefined {
     const { contents } = this.options;
-    return contents.isClean ? undefined : contents.lastEndOf(loadContent(service, target));
+    return contents.hasNoEvidence ? undefined : contents.lastCrashAt(loadContent(service, target));
   }
 
   /** Whether this daemon has an order to load a target under way, or does not know yet what came of it. */
@@ -98,10 +98,10 @@
    */
   async takeTurn(service: string, target: ModelTarget, signal: AbortSignal): Promise<Turn> {
     const content = loadContent(service, target);
-    const turn = await this.options.contents.takeTurn(content, signal);
-    if (this.lastEndOf(service, target) === undefined) return turn;
+    const slot = await this.options.contents.takeTurn(content, signal);
+    if (this.lastEndOf(service, target) === undefined) return slot;
     await Promise.all(this.loadsOf(content).flatMap(({ check }) => (check === undefined ? [] : [check])));
-    return turn;
+    return slot;
   }
 
   /** A demand was turned down because of a verdict. */
@@ -114,46 +114,46 @@
   /** A worker has taken an order to load, or may have. @param orderedAt Monotonic time at which it was sent. */
   ordered(backEnd: BackEnd, target: ModelTarget, orderedAt: number): void {
     const content = loadContent(backEnd.service, target);
-    const key = keyOf(backEnd.id, content);
-    if (this.watched.get(key)?.isClosing === false || this.options.contents.hasEnded(backEnd.id)) return;
+    const key = loadKey(backEnd.id, content);
+    if (this.watched.get(key)?.isConcluding === false || this.options.contents.hasEnded(backEnd.id)) return;
     const load = loadName(backEnd.service, target);
     const attempt = { content, requestId: '', route: '', load, backEnd, sentAt: orderedAt };
-    this.watched.set(key, { attempt, isLeaving: backEnd.draining, isClosing: false });
+    this.watched.set(key, { attempt, isLeaving: backEnd.draining, isConcluding: false });
   }
 
   /** A worker did not answer: where it was ordered to load, its process is asked after. */
   unanswered(backEndId: string): void {
-    for (const load of this.watchedAt(backEndId)) void this.ask(load);
+    for (const load of this.loadsOnProcess(backEndId)) void this.checkProcess(load);
   }
 
   /** A load has come about: what ended workers before was not what it loads. */
   finished({ id, service }: BackEnd, target: ModelTarget): void {
     const content = loadContent(service, target);
-    if (this.watched.delete(keyOf(id, content)))
+    if (this.watched.delete(loadKey(id, content)))
       this.options.contents.noteServed(content, loadName(service, target));
   }
 
   /** A load did not come about; whether the process has ended is found out meanwhile. */
   failed({ id, service }: BackEnd, target: ModelTarget): void {
-    const load = this.watched.get(keyOf(id, loadContent(service, target)));
-    if (load !== undefined) void this.close(load);
+    const load = this.watched.get(loadKey(id, loadContent(service, target)));
+    if (load !== undefined) void this.conclude(load);
   }
 
   /** Asks after the process, and stops watching the load. */
-  private async close(load: WatchedLoad): Promise<void> {
-    load.isClosing = true;
-    await this.ask(load);
-    this.drop(load);
+  private async conclude(load: WatchedLoad): Promise<void> {
+    load.isConcluding = true;
+    await this.checkProcess(load);
+    this.unwatch(load);
   }
 
   /** A process that has ended comes back by way of {@link noteProcessEnded}. */
-  private ask(load: WatchedLoad): Promise<void> {
+  private checkProcess(load: WatchedLoad): Promise<void> {
     const { contents, clock } = this.options;
-    load.silentSince ??= clock.monotonic();
+    load.unresponsiveSince ??= clock.monotonic();
     load.check ??= contents.fateOf(load.attempt.backEnd).then((fate) => {
       delete load.check;
       // It lives: what is not answered from now on is another silence.
-      if (fate === 'running') delete load.silentSince;
+      if (fate === 'running') delete load.unresponsiveSince;
     });
     return load.check;
   }
@@ -161,21 +161,21 @@
   /** What was ordered of the worker comes to an end with it: its record may stay in the store for seconds. */
   private noteProcessEnded(processId: string): void {
     const { contents, clock, directory } = this.options;
-    const loads = this.watchedAt(processId);
+    const loads = this.loadsOnProcess(processId);
     for (const load of loads) {
-      this.drop(load);
-      if (!load.isLeaving) contents.noteEnded(load.attempt, load.silentSince ?? clock.monotonic());
+      this.unwatch(load);
+      if (!load.isLeaving) contents.noteEnded(load.attempt, load.unresponsiveSince ?? clock.monotonic());
     }
     if (loads.length > 0) directory.remove(processId);
   }
 
-  private drop(load: WatchedLoad): void {
+  private unwatch(load: WatchedLoad): void {
     const { backEnd, content } = load.attempt;
-    const key = keyOf(backEnd.id, content);
+    const key = loadKey(backEnd.id, content);
     if (this.watched.get(key) === load) this.watched.delete(key);
   }
 
-  private watchedAt(backEndId: string): WatchedLoad[] {
+  private loadsOnProcess(backEndId: string): WatchedLoad[] {
     return [...this.watched.values()].filter(({ attempt }) => attempt.backEnd.id === backEndId);
   }
 
@@ -184,6 +184,6 @@
   }
 }
 
-function keyOf(backEndId: string, content: string): string {
+function loadKey(backEndId: string, content: string): string {
   return `${backEndId} ${content}`;
 }
--- a/packages/quarantine/src/process-fates.ts
+++ b/packages/quarantine/src/process-state-checker.ts
@@ -22,18 +22,18 @@
 }
 
 /** What is known in the end. */
-export type ProcessFate = 'running' | 'ended' | 'unknown';
+export type ProcessState = 'running' | 'ended' | 'unknown';
 
 /** Pauses before each question, in milliseconds: a process that ends closes its connections before it stops listening. */
-const ASK_PAUSES_MS = [20, 100, 400, 1000];
+const PROBE_DELAYS_MS = [20, 100, 400, 1000];
 /** Refusals in a row after which nobody listens any more: a single one may come of a full queue of connections. */
-const REFUSALS_FOR_END = 2;
+const REFUSALS_FOR_ENDED = 2;
 /** Time for which it is remembered that a process has ended, in milliseconds. */
-const ENDED_MEMORY_MS = 60_000;
+const ENDED_RETENTION_MS = 60_000;
 
 /** Fates of processes, as one daemon finds them out; one check a process at a time. */
-export class ProcessFates {
-  private readonly checks = new Map<string, Promise<ProcessFate>>();
+export class ProcessStateChecker {
+  private readonly checks = new Map<string, Promise<ProcessState>>();
   private readonly endedAt = new Map<string, number>();
 
   constructor(
@@ -44,11 +44,11 @@
   ) {}
 
   /** Finds out whether a process has ended; some 2 s at the longest. Never rejects. */
-  check(backEnd: BackEnd): Promise<ProcessFate> {
+  check(backEnd: BackEnd): Promise<ProcessState> {
     if (this.hasEnded(backEnd.id)) return Promise.resolve('ended');
-    const underWay = this.checks.get(backEnd.id);
-    if (underWay !== undefined) return underWay;
-    const check = this.find(backEnd).finally(() => this.checks.delete(backEnd.id));
+    const ongoing = this.checks.get(backEnd.id);
+    if (ongoing !== undefined) return ongoing;
+    const check = this.probeUntilDecided(backEnd).finally(() => this.checks.delete(backEnd.id));
     this.checks.set(backEnd.id, check);
     return check;
   }
@@ -61,20 +61,20 @@
   /** Another daemon found that a process has ended. */
   noteEnded(processId: string): void {
     const now = this.clock.monotonic();
-    for (const [id, at] of this.endedAt) if (now - at > ENDED_MEMORY_MS) this.endedAt.delete(id);
+    for (const [id, at] of this.endedAt) if (now - at > ENDED_RETENTION_MS) this.endedAt.delete(id);
     this.endedAt.set(processId, now);
     this.onEnded(processId);
   }
 
-  private async find(backEnd: BackEnd): Promise<ProcessFate> {
+  private async probeUntilDecided(backEnd: BackEnd): Promise<ProcessState> {
     let refusals = 0;
-    for (const pauseMs of ASK_PAUSES_MS) {
+    for (const pauseMs of PROBE_DELAYS_MS) {
       await sleep(this.clock, pauseMs);
       if (this.hasEnded(backEnd.id)) return 'ended';
-      const answer = await this.probe.ask(backEnd);
-      if (answer === 'running') return 'running';
-      refusals = answer === 'refused' ? refusals + 1 : 0;
-      if (answer === 'replaced' || refusals >= REFUSALS_FOR_END) {
+      const result = await this.probe.ask(backEnd);
+      if (result === 'running') return 'running';
+      refusals = result === 'refused' ? refusals + 1 : 0;
+      if (result === 'replaced' || refusals >= REFUSALS_FOR_ENDED) {
         this.noteEnded(backEnd.id);
         return 'ended';
       }
--- a/packages/quarantine/src/quarantine-record.ts
+++ b/packages/quarantine/src/quarantine-record.ts
@@ -28,7 +28,7 @@
 
 /**
  * Evidence against a content that has no verdict yet, kept from the second of two ends in a row on, so that it outlasts the daemons that
- * know of it. First ends are kept apart, see {@link EndsRecord}.
+ * know of it. First ends are kept apart, see {@link CrashBatchRecord}.
  */
 export interface SuspectRecord {
   /** Name of the record, see {@link suspectName}. */
@@ -49,7 +49,7 @@
  * Ends that no other record keeps yet, of all contents that one daemon knows of at the time: one worker that crashes leaves one for each request
  * that it ran, which is common, so that they share a record.
  */
-export interface EndsRecord {
+export interface CrashBatchRecord {
   /** Name of the record; no content has it. */
   readonly content: string;
   readonly ends: readonly KeptEnd[];
@@ -71,7 +71,7 @@
 }
 
 /** What the store holds. */
-export type QuarantineEntry = QuarantineRecord | SuspectRecord | EndsRecord | TrialRecord;
+export type QuarantineEntry = QuarantineRecord | SuspectRecord | CrashBatchRecord | TrialRecord;
 
 /** Whether an entry is a verdict, and no evidence. */
 export function isVerdict(entry: QuarantineEntry): entry is QuarantineRecord {
--- a/packages/quarantine/src/kept-entries.ts
+++ b/packages/quarantine/src/record-cache.ts
@@ -6,10 +6,10 @@
 import type { QuarantineEntry } from './quarantine-record.js';
 
 /** Milliseconds for which it is remembered that a record was removed: copies are some seconds old. */
-const REMOVED_MEMORY_MS = 60_000;
+const REMOVED_RETENTION_MS = 60_000;
 
 /** How a copy differs from what was known. */
-export interface RestoredDifference {
+export interface RestoreDifference {
   /** Records that were known and that the copy lacks. */
   readonly lost: readonly QuarantineEntry[];
   /** Records of the copy that had been removed before. */
@@ -19,22 +19,22 @@
 }
 
 /** Records by name. */
-export class KeptEntries {
+export class RecordCache {
   private readonly entries = new Map<string, QuarantineEntry>();
   /** Names of records that a copy lacked and that have not been seen since. */
-  private readonly awaited = new Set<string>();
+  private readonly awaitingRewrite = new Set<string>();
   /** Monotonic time at which each record was removed. */
   private readonly removedAt = new Map<string, number>();
 
   constructor(private readonly clock: Clock) {}
 
-  seen(entry: QuarantineEntry): void {
+  handleStored(entry: QuarantineEntry): void {
     this.entries.set(entry.content, entry);
-    this.awaited.delete(entry.content);
+    this.awaitingRewrite.delete(entry.content);
   }
 
-  gone(name: string): void {
-    this.awaited.delete(name);
+  handleRemoved(name: string): void {
+    this.awaitingRewrite.delete(name);
     if (this.entries.delete(name)) this.removedAt.set(name, this.clock.monotonic());
   }
 
@@ -43,28 +43,28 @@
   }
 
   /** Names of records that a listing of all lacks, other than those that are being written again. */
-  missingIn(listed: readonly QuarantineEntry[]): readonly string[] {
+  missingFrom(listed: readonly QuarantineEntry[]): readonly string[] {
     const names = new Set(listed.map(({ content }) => content));
-    return [...this.entries.keys()].filter((name) => !names.has(name) && !this.awaited.has(name));
+    return [...this.entries.keys()].filter((name) => !names.has(name) && !this.awaitingRewrite.has(name));
   }
 
   /** Compares what is known with a copy from which the store was restored. */
-  compareWithCopy(copy: readonly QuarantineEntry[]): RestoredDifference {
-    const oldest = this.clock.monotonic() - REMOVED_MEMORY_MS;
+  compareWithBackup(backup: readonly QuarantineEntry[]): RestoreDifference {
+    const oldest = this.clock.monotonic() - REMOVED_RETENTION_MS;
     const isRemoved = ({ content }: QuarantineEntry): boolean =>
       !this.entries.has(content) && (this.removedAt.get(content) ?? -Infinity) >= oldest;
-    const lost = this.missingIn(copy).flatMap((name) => this.entries.get(name) ?? []);
-    for (const { content } of lost) this.awaited.add(content);
+    const lost = this.missingFrom(backup).flatMap((name) => this.entries.get(name) ?? []);
+    for (const { content } of lost) this.awaitingRewrite.add(content);
     return {
       lost,
-      removed: copy.filter(isRemoved),
-      valid: copy.filter((entry) => !isRemoved(entry)),
+      removed: backup.filter(isRemoved),
+      valid: backup.filter((entry) => !isRemoved(entry)),
     };
   }
 
   /** Forgets removals that no copy can undo any more. */
-  forgetRemoved(): void {
-    const oldest = this.clock.monotonic() - REMOVED_MEMORY_MS;
+  pruneRemoved(): void {
+    const oldest = this.clock.monotonic() - REMOVED_RETENTION_MS;
     for (const [name, at] of this.removedAt) if (at < oldest) this.removedAt.delete(name);
   }
 }
--- a/packages/quarantine/src/record-writer.ts
+++ b/packages/quarantine/src/record-writer.ts
@@ -5,7 +5,7 @@
 import type { QuarantineEntry, QuarantineStore } from './quarantine-record.js';
 
 /** A store that is away is asked again after 0.2 s at first, and within 5 s of its return at the latest. */
-const WRITE_RETRY = { initialMs: 200, maximumMs: 5000 };
+const WRITE_BACKOFF = { initialMs: 200, maximumMs: 5000 };
 
 /** What all that write records share. */
 export interface RecordWriterOptions {
@@ -24,7 +24,9 @@
 
   /** @param isNeeded Whether the record still says something; asked before each try. */
   write(record: QuarantineEntry, isNeeded: () => boolean): void {
-    this.options.tasks.spawn('quarantine record', (signal) => this.writeUntilTaken(record, isNeeded, signal));
+    this.options.tasks.spawn('quarantine record', (signal) =>
+      this.writeUntilStored(record, isNeeded, signal),
+    );
   }
 
   /** Removes a record once. Where that fails it goes with its time, and one more good run clears what it says. */
@@ -52,7 +54,7 @@
     }
   }
 
-  private async writeUntilTaken(
+  private async writeUntilStored(
     record: QuarantineEntry,
     isNeeded: () => boolean,
     signal: AbortSignal,
@@ -68,7 +70,7 @@
           failures,
           cause: messageOf(error),
         });
-        await sleep(clock, backoffDelay(WRITE_RETRY, failures, random), signal);
+        await sleep(clock, backoffDelay(WRITE_BACKOFF, failures, random), signal);
       }
     }
   }
--- a/packages/quarantine/src/request-quarantine.ts
+++ b/packages/quarantine/src/request-quarantine.ts
@@ -11,9 +11,9 @@
 import { settleWithin, TaskGroup, type Clock, type Random } from '@woodbarrow/runtime';
 import { CrashMarks } from './crash-marks.js';
 import { CulpritSearch, EVIDENCE_SETTLE_MS } from './culprit-search.js';
-import { EndsRecords } from './ends-records.js';
-import { KeptEntries } from './kept-entries.js';
-import { ProcessFates, type ProcessFate, type ProcessProbe } from './process-fates.js';
+import { CrashBatchRecords } from './crash-batch-records.js';
+import { RecordCache } from './record-cache.js';
+import { ProcessStateChecker, type ProcessState, type ProcessProbe } from './process-state-checker.js';
 import {
   QUARANTINE_MS,
   isVerdict,
@@ -22,16 +22,16 @@
   type QuarantineStore,
 } from './quarantine-record.js';
 import { RecordWriter } from './record-writer.js';
-import { SettledJudgement } from './settled-judgement.js';
+import { DebouncedEvaluation } from './debounced-evaluation.js';
 import { SuspectRecords } from './suspect-records.js';
 import {
-  FREE_ADMISSION,
-  RETRY_AFTER_OTHERS_MS,
+  UNRESTRICTED_ADMISSION,
+  RETRY_AFTER_RIVALS_MS,
   RETRY_AFTER_TRIAL_MS,
   SuspectTrials,
   type TrialAdmission,
 } from './suspect-trials.js';
-import { FREE_TURN, SuspectTurns, type Turn } from './suspect-turns.js';
+import { UNRESTRICTED_SLOT, SuspectSlots, type Turn } from './suspect-slots.js';
 import { VerdictRecords } from './verdict-records.js';
 
 /** Options of {@link RequestQuarantine}. */
@@ -85,33 +85,33 @@
 }
 
 /** Time for which a further send of a suspect waits to hear whether the process before it has ended, in milliseconds. */
-const SETTLE_LIMIT_MS = 600;
+const CRASH_CHECK_TIMEOUT_MS = 600;
 /** Time for which an accused content waits to be judged, in milliseconds: others may end processes without a pause. */
-const JUDGEMENT_LIMIT_MS = 2 * EVIDENCE_SETTLE_MS;
+const EVALUATION_TIMEOUT_MS = 2 * EVIDENCE_SETTLE_MS;
 /** Marks made within this time are told together, in milliseconds: all requests of a process break off at once. */
-const TELL_PAUSE_MS = 10;
+const PUBLISH_DELAY_MS = 10;
 /** Pause between two looks for records whose time is over, in milliseconds. */
 const EXPIRY_INTERVAL_MS = 60_000;
 /** The quarantine as one daemon knows it. */
 export class RequestQuarantine {
   private readonly marks: CrashMarks;
   private readonly search: CulpritSearch;
-  private readonly fates: ProcessFates;
-  private readonly turns = new SuspectTurns();
+  private readonly processStates: ProcessStateChecker;
+  private readonly slots = new SuspectSlots();
   /** Broken attempts whose process is being asked after, by content. */
-  private readonly open = new Map<string, Set<Promise<void>>>();
+  private readonly openChecks = new Map<string, Set<Promise<void>>>();
   /** The newest attempt of each content that a process ended under here, to be named in its record. */
   private readonly ownAttempts = new Map<string, ContentAttempt>();
   private readonly tasks: TaskGroup;
   private readonly writer: RecordWriter;
   /** Evidence that the store keeps: of contents under which processes ended in a row, and of all others. */
-  private readonly evidence: SuspectRecords;
-  private readonly ends: EndsRecords;
+  private readonly suspectRecords: SuspectRecords;
+  private readonly crashBatches: CrashBatchRecords;
   private readonly trials: SuspectTrials;
   private readonly verdicts: VerdictRecords;
-  private readonly kept: KeptEntries;
-  private readonly judgement: SettledJudgement;
-  private tellScheduled = false;
+  private readonly recordCache: RecordCache;
+  private readonly evaluation: DebouncedEvaluation;
+  private isPublishScheduled = false;
   /** Called when marks are news that other daemons should hear of at once. */
   onNews: () => void = () => undefined;
   /** Called when a process is found to have ended, whoever found it out; it may be called again for the same one. */
@@ -120,21 +120,21 @@
   constructor(private readonly options: RequestQuarantineOptions) {
     const { clock, probe, log } = options;
     this.marks = new CrashMarks(clock);
-    this.kept = new KeptEntries(clock);
+    this.recordCache = new RecordCache(clock);
     this.search = new CulpritSearch(this.marks, clock);
-    this.fates = new ProcessFates(probe, clock, (processId) => {
+    this.processStates = new ProcessStateChecker(probe, clock, (processId) => {
       this.onProcessEnded(processId);
     });
-    this.judgement = new SettledJudgement(clock, () => {
-      this.judgeAll();
+    this.evaluation = new DebouncedEvaluation(clock, () => {
+      this.evaluateAll();
     });
     this.tasks = new TaskGroup(clock, (task, error) => {
       log.warned('task_failed', { task, cause: messageOf(error) });
     });
     this.writer = new RecordWriter({ ...options, tasks: this.tasks });
-    this.evidence = new SuspectRecords(this.marks, this.search, this.writer);
-    this.ends = new EndsRecords(this.marks, this.writer, (content, processId) =>
-      this.isKept(content, processId),
+    this.suspectRecords = new SuspectRecords(this.marks, this.search, this.writer);
+    this.crashBatches = new CrashBatchRecords(this.marks, this.writer, (content, processId) =>
+      this.isRecorded(content, processId),
     );
     this.verdicts = new VerdictRecords({
       marks: this.marks,
@@ -146,7 +146,7 @@
     this.trials = new SuspectTrials({
       writer: this.writer,
       removesRecord: options.removesRecord,
-      settled: (content) => this.settleTrial(content),
+      whenSettled: (content) => this.awaitTrialOutcome(content),
     });
   }
 
@@ -173,24 +173,24 @@
   }
 
   /** Whether nothing is known against any content. */
-  get isClean(): boolean {
+  get hasNoEvidence(): boolean {
     return this.marks.isEmpty && this.verdicts.size === 0;
   }
 
   /** When the last process was seen to end under a content, monotonic; undefined for one that is no suspect. */
-  lastEndOf(content: string): number | undefined {
-    const times = this.search.unexplainedEnds(content).map(({ endedAt }) => endedAt);
+  lastCrashAt(content: string): number | undefined {
+    const times = this.search.unexplainedCrashes(content).map(({ endedAt }) => endedAt);
     return times.length === 0 ? undefined : Math.max(...times);
   }
 
   /** Whether a process is known to have ended within the last minute. */
   hasEnded(processId: string): boolean {
-    return this.fates.hasEnded(processId);
+    return this.processStates.hasEnded(processId);
   }
 
   /** Asks whether a process runs; some 2 s at the longest where nothing answers. Never rejects. */
-  fateOf(backEnd: BackEnd): Promise<ProcessFate> {
-    return this.fates.check(backEnd);
+  fateOf(backEnd: BackEnd): Promise<ProcessState> {
+    return this.processStates.check(backEnd);
   }
 
   /** Why a content must not be run; undefined when it may. */
@@ -210,15 +210,15 @@
    * of the last ones have ended.
    */
   async takeTurn(content: string, signal: AbortSignal): Promise<Turn> {
-    const open = this.open.get(content)?.size ?? 0;
-    if (this.endsUnder(content) === 0 && open < 2) return FREE_TURN;
-    const isSuspect = (): boolean => this.endsUnder(content) > 0 || this.open.has(content);
-    const turn = await this.turns.take(content, isSuspect, signal);
-    await this.settle(content);
+    const open = this.openChecks.get(content)?.size ?? 0;
+    if (this.unexplainedCrashCount(content) === 0 && open < 2) return UNRESTRICTED_SLOT;
+    const isSuspect = (): boolean => this.unexplainedCrashCount(content) > 0 || this.openChecks.has(content);
+    const slot = await this.slots.acquire(content, isSuspect, signal);
+    await this.awaitOpenChecks(content);
     // What can be told apart once all have told of the last end needs no trial.
-    if (this.search.isAccused(content))
-      await settleWithin(this.options.clock, JUDGEMENT_LIMIT_MS, this.judgement.settled());
-    return turn;
+    if (this.search.requiresTrial(content))
+      await settleWithin(this.options.clock, EVALUATION_TIMEOUT_MS, this.evaluation.whenEvaluated());
+    return slot;
   }
 
   /**
@@ -226,21 +226,21 @@
    * come first. Undefined where it may ask for its turn. Without it, callers waited behind the trial until their time was up.
    */
   trialDelayMs(content: string): number | undefined {
-    if (this.marks.isEmpty || !this.search.isAccused(content)) return undefined;
-    if (this.turns.isTaken(content) || this.trials.isUnderWay(content)) return RETRY_AFTER_TRIAL_MS;
-    return this.search.waitsForOthers(content) ? RETRY_AFTER_OTHERS_MS : undefined;
+    if (this.marks.isEmpty || !this.search.requiresTrial(content)) return undefined;
+    if (this.slots.isHeld(content) || this.trials.isUnderWay(content)) return RETRY_AFTER_TRIAL_MS;
+    return this.search.mustWaitForRivals(content) ? RETRY_AFTER_RIVALS_MS : undefined;
   }
 
   /** Waits until it is known whether the processes of broken attempts have ended, for a while at most. */
-  private async settle(content: string): Promise<void> {
-    const open = [...(this.open.get(content) ?? [])];
-    if (open.length > 0) await settleWithin(this.options.clock, SETTLE_LIMIT_MS, Promise.all(open));
+  private async awaitOpenChecks(content: string): Promise<void> {
+    const open = [...(this.openChecks.get(content) ?? [])];
+    if (open.length > 0) await settleWithin(this.options.clock, CRASH_CHECK_TIMEOUT_MS, Promise.all(open));
   }
 
   /** Processes that must not get a content now, as they run another one that has ended several. */
   processesToAvoid(content: string): readonly string[] {
-    if (this.endsUnder(content) < 2) return [];
-    return [...this.turns.takenByOthers(content), ...this.trials.processesOfOthers(content)];
+    if (this.unexplainedCrashCount(content) < 2) return [];
+    return [...this.slots.processesOfOthers(content), ...this.trials.processesOfOthers(content)];
   }
 
   /**
@@ -248,22 +248,23 @@
    * by the processes that ended under it runs in a trial only. Whoever is admitted ends the admission.
    */
   async admit(content: string, processId: string): Promise<TrialAdmission> {
-    if (this.marks.isEmpty || !this.search.isAccused(content)) return FREE_ADMISSION;
-    if (this.search.waitsForOthers(content)) return { kind: 'refused', retryAfterMs: RETRY_AFTER_OTHERS_MS };
+    if (this.marks.isEmpty || !this.search.requiresTrial(content)) return UNRESTRICTED_ADMISSION;
+    if (this.search.mustWaitForRivals(content))
+      return { kind: 'refused', retryAfterMs: RETRY_AFTER_RIVALS_MS };
     return this.trials.begin(content, processId);
   }
 
   /** Processes that ended under a content, other than those that a proven one explains. */
-  private endsUnder(content: string): number {
-    return this.marks.isEmpty ? 0 : this.search.unexplainedEnds(content).length;
+  private unexplainedCrashCount(content: string): number {
+    return this.marks.isEmpty ? 0 : this.search.unexplainedCrashes(content).length;
   }
 
   /** Waits until it is known what came of a trial, and until an end has been judged. */
-  private async settleTrial(content: string): Promise<void> {
-    const ends = this.marks.endsOf(content);
-    await Promise.all([...(this.open.get(content) ?? [])]);
-    if (this.marks.endsOf(content) > ends)
-      await settleWithin(this.options.clock, JUDGEMENT_LIMIT_MS, this.judgement.settled());
+  private async awaitTrialOutcome(content: string): Promise<void> {
+    const crashCount = this.marks.endsOf(content);
+    await Promise.all([...(this.openChecks.get(content) ?? [])]);
+    if (this.marks.endsOf(content) > crashCount)
+      await settleWithin(this.options.clock, EVALUATION_TIMEOUT_MS, this.evaluation.whenEvaluated());
   }
 
   /** An answer broke off: if its process has ended, that is held against the content. */
@@ -272,12 +273,12 @@
     if (wasLeaving) return;
     const endedAt = this.options.clock.monotonic();
     const isTrial = this.trials.isTrying(content, backEnd.id);
-    const check = this.fates.check(backEnd).then((fate) => {
+    const check = this.processStates.check(backEnd).then((fate) => {
       this.closeCheck(content, check);
       if (fate === 'ended') this.noteEnded(attempt, endedAt, isTrial);
     });
-    const open = this.open.get(content) ?? new Set();
-    this.open.set(content, open.add(check));
+    const open = this.openChecks.get(content) ?? new Set();
+    this.openChecks.set(content, open.add(check));
   }
 
   /** The process of an attempt has ended before the attempt had: that is held against the content. */
@@ -288,33 +289,34 @@
     this.ownAttempts.set(content, attempt);
     this.logEnd(attempt, endedAt);
     this.noteVerdict(content, 'seen');
-    this.keepEvidence(content);
-    this.ends.keepSoon();
-    this.judgement.noteChange();
-    this.tell();
+    this.writeEvidence(content);
+    this.crashBatches.scheduleWrite();
+    this.evaluation.noteChange();
+    this.schedulePublish();
   }
 
   /** Whether an end under a content stands in a record of that content, in the store or on its way there. */
-  private isKept(content: string, processId: string): boolean {
-    if (this.verdicts.keeps(content)) return true;
-    return this.evidence.keeps(content, processId);
+  private isRecorded(content: string, processId: string): boolean {
+    if (this.verdicts.isRecorded(content)) return true;
+    return this.suspectRecords.includesCrash(content, processId);
   }
 
   /** Only one that has seen an end itself writes: the others have been told. */
-  private keepEvidence(content: string): void {
-    if (this.ownAttempts.has(content) && this.search.isHalfProven(content)) this.evidence.keep(content);
+  private writeEvidence(content: string): void {
+    if (this.ownAttempts.has(content) && this.search.hasConsecutiveCrashes(content))
+      this.suspectRecords.write(content);
   }
 
   /** A run of a content ended well: it is not what ended the processes. @param load What was loaded, of a load. */
   noteServed(content: string, load?: string): void {
     if (!this.marks.clear(content)) return;
     this.options.log.changed('suspect_cleared', { content, load });
-    this.evidence.drop(content);
+    this.suspectRecords.discard(content);
     this.verdicts.forget(content);
-    this.ends.dropSettled();
-    this.turns.wake(content);
-    this.judgement.noteChange();
-    this.tell();
+    this.crashBatches.removeInactive();
+    this.slots.wake(content);
+    this.evaluation.noteChange();
+    this.schedulePublish();
   }
 
   /** Digest of all marks. */
@@ -329,32 +331,32 @@
 
   /** Takes the marks of another daemon. */
   merge(entries: readonly CrashMarkEntry[]): void {
-    const news = this.marks.merge(entries);
-    if (news.length === 0) return;
-    for (const { processId } of news) this.fates.noteEnded(processId);
-    for (const { content } of news) {
+    const newMarks = this.marks.merge(entries);
+    if (newMarks.length === 0) return;
+    for (const { processId } of newMarks) this.processStates.noteEnded(processId);
+    for (const { content } of newMarks) {
       this.noteVerdict(content, 'told');
-      this.keepEvidence(content);
-      this.turns.wake(content);
+      this.writeEvidence(content);
+      this.slots.wake(content);
     }
-    this.judgement.noteChange();
-    this.tell();
+    this.evaluation.noteChange();
+    this.schedulePublish();
   }
 
   /** All records there are. */
   recordsListed(entries: readonly QuarantineEntry[]): void {
-    for (const name of this.kept.missingIn(entries)) this.recordGone(name);
+    for (const name of this.recordCache.missingFrom(entries)) this.recordGone(name);
     entries.forEach((entry) => {
       this.recordSeen(entry);
     });
   }
 
   /** All records that a copy holds from which the store was restored: what it lacks is written again, what it brings back removed again. */
-  recordsRestored(copy: readonly QuarantineEntry[]): void {
-    const { lost, removed, valid } = this.kept.compareWithCopy(copy);
+  recordsRestored(backup: readonly QuarantineEntry[]): void {
+    const { lost, removed, valid } = this.recordCache.compareWithBackup(backup);
     for (const entry of lost) {
       if (this.options.removesRecord(entry.content))
-        this.writer.write(entry, () => this.kept.has(entry.content));
+        this.writer.write(entry, () => this.recordCache.has(entry.content));
     }
     for (const { content } of removed) if (this.options.removesRecord(content)) this.writer.remove(content);
     valid.forEach((entry) => {
@@ -364,16 +366,19 @@
 
   /** A record appeared. */
   recordSeen(entry: QuarantineEntry): void {
-    this.kept.seen(entry);
-    if (isVerdict(entry)) this.verdictSeen(entry);
-    else if ('trial' in entry) this.trials.seen(entry);
-    else this.merge('suspect' in entry ? this.evidence.seen(entry) : this.ends.seen(entry));
+    this.recordCache.handleStored(entry);
+    if (isVerdict(entry)) this.handleVerdictStored(entry);
+    else if ('trial' in entry) this.trials.handleStored(entry);
+    else
+      this.merge(
+        'suspect' in entry ? this.suspectRecords.handleStored(entry) : this.crashBatches.handleStored(entry),
+      );
   }
 
-  private verdictSeen(record: QuarantineRecord): void {
-    if (!this.verdicts.seen(record)) return;
+  private handleVerdictStored(record: QuarantineRecord): void {
+    if (!this.verdicts.handleStored(record)) return;
     // What it explains is held against no other content any more.
-    for (const suspect of this.marks.suspects) this.turns.wake(suspect);
+    for (const suspect of this.marks.suspects) this.slots.wake(suspect);
   }
 
   /**
@@ -382,19 +387,24 @@
    * @param content Name of the record.
    */
   recordGone(content: string): void {
-    this.kept.gone(content);
-    if (this.evidence.gone(content) || this.ends.gone(content) || this.trials.gone(content)) return;
-    if (!this.verdicts.gone(content)) return;
-    if (this.marks.clear(content)) this.tell();
+    this.recordCache.handleRemoved(content);
+    if (
+      this.suspectRecords.handleRemoved(content) ||
+      this.crashBatches.handleRemoved(content) ||
+      this.trials.handleRemoved(content)
+    )
+      return;
+    if (!this.verdicts.handleRemoved(content)) return;
+    if (this.marks.clear(content)) this.schedulePublish();
     if (!this.options.removesRecord(content)) return;
-    this.evidence.drop(content);
-    this.ends.dropSettled();
+    this.suspectRecords.discard(content);
+    this.crashBatches.removeInactive();
   }
 
   private closeCheck(content: string, check: Promise<void>): void {
-    const open = this.open.get(content);
+    const open = this.openChecks.get(content);
     open?.delete(check);
-    if (open?.size === 0) this.open.delete(content);
+    if (open?.size === 0) this.openChecks.delete(content);
   }
 
   private logEnd({ content, backEnd, sentAt, requestId, load }: ContentAttempt, endedAt: number): void {
@@ -415,15 +425,15 @@
       this.verdicts.noteProven(content, origin, this.ownAttempts.get(content));
   }
 
-  private judgeAll(): void {
+  private evaluateAll(): void {
     for (const content of this.marks.suspects) this.noteVerdict(content, 'told');
   }
 
-  private tell(): void {
-    if (this.tellScheduled) return;
-    this.tellScheduled = true;
-    this.options.clock.schedule(TELL_PAUSE_MS, () => {
-      this.tellScheduled = false;
+  private schedulePublish(): void {
+    if (this.isPublishScheduled) return;
+    this.isPublishScheduled = true;
+    this.options.clock.schedule(PUBLISH_DELAY_MS, () => {
+      this.isPublishScheduled = false;
       this.onNews();
     });
   }
@@ -433,9 +443,9 @@
       if (this.marks.endsOf(content) === 0) this.ownAttempts.delete(content);
     }
     const { removesRecord } = this.options;
-    this.kept.forgetRemoved();
+    this.recordCache.pruneRemoved();
     await this.verdicts.removeExpired();
-    await this.evidence.removeExpired(removesRecord);
-    await this.ends.removeExpired(removesRecord);
+    await this.suspectRecords.removeExpired(removesRecord);
+    await this.crashBatches.removeExpired(removesRecord);
   }
 }
--- a/packages/quarantine/src/kept-marks.ts
+++ b/packages/quarantine/src/stored-marks.ts
@@ -5,16 +5,16 @@
 import type { KeptEnd } from './quarantine-record.js';
 
 /** A mark for a record. */
-export function toKeptEnd(
+export function toStoredCrash(
   { content, processId, begunAt, endedAt, isTrial }: CrashMark,
   clock: Clock,
 ): KeptEnd {
-  const lead = clock.wall() - clock.monotonic();
+  const wallOffsetMs = clock.wall() - clock.monotonic();
   return {
     suspect: content,
     processId,
-    begunAt: Math.round(lead + begunAt),
-    endedAt: Math.round(lead + endedAt),
+    begunAt: Math.round(wallOffsetMs + begunAt),
+    endedAt: Math.round(wallOffsetMs + endedAt),
     ...(isTrial === true ? { isTrial } : {}),
   };
 }
--- a/packages/quarantine/src/suspect-records.ts
+++ b/packages/quarantine/src/suspect-records.ts
@@ -5,7 +5,7 @@
 import type { CrashMarkEntry } from '@woodbarrow/protocol';
 import { MARK_LIFETIME_MS, type CrashMarks } from './crash-marks.js';
 import type { CulpritSearch } from './culprit-search.js';
-import { toKeptEnd, toMarkEntry } from './kept-marks.js';
+import { toStoredCrash, toMarkEntry } from './stored-marks.js';
 import { suspectName, type KeptMark, type SuspectRecord } from './quarantine-record.js';
 import type { RecordWriter } from './record-writer.js';
 
@@ -13,7 +13,7 @@
 export class SuspectRecords {
   private readonly records = new Map<string, SuspectRecord>();
   /** Processes in the records that this daemon writes, or has written, by content. */
-  private readonly writing = new Map<string, readonly string[]>();
+  private readonly writtenProcesses = new Map<string, readonly string[]>();
 
   constructor(
     private readonly marks: CrashMarks,
@@ -22,34 +22,34 @@
   ) {}
 
   /** Whether the record of a content, in the store or on its way there, says that a process ended under it. */
-  keeps(content: string, processId: string): boolean {
+  includesCrash(content: string, processId: string): boolean {
     const processes = this.records.get(suspectName(content))?.marks.map((mark) => mark.processId);
-    return (processes ?? this.writing.get(content) ?? []).includes(processId);
+    return (processes ?? this.writtenProcesses.get(content) ?? []).includes(processId);
   }
 
   /** Enters a record that the store holds. Returns its marks. */
-  seen(record: SuspectRecord): readonly CrashMarkEntry[] {
+  handleStored(record: SuspectRecord): readonly CrashMarkEntry[] {
     const { suspect } = record;
     this.records.set(record.content, record);
     return record.marks.map((mark) => toMarkEntry({ ...mark, suspect }, this.writer.options.clock));
   }
 
   /** A record is gone. Returns whether there was one of that name. */
-  gone(name: string): boolean {
+  handleRemoved(name: string): boolean {
     const record = this.records.get(name);
-    if (record !== undefined) this.writing.delete(record.suspect);
+    if (record !== undefined) this.writtenProcesses.delete(record.suspect);
     return this.records.delete(name);
   }
 
   /** Writes what is known against a content, until the store has taken it or it is no longer needed. */
-  keep(content: string): void {
-    if (this.writing.has(content) || this.records.has(suspectName(content))) return;
+  write(content: string): void {
+    if (this.writtenProcesses.has(content) || this.records.has(suspectName(content))) return;
     const { clock, daemon } = this.writer.options;
-    const marks = this.marks.marksOf(content).map((mark): KeptMark => {
-      const { processId, begunAt, endedAt, isTrial } = toKeptEnd(mark, clock);
+    const marks = this.marks.activeMarksOf(content).map((mark): KeptMark => {
+      const { processId, begunAt, endedAt, isTrial } = toStoredCrash(mark, clock);
       return { processId, begunAt, endedAt, ...(isTrial === true ? { isTrial } : {}) };
     });
-    this.writing.set(
+    this.writtenProcesses.set(
       content,
       marks.map(({ processId }) => processId),
     );
@@ -60,13 +60,13 @@
       foundBy: daemon,
       at: clock.wall(),
     };
-    this.writer.write(record, () => this.search.isHalfProven(content));
+    this.writer.write(record, () => this.search.hasConsecutiveCrashes(content));
   }
 
   /** The content has run well, or was lifted: the record would bring the marks back. */
-  drop(content: string): void {
+  discard(content: string): void {
     const name = suspectName(content);
-    this.writing.delete(content);
+    this.writtenProcesses.delete(content);
     if (this.records.has(name)) this.writer.remove(name);
   }
 
--- a/packages/quarantine/src/suspect-turns.ts
+++ b/packages/quarantine/src/suspect-slots.ts
@@ -12,68 +12,68 @@
 }
 
 /** The turn of a content that nothing is known against. */
-export const FREE_TURN: Turn = { sentTo: () => undefined, release: () => undefined };
+export const UNRESTRICTED_SLOT: Turn = { sentTo: () => undefined, release: () => undefined };
 
-interface HeldTurn {
+interface HeldSlot {
   /** Process that the attempt was sent to, once it was. */
   processId?: string;
 }
 
 /** Turns of one daemon. */
-export class SuspectTurns {
-  private readonly held = new Map<string, HeldTurn>();
+export class SuspectSlots {
+  private readonly held = new Map<string, HeldSlot>();
   /** Wakes those that wait for a turn of a content. */
-  private readonly waiting = new Map<string, Set<() => void>>();
+  private readonly waiters = new Map<string, Set<() => void>>();
 
   /**
    * Resolves once no other attempt of the content is under way here; with a free turn when `signal` aborts, or when the content
    * is no longer suspected. Never rejects.
    */
-  async take(content: string, isSuspect: () => boolean, signal: AbortSignal): Promise<Turn> {
+  async acquire(content: string, isSuspect: () => boolean, signal: AbortSignal): Promise<Turn> {
     while (this.held.has(content)) {
-      if (signal.aborted || !isSuspect()) return FREE_TURN;
-      await this.nextChange(content, signal);
+      if (signal.aborted || !isSuspect()) return UNRESTRICTED_SLOT;
+      await this.waitForWake(content, signal);
     }
-    const turn: HeldTurn = {};
-    this.held.set(content, turn);
+    const slot: HeldSlot = {};
+    this.held.set(content, slot);
     return {
       sentTo: (processId) => {
-        turn.processId = processId;
+        slot.processId = processId;
       },
       release: () => {
-        if (this.held.get(content) === turn) this.held.delete(content);
+        if (this.held.get(content) === slot) this.held.delete(content);
         this.wake(content);
       },
     };
   }
 
   /** Whether an attempt of a content is under way. */
-  isTaken(content: string): boolean {
+  isHeld(content: string): boolean {
     return this.held.has(content);
   }
 
   /** Something has changed for a content: those that wait look again. */
   wake(content: string): void {
-    for (const wake of this.waiting.get(content) ?? []) wake();
+    for (const wake of this.waiters.get(content) ?? []) wake();
   }
 
   /** Processes that run other suspects now. */
-  takenByOthers(content: string): string[] {
+  processesOfOthers(content: string): string[] {
     const others = [...this.held].filter(([other]) => other !== content);
     return others.flatMap(([, { processId }]) => (processId === undefined ? [] : [processId]));
   }
 
-  private nextChange(content: string, signal: AbortSignal): Promise<void> {
+  private waitForWake(content: string, signal: AbortSignal): Promise<void> {
     return new Promise((resolve) => {
-      const waiting = this.waiting.get(content) ?? new Set();
-      this.waiting.set(content, waiting);
+      const waiters = this.waiters.get(content) ?? new Set();
+      this.waiters.set(content, waiters);
       const wake = (): void => {
-        waiting.delete(wake);
-        if (waiting.size === 0 && this.waiting.get(content) === waiting) this.waiting.delete(content);
+        waiters.delete(wake);
+        if (waiters.size === 0 && this.waiters.get(content) === waiters) this.waiters.delete(content);
         signal.removeEventListener('abort', wake);
         resolve();
       };
-      waiting.add(wake);
+      waiters.add(wake);
       signal.addEventListener('abort', wake);
     });
   }
--- a/packages/quarantine/src/suspect-trials.ts
+++ b/packages/quarantine/src/suspect-trials.ts
@@ -15,9 +15,9 @@
 /** When a caller is to come back whose content is being tried, in milliseconds: most requests have run by then. */
 export const RETRY_AFTER_TRIAL_MS = 2000;
 /** When a caller is to come back whose content waits for those that ran beside it, in milliseconds: most have come back twice by then. */
-export const RETRY_AFTER_OTHERS_MS = 10_000;
+export const RETRY_AFTER_RIVALS_MS = 10_000;
 /** When a caller is to come back where the store gave no answer, in milliseconds: some 5 s pass until it is asked again. */
-const RETRY_AFTER_STORE_MS = 5000;
+const RETRY_AFTER_STORE_FAILURE_MS = 5000;
 
 /** Whether a content may run now. */
 export type TrialAdmission =
@@ -31,10 +31,10 @@
   | { readonly kind: 'refused'; readonly retryAfterMs: number };
 
 /** Of a content that needs no trial. */
-export const FREE_ADMISSION: TrialAdmission = { kind: 'admitted', end: () => undefined };
+export const UNRESTRICTED_ADMISSION: TrialAdmission = { kind: 'admitted', end: () => undefined };
 
 /** A trial that the store holds, here or elsewhere. */
-interface KnownTrial {
+interface ObservedTrial {
   readonly record: TrialRecord;
   /** Monotonic. */
   readonly seenAt: number;
@@ -46,27 +46,29 @@
   /** Whether this daemon removes a record of a name that nobody else removes. */
   readonly removesRecord: (name: string) => boolean;
   /** Resolves when it is known what came of a run of a content. */
-  readonly settled: (content: string) => Promise<void>;
+  readonly whenSettled: (content: string) => Promise<void>;
 }
 
 /** Trials as one daemon knows them. */
 export class SuspectTrials {
   /** By name of the record. */
-  private readonly known = new Map<string, KnownTrial>();
+  private readonly observedTrials = new Map<string, ObservedTrial>();
   /** Processes that this daemon tries contents on, by content. */
-  private readonly own = new Map<string, string>();
+  private readonly ownTrials = new Map<string, string>();
 
   constructor(private readonly options: SuspectTrialsOptions) {}
 
   /** Whether this daemon tries a content on a process. */
   isTrying(content: string, processId: string): boolean {
-    return this.own.get(content) === processId;
+    return this.ownTrials.get(content) === processId;
   }
 
   /** Processes on which contents other than this one are being tried. */
   processesOfOthers(content: string): string[] {
-    const known = [...this.known.values()].map(({ record }) => [record.trial, record.processId] as const);
-    const others = [...known, ...this.own].filter(([other]) => other !== content);
+    const observed = [...this.observedTrials.values()].map(
+      ({ record }) => [record.trial, record.processId] as const,
+    );
+    const others = [...observed, ...this.ownTrials].filter(([other]) => other !== content);
     return others.map(([, processId]) => processId);
   }
 
@@ -75,7 +77,7 @@
     if (this.isUnderWay(content)) return refused(RETRY_AFTER_TRIAL_MS);
     if (this.processesOfOthers(content).includes(processId)) return { kind: 'occupied' };
     const { clock, daemon, store, log } = this.options.writer.options;
-    this.own.set(content, processId);
+    this.ownTrials.set(content, processId);
     const record = {
       content: trialName(content),
       trial: content,
@@ -84,55 +86,56 @@
       at: clock.wall(),
     };
     try {
-      if (await store.claim(record)) return this.admitted(record);
-      this.own.delete(content);
+      if (await store.claim(record)) return this.admit(record);
+      this.ownTrials.delete(content);
       return refused(RETRY_AFTER_TRIAL_MS);
     } catch (error) {
       // It may have been carried out: then the record goes with its time.
-      this.own.delete(content);
+      this.ownTrials.delete(content);
       log.warned('quarantine_not_written', { content, failures: 1, cause: messageOf(error) });
-      return refused(RETRY_AFTER_STORE_MS);
+      return refused(RETRY_AFTER_STORE_FAILURE_MS);
     }
   }
 
   /** Enters a record that the store holds. */
-  seen(record: TrialRecord): void {
+  handleStored(record: TrialRecord): void {
     const { clock } = this.options.writer.options;
     const name = record.content;
-    if (this.known.has(name)) return;
-    this.known.set(name, { record, seenAt: clock.monotonic() });
+    if (this.observedTrials.has(name)) return;
+    this.observedTrials.set(name, { record, seenAt: clock.monotonic() });
     clock.schedule(TRIAL_LIFETIME_MS, () => {
-      const isLeft = this.known.get(name)?.record === record && !this.own.has(record.trial);
-      if (isLeft && this.options.removesRecord(name)) this.options.writer.remove(name);
+      const isOrphaned =
+        this.observedTrials.get(name)?.record === record && !this.ownTrials.has(record.trial);
+      if (isOrphaned && this.options.removesRecord(name)) this.options.writer.remove(name);
     });
   }
 
   /** A record is gone. Returns whether there was one of that name. */
-  gone(name: string): boolean {
-    return this.known.delete(name);
+  handleRemoved(name: string): boolean {
+    return this.observedTrials.delete(name);
   }
 
   /** Whether a content is being tried, here or elsewhere. */
   isUnderWay(content: string): boolean {
-    if (this.own.has(content)) return true;
-    const trial = this.known.get(trialName(content));
+    if (this.ownTrials.has(content)) return true;
+    const trial = this.observedTrials.get(trialName(content));
     const now = this.options.writer.options.clock.monotonic();
     return trial !== undefined && now - trial.seenAt < TRIAL_LIFETIME_MS;
   }
 
-  private admitted(record: TrialRecord): TrialAdmission {
-    const { writer, settled } = this.options;
+  private admit(record: TrialRecord): TrialAdmission {
+    const { writer, whenSettled } = this.options;
     const { content: name, trial: content, processId } = record;
-    this.seen(record);
+    this.handleStored(record);
     writer.options.log.changed('suspect_tried', { content, backEnd: processId });
     let hasEnded = false;
     const end = (): void => {
       if (hasEnded) return;
       hasEnded = true;
       writer.options.tasks.spawn('suspect trial', async () => {
-        await settled(content);
-        this.own.delete(content);
-        this.known.delete(name);
+        await whenSettled(content);
+        this.ownTrials.delete(content);
+        this.observedTrials.delete(name);
         writer.remove(name);
       });
     };
--- a/packages/quarantine/src/verdict-records.ts
+++ b/packages/quarantine/src/verdict-records.ts
@@ -10,7 +10,7 @@
  * Time for which the daemon that saw an end may write the record of a verdict before another one does, in milliseconds. Where all that saw
  * one were killed, the verdict would be gone with the marks otherwise, after ten minutes instead of an hour.
  */
-const RECORD_PATIENCE_MS = 2000;
+const FALLBACK_WRITE_DELAY_MS = 2000;
 
 /** The attempt by which a verdict was found: what its record says of it. */
 export type VerdictSource = Pick<QuarantineRecord, 'content' | 'requestId' | 'route' | 'load'>;
@@ -31,7 +31,7 @@
   /** Contents whose record this daemon writes, or has written: the store's feed tells it back. */
   private readonly writing = new Set<string>();
   /** Contents whose verdict was found here or told by others, and is in the log. */
-  private readonly found = new Set<string>();
+  private readonly reported = new Set<string>();
 
   constructor(private readonly options: VerdictRecordsOptions) {}
 
@@ -49,12 +49,12 @@
   }
 
   /** Whether a verdict is in the store, or on its way there. */
-  keeps(content: string): boolean {
+  isRecorded(content: string): boolean {
     return this.records.has(content) || this.writing.has(content);
   }
 
   /** Enters a record that the store holds. Returns whether it is new. */
-  seen(record: QuarantineRecord): boolean {
+  handleStored(record: QuarantineRecord): boolean {
     const { content, processes, foundBy, route, requestId, load } = record;
     if (this.records.has(content)) return false;
     this.records.set(content, record);
@@ -65,7 +65,7 @@
   }
 
   /** A record is gone. Returns whether there was one of that name. */
-  gone(content: string): boolean {
+  handleRemoved(content: string): boolean {
     if (!this.records.delete(content)) return false;
     this.writing.delete(content);
     this.forget(content);
@@ -76,49 +76,49 @@
   /** A content has run well, or may run again: it has no verdict until it is proven anew. */
   forget(content: string): void {
     this.options.search.forget(content);
-    this.found.delete(content);
+    this.reported.delete(content);
   }
 
   /** A content is proven. @param attempt The newest one under which a process ended here, if any. */
   noteProven(content: string, origin: 'seen' | 'told', attempt: VerdictSource | undefined): void {
     if (this.records.has(content)) return;
-    if (!this.found.has(content)) {
+    if (!this.reported.has(content)) {
       const processes = this.options.marks.processesOf(content);
       const facts = { content, load: attempt?.load, source: origin, processes };
       this.options.log.warned(verdictEvent(content), facts);
-      this.found.add(content);
+      this.reported.add(content);
     }
-    if (attempt !== undefined) this.keep(attempt);
-    else this.keepLater(content);
+    if (attempt !== undefined) this.write(attempt);
+    else this.scheduleFallbackWrite(content);
   }
 
   /** Removes records whose time is over, and forgets verdicts that have neither a record nor marks. */
   async removeExpired(): Promise<void> {
     const { marks, writer, removesRecord } = this.options;
-    for (const content of [...this.found]) {
+    for (const content of [...this.reported]) {
       if (!this.records.has(content) && marks.endsOf(content) === 0) this.forget(content);
     }
     await writer.removeExpired(this.records.values(), QUARANTINE_MS, removesRecord);
   }
 
   /** Writes the record of a verdict that no daemon which saw an end has written. */
-  private keepLater(content: string): void {
+  private scheduleFallbackWrite(content: string): void {
     const { writer, removesRecord } = this.options;
     if (!removesRecord(content)) return;
-    writer.options.clock.schedule(RECORD_PATIENCE_MS, () => {
-      this.keep({ content, requestId: '', route: '' });
+    writer.options.clock.schedule(FALLBACK_WRITE_DELAY_MS, () => {
+      this.write({ content, requestId: '', route: '' });
     });
   }
 
   /** Writes the record of a verdict, until the store has taken it or the content has been cleared. */
-  private keep({ content, requestId, route, load }: VerdictSource): void {
+  private write({ content, requestId, route, load }: VerdictSource): void {
     const { marks, search, writer } = this.options;
-    if (this.keeps(content) || !search.isProven(content)) return;
+    if (this.isRecorded(content) || !search.isProven(content)) return;
     this.writing.add(content);
     const { clock, daemon } = writer.options;
     const processes = marks.processesOf(content);
-    const named = load === undefined ? {} : { load };
-    const record = { content, processes, route, requestId, ...named, foundBy: daemon, at: clock.wall() };
+    const loadField = load === undefined ? {} : { load };
+    const record = { content, processes, route, requestId, ...loadField, foundBy: daemon, at: clock.wall() };
     writer.write(record, () => search.isProven(content));
   }
 }
--- a/packages/quarantine/test/crash-marks.test.ts
+++ b/packages/quarantine/test/crash-marks.test.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai';
 import fc from 'fast-check';
 import { SimulatedProcess, SimulatedWorld } from '@woodbarrow/runtime';
-import { CrashMarks, CulpritSearch, MARK_LIFETIME_MS, MOST_MARKS, type CrashMark } from '../src/index.js';
+import { CrashMarks, CulpritSearch, MARK_LIFETIME_MS, MAX_MARKS, type CrashMark } from '../src/index.js';
 
 function mark(content: string, processId: string, endedAt: number, isCleared = false): CrashMark {
   return { content, processId, begunAt: endedAt - 50, endedAt, isCleared };
@@ -53,9 +53,9 @@
 
   it('are bounded: the oldest go first', () => {
     const { marks } = create();
-    for (let index = 0; index < MOST_MARKS + 10; index += 1)
+    for (let index = 0; index < MAX_MARKS + 10; index += 1)
       marks.add(mark(`c${String(index)}`, 'w', index - 100_000));
-    expect(marks.totals.marks).to.equal(MOST_MARKS);
+    expect(marks.totals.marks).to.equal(MAX_MARKS);
     expect(marks.endsOf('c9')).to.equal(0);
     expect(marks.endsOf('c10')).to.equal(1);
     const told = { c: 'older', p: 'w', b: 200_050, e: 200_000 };
--- a/packages/quarantine/test/culprit-search.test.ts
+++ b/packages/quarantine/test/culprit-search.test.ts
@@ -49,7 +49,7 @@
   it('accuses all that ran beside each other three times, and proves none of them', async () => {
     for (let end = 0; end < 3; end += 1) await endUnder(['culprit', 'neighbour']);
     for (const content of ['culprit', 'neighbour']) {
-      expect(search.isAccused(content)).to.equal(true);
+      expect(search.requiresTrial(content)).to.equal(true);
       expect(search.isProven(content)).to.equal(false);
     }
   });
@@ -59,17 +59,17 @@
     await endUnder(['culprit', 'bystander'], true);
     expect(search.isProven('culprit')).to.equal(true);
     // It runs once by itself before its callers are let in together: it may be a second culprit.
-    expect(search.isAccused('neighbour')).to.equal(true);
-    expect(search.waitsForOthers('neighbour')).to.equal(false);
-    expect(search.unexplainedEnds('neighbour')).to.have.length(0);
-    expect(search.unexplainedEnds('bystander')).to.have.length(0);
+    expect(search.requiresTrial('neighbour')).to.equal(true);
+    expect(search.mustWaitForRivals('neighbour')).to.equal(false);
+    expect(search.unexplainedCrashes('neighbour')).to.have.length(0);
+    expect(search.unexplainedCrashes('bystander')).to.have.length(0);
   });
 
   it('finds out a second culprit that ran beside the first each time by one more end', async () => {
     for (let end = 0; end < 3; end += 1) await endUnder(['first', 'second']);
     await endUnder(['first'], true);
     expect(search.isProven('first')).to.equal(true);
-    expect(search.isAccused('second')).to.equal(true);
+    expect(search.requiresTrial('second')).to.equal(true);
     await endUnder(['second', 'bystander'], true);
     expect(search.isProven('second')).to.equal(true);
   });
@@ -87,14 +87,14 @@
     await endUnder(['first', 'neighbour']);
     await endUnder(['second', 'neighbour']);
     expect(search.isProven('neighbour')).to.equal(false);
-    expect(search.isAccused('neighbour')).to.equal(true);
+    expect(search.requiresTrial('neighbour')).to.equal(true);
   });
 
   it('lets the one with the most ends wait until the others have run well, and proves it without a trial', async () => {
     for (const neighbour of ['a', 'b']) await endUnder(['culprit', neighbour]);
     await endUnder(['culprit', 'a', 'b']);
-    expect(search.isAccused('culprit')).to.equal(true);
-    expect(search.waitsForOthers('culprit')).to.equal(true);
+    expect(search.requiresTrial('culprit')).to.equal(true);
+    expect(search.mustWaitForRivals('culprit')).to.equal(true);
     marks.clear('a');
     expect(search.isProven('culprit')).to.equal(false);
     marks.clear('b');
@@ -104,10 +104,10 @@
   it('lets the one with the most ends wait for two minutes at most', async () => {
     for (const other of ['a', 'b']) await endUnder(['neighbour', other]);
     await endUnder(['neighbour', 'a', 'b']);
-    expect(search.waitsForOthers('neighbour')).to.equal(true);
+    expect(search.mustWaitForRivals('neighbour')).to.equal(true);
     await world.run(world.now + 121_000);
-    expect(search.waitsForOthers('neighbour')).to.equal(false);
-    expect(search.isAccused('neighbour')).to.equal(true);
+    expect(search.mustWaitForRivals('neighbour')).to.equal(false);
+    expect(search.requiresTrial('neighbour')).to.equal(true);
   });
 
   it('proves what ended four processes, whatever ran beside it each time', async () => {
@@ -135,7 +135,7 @@
     async function play(workers: number, culprits: number): Promise<NeighboursResult[]> {
       const results: NeighboursResult[] = [];
       for (let seed = 1; seed <= 6; seed += 1)
-        results.push(await new NeighboursSimulation({ seed, workers, culprits, innocents: 300 }).play());
+        results.push(await new NeighboursSimulation({ seed, workers, culprits, innocents: 300 }).simulate());
       return results;
     }
 
--- a/packages/quarantine/test/load-quarantine.test.ts
+++ b/packages/quarantine/test/load-quarantine.test.ts
@@ -3,7 +3,7 @@
 import { silentLog } from '@woodbarrow/observability';
 import { SimulatedProcess } from '@woodbarrow/runtime';
 import { ENDS_FOR_VERDICT, LoadQuarantine, loadContent, type RequestQuarantine } from '../src/index.js';
-import { QuarantineScene, backEndOf } from './quarantine-scene.js';
+import { QuarantineDeployment, backEndOf } from './quarantine-deployment.js';
 
 const MODEL = { model: 'm1' };
 const ADAPTER = { model: 'm1', adapter: 'a1', adapterVersion: 2 };
@@ -15,15 +15,15 @@
 const FOUND_OUT_MS = 300;
 
 describe('LoadQuarantine', () => {
-  let scene: QuarantineScene;
+  let deployment: QuarantineDeployment;
   let contents: RequestQuarantine;
   let directory: BackendDirectory;
   let loads: LoadQuarantine;
 
   beforeEach(() => {
-    scene = new QuarantineScene();
-    contents = scene.addDaemon();
-    const clock = new SimulatedProcess(scene.world, { name: 'coordinator', zone: 'a', region: 'r' });
+    deployment = new QuarantineDeployment();
+    contents = deployment.addDaemon();
+    const clock = new SimulatedProcess(deployment.world, { name: 'coordinator', zone: 'a', region: 'r' });
     directory = new BackendDirectory(clock);
     loads = new LoadQuarantine({ contents, directory, clock, log: silentLog });
   });
@@ -31,15 +31,15 @@
   function order(id: string, target = MODEL): void {
     const backEnd = backEndOf(id);
     directory.put(backEnd);
-    loads.ordered(backEnd, target, scene.world.now);
+    loads.ordered(backEnd, target, deployment.world.now);
   }
 
   async function endUnder(id: string, target = MODEL): Promise<void> {
     order(id, target);
-    await scene.pass(50);
-    scene.ended.add(id);
+    await deployment.advance(50);
+    deployment.ended.add(id);
     loads.unanswered(id);
-    await scene.pass(FOUND_OUT_MS);
+    await deployment.advance(FOUND_OUT_MS);
   }
 
   it('finds out a load under which three processes have ended, and names it in the record', async () => {
@@ -47,7 +47,7 @@
     expect(loads.verdictOf(SERVICE, MODEL)).to.equal(undefined);
     await endUnder('w3');
     expect(loads.verdictOf(SERVICE, MODEL)).to.include({ ends: ENDS_FOR_VERDICT });
-    const record = scene.records.get(loadContent(SERVICE, MODEL));
+    const record = deployment.records.get(loadContent(SERVICE, MODEL));
     expect(record).to.include({ load: `${SERVICE} m1`, route: '', requestId: '' });
     expect(record?.processes).to.deep.equal(['w1', 'w2', 'w3']);
     expect(loads.totals).to.deep.equal({ suspects: 1, quarantined: 1, refused: 0 });
@@ -68,21 +68,21 @@
     loads.failed(backEndOf('w2'), MODEL);
     order('w3');
     directory.recordVanished('w3');
-    await scene.pass(5000);
-    for (const id of ['w1', 'w2', 'w3']) scene.ended.add(id);
+    await deployment.advance(5000);
+    for (const id of ['w1', 'w2', 'w3']) deployment.ended.add(id);
     loads.failed(backEndOf('w2'), MODEL);
-    await scene.pass(FOUND_OUT_MS);
+    await deployment.advance(FOUND_OUT_MS);
     expect(contents.totals.marks).to.equal(0);
     expect(loads.isUnderWay(SERVICE, MODEL)).to.equal(true);
     loads.unanswered('w1');
-    await scene.pass(FOUND_OUT_MS);
+    await deployment.advance(FOUND_OUT_MS);
     expect(contents.totals.marks).to.equal(1);
   });
 
   it('learns from another daemon that the process of a load has ended', async () => {
-    const other = scene.addDaemon();
+    const other = deployment.addDaemon();
     order('w1');
-    await scene.endUnder(other, 'a request', 'w1');
+    await deployment.crashUnder(other, 'a request', 'w1');
     expect(loads.lastEndOf(SERVICE, MODEL)).to.be.a('number');
     expect(loads.isUnderWay(SERVICE, MODEL)).to.equal(false);
   });
@@ -96,14 +96,14 @@
       isNext = true;
       turn.release();
     });
-    await scene.pass(1000);
+    await deployment.advance(1000);
     expect(isNext).to.equal(false);
-    scene.ended.add('w2');
+    deployment.ended.add('w2');
     loads.failed(backEndOf('w2'), ADAPTER);
     first.release();
-    await scene.pass(50);
+    await deployment.advance(50);
     expect(isNext).to.equal(false);
-    await scene.pass(FOUND_OUT_MS);
+    await deployment.advance(FOUND_OUT_MS);
     expect(isNext).to.equal(true);
     const aside = await loads.takeTurn(SERVICE, MODEL, open);
     aside.release();
--- a/packages/quarantine/test/neighbours-simulation.ts
+++ b/packages/quarantine/test/neighbours-simulation.ts
@@ -4,7 +4,7 @@
  */
 import { Random, SimulatedProcess, sleep } from '@woodbarrow/runtime';
 import type { RequestQuarantine } from '../src/index.js';
-import { QuarantineScene } from './quarantine-scene.js';
+import { QuarantineDeployment } from './quarantine-deployment.js';
 
 const DAEMONS = 8;
 /** Time after which another process runs in the place of one that has ended, in milliseconds. */
@@ -12,13 +12,13 @@
 /** Time after which a culprit ends its process, in milliseconds. */
 const CRASH_AFTER_MS = 50;
 /** A caller comes back so often at most, and never later than so many milliseconds after it was told. */
-const MOST_RETURNS = 6;
-const LONGEST_WAIT_MS = 10_000;
+const MAX_RETRIES = 6;
+const MAX_RETRY_AFTER_MS = 10_000;
 /** Time for which new requests come, and until all have ended, in milliseconds. */
 const TRAFFIC_MS = 24_000;
-const END_MS = 60_000;
+const SIMULATION_MS = 60_000;
 /** Time from the third end until all daemons in touch know, in milliseconds. */
-export const CONTACT_MS = 3000;
+export const PROPAGATION_MS = 3000;
 
 /** What is varied. */
 export interface NeighboursOptions {
@@ -35,7 +35,7 @@
   readonly innocentsServed: number;
   readonly longestMs: number;
   readonly workersEnded: number;
-  /** Most sends of one culprit later than {@link CONTACT_MS} after its third end. */
+  /** Most sends of one culprit later than {@link PROPAGATION_MS} after its third end. */
   readonly lateSends: number;
   /** Culprits that are refused in the end, and those of them that are for an hour. */
   readonly culpritsRefused: number;
@@ -48,15 +48,15 @@
 
 interface CulpritHistory {
   readonly sends: number[];
-  readonly ends: number[];
+  readonly crashes: number[];
   /** Whether its last attempt was refused. */
   isRefused: boolean;
 }
 
 /** One play. */
 export class NeighboursSimulation {
-  private readonly scene = new QuarantineScene();
-  private readonly clock = new SimulatedProcess(this.scene.world, {
+  private readonly deployment = new QuarantineDeployment();
+  private readonly clock = new SimulatedProcess(this.deployment.world, {
     name: 'callers',
     zone: 'a',
     region: 'r',
@@ -71,15 +71,15 @@
     this.random = new Random(options.seed);
   }
 
-  async play(): Promise<NeighboursResult> {
+  async simulate(): Promise<NeighboursResult> {
     const { workers, culprits, innocents } = this.options;
-    for (let index = 0; index < DAEMONS; index += 1) this.scene.addDaemon();
+    for (let index = 0; index < DAEMONS; index += 1) this.deployment.addDaemon();
     for (let index = 0; index < workers; index += 1) this.startWorker();
     const calls = [
       ...Array.from({ length: culprits }, (_, index) => this.callCulprit(`culprit-${String(index)}`)),
       ...Array.from({ length: innocents }, (_, index) => this.callInnocent(`innocent-${String(index)}`)),
     ];
-    await this.scene.pass(END_MS);
+    await this.deployment.advance(SIMULATION_MS);
     await Promise.all(calls);
     return this.result();
   }
@@ -91,7 +91,7 @@
 
   /** Its callers come again and again, at any daemon. */
   private async callCulprit(content: string): Promise<void> {
-    const history: CulpritHistory = { sends: [], ends: [], isRefused: false };
+    const history: CulpritHistory = { sends: [], crashes: [], isRefused: false };
     this.culprits.set(content, history);
     await this.pause(this.random.between(500, 3000));
     while (this.clock.monotonic() < TRAFFIC_MS) {
@@ -105,19 +105,19 @@
   private async callInnocent(content: string): Promise<void> {
     await this.pause(this.random.between(0, TRAFFIC_MS));
     const startedAt = this.clock.monotonic();
-    for (let returns = 0; returns <= MOST_RETURNS; returns += 1) {
+    for (let returns = 0; returns <= MAX_RETRIES; returns += 1) {
       const outcome = await this.attempt(content);
       if (outcome.kind === 'served') {
         this.servedAfterMs.set(content, this.clock.monotonic() - startedAt);
         return;
       }
-      if (outcome.kind === 'refused' && outcome.retryAfterMs > LONGEST_WAIT_MS) return;
+      if (outcome.kind === 'refused' && outcome.retryAfterMs > MAX_RETRY_AFTER_MS) return;
       await this.pause(outcome.kind === 'refused' ? outcome.retryAfterMs : this.random.between(20, 300));
     }
   }
 
   private async attempt(content: string): Promise<Outcome> {
-    const daemon = this.random.pick(this.scene.daemons) as RequestQuarantine;
+    const daemon = this.random.pick(this.deployment.daemons) as RequestQuarantine;
     const turn = await daemon.takeTurn(content, new AbortController().signal);
     try {
       const verdict = daemon.verdictOf(content);
@@ -159,7 +159,7 @@
       });
       if (culprit !== undefined) this.clock.schedule(CRASH_AFTER_MS, () => this.endWorker(worker, culprit));
     });
-    if (isBroken) this.scene.breakOff(daemon, content, worker, sentAt);
+    if (isBroken) this.deployment.breakOff(daemon, content, worker, sentAt);
     else daemon.noteServed(content);
     return { kind: isBroken ? 'broken' : 'served' };
   }
@@ -167,21 +167,21 @@
   private endWorker(worker: string, culprit: CulpritHistory): void {
     const runs = this.runs.get(worker);
     if (runs === undefined) return;
-    culprit.ends.push(this.clock.monotonic());
+    culprit.crashes.push(this.clock.monotonic());
     this.runs.delete(worker);
-    this.scene.ended.add(worker);
+    this.deployment.ended.add(worker);
     for (const run of runs) run.breakOff();
     this.clock.schedule(RESTART_MS, () => this.startWorker());
   }
 
   private result(): NeighboursResult {
-    const refused = [...this.scene.records.keys()];
+    const refused = [...this.deployment.records.keys()];
     const histories = [...this.culprits.values()];
     return {
       innocentsRefused: refused.filter((content) => !this.culprits.has(content)).length,
       innocentsServed: this.servedAfterMs.size,
       longestMs: Math.max(...this.servedAfterMs.values()),
-      workersEnded: this.scene.ended.size,
+      workersEnded: this.deployment.ended.size,
       lateSends: Math.max(...histories.map(lateSendsOf)),
       culpritsRefused: histories.filter(({ isRefused }) => isRefused).length,
       culpritsProven: refused.filter((content) => this.culprits.has(content)).length,
@@ -197,7 +197,7 @@
 type Outcome =
   { readonly kind: 'served' | 'broken' } | { readonly kind: 'refused'; readonly retryAfterMs: number };
 
-function lateSendsOf({ sends, ends }: CulpritHistory): number {
-  const third = ends[2];
-  return third === undefined ? 0 : sends.filter((at) => at > third + CONTACT_MS).length;
+function lateSendsOf({ sends, crashes }: CulpritHistory): number {
+  const third = crashes[2];
+  return third === undefined ? 0 : sends.filter((at) => at > third + PROPAGATION_MS).length;
 }
--- a/packages/quarantine/test/quarantine-scene.ts
+++ b/packages/quarantine/test/quarantine-deployment.ts
@@ -11,10 +11,10 @@
 } from '../src/index.js';
 
 /** Time that word takes from one daemon to the others, in milliseconds. */
-const WORD_MS = 300;
+const PUBLISH_LATENCY_MS = 300;
 
 /** A deployment reduced to what the quarantine sees of it. */
-export class QuarantineScene {
+export class QuarantineDeployment {
   readonly world = new SimulatedWorld();
   readonly daemons: RequestQuarantine[] = [];
   /** All that the store holds, evidence included. */
@@ -22,7 +22,7 @@
   /** Processes that have ended; all others answer. */
   readonly ended = new Set<string>();
   /** Daemons that hear nothing of others, and tell nothing. */
-  readonly cutOff = new Set<RequestQuarantine>();
+  readonly partitioned = new Set<RequestQuarantine>();
   isStoreDown = false;
   private readonly clock = new SimulatedProcess(this.world, { name: 'scene', zone: 'a', region: 'r' });
   private started = 0;
@@ -43,7 +43,7 @@
     });
     const daemon: RequestQuarantine = new RequestQuarantine({
       daemon: process.name,
-      probe: { ask: (backEnd) => Promise.resolve(this.answerOf(backEnd)) },
+      probe: { ask: (backEnd) => Promise.resolve(this.probeResultOf(backEnd)) },
       store: {
         create: (record) => {
           if (this.isStoreDown) return Promise.reject(new Error('store down'));
@@ -70,8 +70,8 @@
       log: silentLog,
     });
     daemon.onNews = () => {
-      this.clock.schedule(WORD_MS, () => {
-        this.tellFrom(daemon);
+      this.clock.schedule(PUBLISH_LATENCY_MS, () => {
+        this.publishFrom(daemon);
       });
     };
     daemon.recordsListed([...this.entries.values()]);
@@ -81,10 +81,10 @@
   }
 
   /** Sends what a daemon knows to all that it reaches. */
-  tellFrom(daemon: RequestQuarantine): void {
-    if (this.cutOff.has(daemon) || !this.daemons.includes(daemon)) return;
+  publishFrom(daemon: RequestQuarantine): void {
+    if (this.partitioned.has(daemon) || !this.daemons.includes(daemon)) return;
     for (const other of this.daemons) {
-      if (other !== daemon && !this.cutOff.has(other)) other.merge(daemon.entries());
+      if (other !== daemon && !this.partitioned.has(other)) other.merge(daemon.entries());
     }
   }
 
@@ -107,12 +107,12 @@
   }
 
   /** A run of a content by way of a daemon, under which the process ends. */
-  async endUnder(daemon: RequestQuarantine, content: string, processId: string, ranMs = 50): Promise<void> {
+  async crashUnder(daemon: RequestQuarantine, content: string, processId: string, ranMs = 50): Promise<void> {
     const sentAt = this.world.now;
-    await this.pass(ranMs);
+    await this.advance(ranMs);
     this.ended.add(processId);
     this.breakOff(daemon, content, processId, sentAt);
-    await this.pass(1000);
+    await this.advance(1000);
   }
 
   /** An answer breaks off. */
@@ -121,11 +121,11 @@
     daemon.noteBroken({ content, requestId: 'r', route: 'route', backEnd, wasLeaving: false, sentAt });
   }
 
-  async pass(durationMs: number): Promise<void> {
+  async advance(durationMs: number): Promise<void> {
     await this.world.run(this.world.now + durationMs);
   }
 
-  private answerOf({ id }: BackEnd): ProcessAnswer {
+  private probeResultOf({ id }: BackEnd): ProcessAnswer {
     return this.ended.has(id) ? 'refused' : 'running';
   }
 }
--- a/packages/quota/src/ask-granter.ts
+++ b/packages/quota/src/call-allocator.ts
@@ -5,29 +5,29 @@
 import type { PeerMethod } from '@woodbarrow/protocol';
 
 /** What a question needs. */
-export interface GranterAccess {
+export interface AllocatorAccess {
   readonly coordinators: CoordinatorDirectory;
   readonly peers: Pick<PeerNetwork, 'call'>;
   readonly failures: CallFailures;
 }
 
 /** Time that a granter has to answer, in milliseconds; one that is slower is as good as gone. */
-const GRANT_LIMIT_MS = 300;
+const ALLOCATION_TIMEOUT_MS = 300;
 
 /** Undefined where the zone has no granter, or it does not answer. Never rejects. */
-export async function askGranter<Message, Answer>(
-  { coordinators, peers, failures }: GranterAccess,
+export async function callAllocator<Message, Answer>(
+  { coordinators, peers, failures }: AllocatorAccess,
   zone: string,
   method: PeerMethod<Message, Answer>,
   message: Message,
 ): Promise<Answer | undefined> {
-  const granter = coordinators.of(zone);
-  if (granter === undefined) return undefined;
+  const coordinator = coordinators.of(zone);
+  if (coordinator === undefined) return undefined;
   try {
-    return await peers.call(granter.address, method, message, { timeoutMs: GRANT_LIMIT_MS });
+    return await peers.call(coordinator.address, method, message, { timeoutMs: ALLOCATION_TIMEOUT_MS });
   } catch (error) {
     // Units that were handed out in an answer that is lost lapse unused.
-    failures.note(method.name, granter.memberId, error);
+    failures.note(method.name, coordinator.memberId, error);
     return undefined;
   }
 }
--- a/packages/quota/src/unit-purse.ts
+++ b/packages/quota/src/local-allowance.ts
@@ -4,18 +4,18 @@
 interface HeldUnits {
   units: number;
   /** Elapsed time at which they lapse. */
-  readonly until: number;
+  readonly expiresAt: number;
 }
 
 /** Units taken out for one request. */
 export interface TakenUnits {
   readonly units: number;
   /** Elapsed time at which the first of them lapse. */
-  readonly until: number;
+  readonly earliestExpiresAt: number;
 }
 
 /** Units that one daemon holds for one subject. */
-export class UnitPurse {
+export class LocalAllowance {
   /** Those that lapse first come first. */
   private held: HeldUnits[] = [];
 
@@ -24,15 +24,15 @@
   /** Units that may be used now. */
   available(): number {
     const now = this.clock.elapsed();
-    this.held = this.held.filter(({ until, units }) => until > now && units > 0);
+    this.held = this.held.filter(({ expiresAt, units }) => expiresAt > now && units > 0);
     return this.held.reduce((sum, { units }) => sum + units, 0);
   }
 
-  /** @param until Elapsed time at which they lapse. */
-  add(units: number, until: number): void {
+  /** @param expiresAt Elapsed time at which they lapse. */
+  add(units: number, expiresAt: number): void {
     if (units <= 0) return;
-    this.held.push({ units, until });
-    this.held.sort((left, right) => left.until - right.until);
+    this.held.push({ units, expiresAt });
+    this.held.sort((left, right) => left.expiresAt - right.expiresAt);
   }
 
   /** Drops all units. */
@@ -44,14 +44,14 @@
   take(units: number): TakenUnits | undefined {
     if (this.available() < units) return undefined;
     let left = units;
-    let until = Infinity;
+    let earliestExpiresAt = Infinity;
     for (const part of this.held) {
       if (left <= 0) break;
       const taken = Math.min(left, part.units);
       part.units -= taken;
       left -= taken;
-      until = Math.min(until, part.until);
+      earliestExpiresAt = Math.min(earliestExpiresAt, part.expiresAt);
     }
-    return { units, until };
+    return { units, earliestExpiresAt };
   }
 }
--- a/packages/quota/src/quota-gate.ts
+++ b/packages/quota/src/quota-gate.ts
@@ -6,7 +6,7 @@
 import type { PeerNetwork } from '@woodbarrow/peering';
 import { quotaGrantMethod, type GrantAnswer, type GrantWish } from '@woodbarrow/protocol';
 import type { Clock } from '@woodbarrow/runtime';
-import { askGranter } from './ask-granter.js';
+import { callAllocator } from './call-allocator.js';
 import { UnitGate, type GateUse } from './unit-gate.js';
 import type { UnitAllowance } from './unit-share.js';
 
@@ -33,9 +33,9 @@
     const { allowance, zones, clock } = options;
     this.gate = new UnitGate({
       allowance,
-      granters: zones.length,
+      allocatorCount: zones.length,
       zonesFor: (tenant) => this.zonesInOrder(tenant),
-      ask: (zone, tenant, wish) => this.ask(zone, tenant, wish),
+      requestUnits: (zone, tenant, wish) => this.requestUnits(zone, tenant, wish),
       clock,
     });
   }
@@ -55,8 +55,8 @@
     return this.gate.use();
   }
 
-  private ask(zone: string, tenant: string, wish: GrantWish): Promise<GrantAnswer | undefined> {
-    return askGranter(this.options, zone, quotaGrantMethod, { zone, tenant, ...wish });
+  private requestUnits(zone: string, tenant: string, wish: GrantWish): Promise<GrantAnswer | undefined> {
+    return callAllocator(this.options, zone, quotaGrantMethod, { zone, tenant, ...wish });
   }
 
   /** The own zone, then the others in an order of this daemon's own, so that daemons share the granters. */
--- a/packages/quota/src/quota-service.ts
+++ b/packages/quota/src/quota-service.ts
@@ -5,9 +5,9 @@
 import type { PeerNetwork } from '@woodbarrow/peering';
 import { quotaGrantMethod, type GrantAnswer, type QuotaGrantMessage } from '@woodbarrow/protocol';
 import type { Clock } from '@woodbarrow/runtime';
-import { UnitGranter, type GranterUse } from './unit-granter.js';
+import { UnitAllocator, type GranterUse } from './unit-allocator.js';
 import type { UnitAllowance } from './unit-share.js';
-import { ZoneGranters, type ZoneAuthority } from './zone-granters.js';
+import { ZoneAllocators, type ZoneAuthority } from './zone-allocators.js';
 
 /** Options of {@link QuotaService}. */
 export interface QuotaServiceOptions {
@@ -25,14 +25,14 @@
 
 /** Granting side of one daemon. */
 export class QuotaService {
-  private readonly granters: ZoneGranters<UnitGranter>;
+  private readonly allocators: ZoneAllocators<UnitAllocator>;
 
   constructor(private readonly options: QuotaServiceOptions) {
     const { zones, allowance, quotaOf, authorityOf, clock, log } = options;
-    this.granters = new ZoneGranters({
+    this.allocators = new ZoneAllocators({
       authorityOf: (zone) => (zones.includes(zone) ? authorityOf(zone) : undefined),
       create: (startsAt) =>
-        new UnitGranter({ allowance, granters: zones.length, limitOf: quotaOf, startsAt, clock }),
+        new UnitAllocator({ allowance, allocatorCount: zones.length, limitOf: quotaOf, startsAt, clock }),
       onCreated: (zone, fence, startsInMs) => {
         log.changed('quota_granter_started', { zone, fence, startsInMs: Math.round(startsInMs) });
       },
@@ -47,13 +47,13 @@
 
   /** Zones have been gained or given back: a granter begins to fill its buckets as soon as it may. */
   noteZones(): void {
-    for (const zone of this.options.zones) this.granters.of(zone);
+    for (const zone of this.options.zones) this.allocators.of(zone);
   }
 
   /** Units handed out and turned down here, by tenant, over all zones held now. */
   use(): ReadonlyMap<string, GranterUse> {
     const sums = new Map<string, GranterUse>();
-    for (const granter of this.granters.all()) {
+    for (const granter of this.allocators.all()) {
       for (const [tenant, { granted, turnedDown }] of granter.use()) {
         const sum = sums.get(tenant) ?? { granted: 0, turnedDown: 0 };
         sums.set(tenant, { granted: sum.granted + granted, turnedDown: sum.turnedDown + turnedDown });
@@ -63,8 +63,8 @@
   }
 
   private grant({ zone, tenant, ...wish }: QuotaGrantMessage): GrantAnswer {
-    const granter = this.granters.acting(zone);
-    if (granter === undefined) throw new WoodbarrowError('not_leader', `no granter for ${zone} here`);
-    return granter.grant(tenant, wish);
+    const allocator = this.allocators.activeOf(zone);
+    if (allocator === undefined) throw new WoodbarrowError('not_leader', `no granter for ${zone} here`);
+    return allocator.grant(tenant, wish);
   }
 }
--- a/packages/quota/src/rate-limit-gate.ts
+++ b/packages/quota/src/rate-limit-gate.ts
@@ -6,13 +6,13 @@
 import { FREE_PERMIT, type BackendNotices, type SendPermit, type SendPermits } from '@woodbarrow/forwarding';
 import { rateLimitGrantMethod, type GrantAnswer, type GrantWish } from '@woodbarrow/protocol';
 import type { Clock } from '@woodbarrow/runtime';
-import { askGranter, type GranterAccess } from './ask-granter.js';
+import { callAllocator, type AllocatorAccess } from './call-allocator.js';
 import { fromReport, toReport } from './rate-limit-report.js';
 import { UnitGate } from './unit-gate.js';
 import type { UnitAllowance } from './unit-share.js';
 
 /** Options of {@link RateLimitGate}. */
-export interface RateLimitGateOptions extends GranterAccess {
+export interface RateLimitGateOptions extends AllocatorAccess {
   readonly allowance: UnitAllowance;
   readonly notices: BackendNotices;
   /** Zone of a back end; undefined where it is gone. */
@@ -31,11 +31,11 @@
 /** One permit. */
 const ONE_UNIT = 1;
 /** Shortest time for which a back end is left alone once a request was turned down, in milliseconds. */
-const LEAST_TURN_DOWN_MS = 20;
+const MIN_BACKOFF_MS = 20;
 /** Longest such time: less than what fills a granter's bucket, so that nothing is lost while all daemons wait. */
-const LONGEST_TURN_DOWN_MS = 800;
+const MAX_BACKOFF_MS = 800;
 /** Time for which no permit is asked for where no granter answered, in milliseconds. */
-const NO_GRANTER_PAUSE_MS = 200;
+const NO_ALLOCATOR_BACKOFF_MS = 200;
 
 /** Gate of one daemon. */
 export class RateLimitGate implements SendPermits {
@@ -50,13 +50,13 @@
     const { allowance, zoneOf, clock } = options;
     this.gate = new UnitGate({
       allowance,
-      granters: 1,
+      allocatorCount: 1,
       zonesFor: (backEndId) => {
         const zone = zoneOf(backEndId);
         return zone === undefined ? [] : [zone];
       },
-      ask: (zone, backEndId, wish) => this.ask(zone, backEndId, wish),
-      longestTurnDownMs: LONGEST_TURN_DOWN_MS,
+      requestUnits: (zone, backEndId, wish) => this.requestUnits(zone, backEndId, wish),
+      maxBackoffMs: MAX_BACKOFF_MS,
       clock,
     });
   }
@@ -85,11 +85,11 @@
         return { ...outcome.ticket, end: () => undefined };
       case 'over_limit':
         this.turnedDown += 1;
-        this.close(id, Math.max(LEAST_TURN_DOWN_MS, outcome.retryAfterMs));
+        this.backOff(id, Math.max(MIN_BACKOFF_MS, outcome.retryAfterMs));
         return undefined;
       case 'unavailable':
         this.withoutGranter += 1;
-        this.close(id, NO_GRANTER_PAUSE_MS);
+        this.backOff(id, NO_ALLOCATOR_BACKOFF_MS);
         return undefined;
     }
   }
@@ -105,16 +105,20 @@
     return { granted, turnedDown, withoutGranter };
   }
 
-  private close(backEndId: string, forMs: number): void {
-    this.closedUntil.set(backEndId, this.options.clock.monotonic() + forMs);
+  private backOff(backEndId: string, durationMs: number): void {
+    this.closedUntil.set(backEndId, this.options.clock.monotonic() + durationMs);
   }
 
-  private async ask(zone: string, backEndId: string, wish: GrantWish): Promise<GrantAnswer | undefined> {
+  private async requestUnits(
+    zone: string,
+    backEndId: string,
+    wish: GrantWish,
+  ): Promise<GrantAnswer | undefined> {
     const { notices, clock } = this.options;
-    const heard = notices.lastHeard(backEndId);
-    if (heard === undefined) return undefined;
-    const message = { zone, backEndId, report: toReport(heard, clock), ...wish };
-    const answer = await askGranter(this.options, zone, rateLimitGrantMethod, message);
+    const observed = notices.lastHeard(backEndId);
+    if (observed === undefined) return undefined;
+    const message = { zone, backEndId, report: toReport(observed, clock), ...wish };
+    const answer = await callAllocator(this.options, zone, rateLimitGrantMethod, message);
     if (answer !== undefined) notices.hearFromPeer(backEndId, fromReport(answer.report, clock));
     return answer;
   }
--- a/packages/quota/src/rate-limit-report.ts
+++ b/packages/quota/src/rate-limit-report.ts
@@ -4,9 +4,9 @@
 import type { Clock } from '@woodbarrow/runtime';
 
 /** To be told to another daemon. */
-export function toReport(heard: HeardRateLimit, clock: Clock): RateLimitReport {
-  const heardAgoMs = Math.max(0, clock.monotonic() - heard.heardAt);
-  const { requestsPerSecond } = heard;
+export function toReport(observed: HeardRateLimit, clock: Clock): RateLimitReport {
+  const heardAgoMs = Math.max(0, clock.monotonic() - observed.heardAt);
+  const { requestsPerSecond } = observed;
   return requestsPerSecond === undefined ? { heardAgoMs } : { requestsPerSecond, heardAgoMs };
 }
 
--- a/packages/quota/src/rate-limit-service.ts
+++ b/packages/quota/src/rate-limit-service.ts
@@ -10,9 +10,9 @@
 } from '@woodbarrow/protocol';
 import type { Clock } from '@woodbarrow/runtime';
 import { fromReport, toReport } from './rate-limit-report.js';
-import { UnitGranter } from './unit-granter.js';
+import { UnitAllocator } from './unit-allocator.js';
 import type { UnitAllowance, UnitLimit } from './unit-share.js';
-import { ZoneGranters, type ZoneAuthority } from './zone-granters.js';
+import { ZoneAllocators, type ZoneAuthority } from './zone-allocators.js';
 
 /** Options of {@link RateLimitService}. */
 export interface RateLimitServiceOptions {
@@ -27,14 +27,14 @@
 
 /** Granting side of one daemon. */
 export class RateLimitService {
-  private readonly granters: ZoneGranters<UnitGranter>;
+  private readonly allocators: ZoneAllocators<UnitAllocator>;
 
   constructor(private readonly options: RateLimitServiceOptions) {
     const { allowance, authorityOf, clock, log } = options;
     const limitOf = (backEndId: string): UnitLimit | undefined => this.limitOf(backEndId);
-    this.granters = new ZoneGranters({
+    this.allocators = new ZoneAllocators({
       authorityOf,
-      create: (startsAt) => new UnitGranter({ allowance, granters: 1, limitOf, startsAt, clock }),
+      create: (startsAt) => new UnitAllocator({ allowance, allocatorCount: 1, limitOf, startsAt, clock }),
       onCreated: (zone, fence, startsInMs) => {
         log.changed('rate_limit_granter_started', { zone, fence, startsInMs: Math.round(startsInMs) });
       },
@@ -49,17 +49,17 @@
 
   /** Forgets an incarnation that has ended. */
   forget(backEndId: string): void {
-    for (const granter of this.granters.all()) granter.forget(backEndId);
+    for (const granter of this.allocators.all()) granter.forget(backEndId);
   }
 
   private grant({ zone, backEndId, report, ...wish }: RateLimitGrantMessage): RateLimitGrantAnswer {
     const { notices, clock } = this.options;
-    const granter = this.granters.acting(zone);
-    if (granter === undefined) throw new WoodbarrowError('not_leader', `no granter for ${zone} here`);
+    const allocator = this.allocators.activeOf(zone);
+    if (allocator === undefined) throw new WoodbarrowError('not_leader', `no granter for ${zone} here`);
     notices.hearFromPeer(backEndId, fromReport(report, clock));
-    const answer = granter.grant(backEndId, wish);
-    const heard = notices.lastHeard(backEndId);
-    return { ...answer, report: heard === undefined ? report : toReport(heard, clock) };
+    const answer = allocator.grant(backEndId, wish);
+    const observed = notices.lastHeard(backEndId);
+    return { ...answer, report: observed === undefined ? report : toReport(observed, clock) };
   }
 
   private limitOf(backEndId: string): UnitLimit | undefined {
--- a/packages/quota/src/unit-granter.ts
+++ b/packages/quota/src/unit-allocator.ts
@@ -4,11 +4,11 @@
 import { shareOf, type UnitAllowance, type UnitLimit } from './unit-share.js';
 import { UnitBucket } from './unit-bucket.js';
 
-/** Options of {@link UnitGranter}. */
-export interface UnitGranterOptions {
+/** Options of {@link UnitAllocator}. */
+export interface UnitAllocatorOptions {
   readonly allowance: UnitAllowance;
   /** Number of granters that share the limits. */
-  readonly granters: number;
+  readonly allocatorCount: number;
   /** The limit of a subject, such as a tenant, now; undefined when it has none, or is not known. */
   readonly limitOf: (subject: string) => UnitLimit | undefined;
   /** Monotonic time from which it may hand out what comes in: the one before it has stopped then. */
@@ -26,7 +26,7 @@
  * Part of a bucket that only waiting requests may take. What is handed out ahead of need lapses unused in part, which a subject
  * near its limit would miss.
  */
-const NEED_ONLY_PART = 0.5;
+const RESERVED_FRACTION = 0.5;
 
 interface SubjectBucket {
   readonly bucket: UnitBucket;
@@ -36,15 +36,15 @@
 }
 
 /** Granter of one zone, for as long as one lease lasts. */
-export class UnitGranter {
+export class UnitAllocator {
   private readonly subjects = new Map<string, SubjectBucket>();
 
-  constructor(private readonly options: UnitGranterOptions) {}
+  constructor(private readonly options: UnitAllocatorOptions) {}
 
   /** Hands units out. */
   grant(subject: string, wish: GrantWish): GrantAnswer {
     const { needed, isLast } = wish;
-    const held = this.bucketOf(subject);
+    const held = this.entryOf(subject);
     if (held === undefined) return { granted: 0, lifetimeMs: 0, left: 0, retryAfterMs: 0 };
     const { bucket } = held;
     const granted = unitsToGrant(bucket, wish);
@@ -54,7 +54,7 @@
     const left = bucket.available();
     if (granted >= needed) return { granted, lifetimeMs, left, retryAfterMs: 0 };
     held.turnedDown += needed - granted;
-    return { granted, lifetimeMs, left, retryAfterMs: isLast ? bucket.promise(needed - granted) : 0 };
+    return { granted, lifetimeMs, left, retryAfterMs: isLast ? bucket.reserveRetry(needed - granted) : 0 };
   }
 
   /** Drops the bucket of a subject that is gone for good. */
@@ -69,20 +69,20 @@
     );
   }
 
-  private bucketOf(subject: string): SubjectBucket | undefined {
-    const { limitOf, allowance, granters, clock, startsAt } = this.options;
+  private entryOf(subject: string): SubjectBucket | undefined {
+    const { limitOf, allowance, allocatorCount, clock, startsAt } = this.options;
     const limit = limitOf(subject);
     if (limit === undefined) return undefined;
     const known = this.subjects.get(subject);
     if (known === undefined) {
-      const bucket = new UnitBucket(shareOf(limit, allowance, granters), clock, startsAt);
+      const bucket = new UnitBucket(shareOf(limit, allowance, allocatorCount), clock, startsAt);
       const created = { bucket, limit, granted: 0, turnedDown: 0 };
       this.subjects.set(subject, created);
       return created;
     }
     if (known.limit.ratePerSecond !== limit.ratePerSecond || known.limit.burst !== limit.burst) {
       known.limit = limit;
-      known.bucket.reshape(shareOf(limit, allowance, granters));
+      known.bucket.setShare(shareOf(limit, allowance, allocatorCount));
     }
     return known;
   }
@@ -96,6 +96,6 @@
   const available = bucket.available();
   if (available < needed) return mayBePart ? available : 0;
   const waiting = Math.min(available, Math.max(needed, queued));
-  const free = available - waiting - bucket.depth * NEED_ONLY_PART;
+  const free = available - waiting - bucket.depth * RESERVED_FRACTION;
   return waiting + Math.min(ahead, Math.max(0, free));
 }
--- a/packages/quota/src/unit-bucket.ts
+++ b/packages/quota/src/unit-bucket.ts
@@ -7,7 +7,7 @@
   private level = 0;
   private filledAt: number;
   /** Monotonic time until which what fills it is spoken for by those who were told to come back. */
-  private promisedUntil = 0;
+  private reservedUntil = 0;
 
   /**
    * Empty at first: a granter before may have handed everything out.
@@ -23,7 +23,7 @@
   }
 
   /** Takes another share into use. */
-  reshape(share: UnitShare): void {
+  setShare(share: UnitShare): void {
     this.fill();
     this.share = share;
     this.level = Math.min(this.level, share.depth);
@@ -53,12 +53,12 @@
    * told to come back spread over all granters, so that what one has promised stands for its part of all; one request alone is put
    * together from what fills all buckets.
    */
-  promise(units: number): number {
+  reserveRetry(units: number): number {
     const now = this.clock.monotonic();
     const missing = Math.max(0, units - this.available());
-    const from = Math.max(now, this.promisedUntil);
-    this.promisedUntil = from + missing / this.share.ratePerMs;
-    return from - now + missing / this.share.wholeRatePerMs;
+    const from = Math.max(now, this.reservedUntil);
+    this.reservedUntil = from + missing / this.share.ratePerMs;
+    return from - now + missing / this.share.totalRatePerMs;
   }
 
   private fill(): void {
--- a/packages/quota/src/unit-share.ts
+++ b/packages/quota/src/unit-share.ts
@@ -32,7 +32,7 @@
   /** Units that fill the bucket in a millisecond. */
   readonly ratePerMs: number;
   /** The same over all granters. */
-  readonly wholeRatePerMs: number;
+  readonly totalRatePerMs: number;
   /** Units that the bucket holds. */
   readonly depth: number;
   /** Milliseconds for which units may be used once they were asked for. */
@@ -40,23 +40,23 @@
 }
 
 /** Part of the headroom that is spent on the depth of the buckets: bursts, and subjects that are asked for in few zones. */
-const DEPTH_PART = 0.45;
+const DEPTH_FRACTION = 0.45;
 /** Part spent on the lifetime. What is left covers requests that are on their way to a worker for a while. */
-const LIFETIME_PART = 0.4;
+const LIFETIME_FRACTION = 0.4;
 /** Longest lifetime, in milliseconds: what a daemon holds and does not use is of use to nobody meanwhile. */
-const LONGEST_LIFETIME_MS = 2000;
+const MAX_LIFETIME_MS = 2000;
 const MS_PER_SECOND = 1000;
 
-/** One granter's part. @param granters Number of zones, the same for all daemons. */
-export function shareOf(limit: UnitLimit, allowance: UnitAllowance, granters: number): UnitShare {
+/** One granter's part. @param allocatorCount Number of zones, the same for all daemons. */
+export function shareOf(limit: UnitLimit, allowance: UnitAllowance, allocatorCount: number): UnitShare {
   const { ratePerSecond, burst } = limit;
   const { windowMs, overshoot, slack } = allowance;
   const ratePerMs = ratePerSecond / MS_PER_SECOND;
   const headroom = burst + overshoot * (ratePerMs * windowMs + burst) + slack;
   return {
-    ratePerMs: ratePerMs / granters,
-    wholeRatePerMs: ratePerMs,
-    depth: (headroom * DEPTH_PART) / granters,
-    lifetimeMs: Math.min(LONGEST_LIFETIME_MS, (headroom * LIFETIME_PART) / ratePerMs),
+    ratePerMs: ratePerMs / allocatorCount,
+    totalRatePerMs: ratePerMs,
+    depth: (headroom * DEPTH_FRACTION) / allocatorCount,
+    lifetimeMs: Math.min(MAX_LIFETIME_MS, (headroom * LIFETIME_FRACTION) / ratePerMs),
   };
 }
--- a/packages/quota/src/use-rate.ts
+++ b/packages/quota/src/usage-rate.ts
@@ -7,29 +7,29 @@
 const MEAN_AGE_MS = HALF_LIFE_MS / Math.LN2;
 
 /** Rate of one subject. */
-export class UseRate {
+export class UsageRate {
   private sum = 0;
-  private at: number;
+  private updatedAt: number;
 
   constructor(private readonly clock: Clock) {
-    this.at = clock.monotonic();
+    this.updatedAt = clock.monotonic();
   }
 
   /** Units were asked for. */
-  note(units: number): void {
-    this.fade();
+  add(units: number): void {
+    this.decay();
     this.sum += units;
   }
 
   /** Units a millisecond. */
   perMs(): number {
-    this.fade();
+    this.decay();
     return this.sum / MEAN_AGE_MS;
   }
 
-  private fade(): void {
+  private decay(): void {
     const now = this.clock.monotonic();
-    this.sum *= 0.5 ** ((now - this.at) / HALF_LIFE_MS);
-    this.at = now;
+    this.sum *= 0.5 ** ((now - this.updatedAt) / HALF_LIFE_MS);
+    this.updatedAt = now;
   }
 }
--- a/packages/quota/src/zone-granters.ts
+++ b/packages/quota/src/zone-allocators.ts
@@ -11,8 +11,8 @@
   actsInMs(): number;
 }
 
-/** Options of {@link ZoneGranters}. */
-export interface ZoneGrantersOptions<Granter> {
+/** Options of {@link ZoneAllocators}. */
+export interface ZoneAllocatorsOptions<Granter> {
   /** The lease of a zone, while it is held here. */
   readonly authorityOf: (zone: string) => ZoneAuthority | undefined;
   /** @param startsAt Monotonic time from which it may hand out what comes in: the one before it has stopped then. */
@@ -21,16 +21,16 @@
   readonly clock: Clock;
 }
 
-interface HeldGranter<Granter> {
+interface HeldAllocator<Granter> {
   readonly fence: number;
-  readonly granter: Granter;
+  readonly allocator: Granter;
 }
 
 /** Granters of one daemon. */
-export class ZoneGranters<Granter> {
-  private readonly held = new Map<string, HeldGranter<Granter>>();
+export class ZoneAllocators<Granter> {
+  private readonly held = new Map<string, HeldAllocator<Granter>>();
 
-  constructor(private readonly options: ZoneGrantersOptions<Granter>) {}
+  constructor(private readonly options: ZoneAllocatorsOptions<Granter>) {}
 
   /** The granter of a zone, as soon as this daemon holds its lease, if perhaps not allowed to act yet. */
   of(zone: string): Granter | undefined {
@@ -41,22 +41,22 @@
       return undefined;
     }
     const known = this.held.get(zone);
-    if (known?.fence === authority.fence) return known.granter;
+    if (known?.fence === authority.fence) return known.allocator;
     const startsInMs = authority.actsInMs();
-    const granter = create(clock.monotonic() + startsInMs);
-    this.held.set(zone, { fence: authority.fence, granter });
+    const allocator = create(clock.monotonic() + startsInMs);
+    this.held.set(zone, { fence: authority.fence, allocator });
     onCreated(zone, authority.fence, startsInMs);
-    return granter;
+    return allocator;
   }
 
   /** The granter of a zone, while this daemon may act for it. */
-  acting(zone: string): Granter | undefined {
+  activeOf(zone: string): Granter | undefined {
     const granter = this.of(zone);
     return this.options.authorityOf(zone)?.mayAct() === true ? granter : undefined;
   }
 
   /** Granters of the zones held when last asked for. */
   all(): Granter[] {
-    return [...this.held.values()].map(({ granter }) => granter);
+    return [...this.held.values()].map(({ allocator }) => allocator);
   }
 }
--- a/packages/quota/test/quota-world.ts
+++ b/packages/quota/test/quota-world.ts
@@ -5,12 +5,12 @@
 import { SimulatedCluster, type PeerNetwork, type SimulatedNode } from '@woodbarrow/peering';
 import { Random, type Clock } from '@woodbarrow/runtime';
 import { QuotaGate, QuotaService, type UnitAllowance } from '../src/index.js';
-import { GrantingZones } from './granting-zones.js';
+import { ZoneLeases } from './zone-leases.js';
 
 export const ZONES = ['alpha', 'beta', 'gamma', 'delta'];
 export const ALLOWANCE: UnitAllowance = { windowMs: 8000, overshoot: 0.1, slack: 110_000 };
 /** Time from the start of the daemons to the first requests, in milliseconds. */
-const LEAD_MS = 12_000;
+const WARM_UP_MS = 12_000;
 /** Pause between two words of claims, in milliseconds. */
 const CLAIM_INTERVAL_MS = 300;
 
@@ -35,15 +35,15 @@
   readonly asked: number;
   readonly ran: number;
   /** Asked for while the limit, as one bucket for all, had room. */
-  readonly owed: number;
+  readonly entitled: number;
   /** Of that, refused. */
   readonly wronglyRefused: number;
   /** Largest use of any window, as a part of what is allowed. */
-  readonly fullest: number;
+  readonly peakUsage: number;
 }
 
 /** How limits are kept on a daemon. */
-export type QuotaWay = (daemon: WorldDaemon, world: QuotaWorld) => RequestQuota;
+export type QuotaFactory = (daemon: WorldDaemon, world: QuotaWorld) => RequestQuota;
 
 /** One daemon. */
 export interface WorldDaemon {
@@ -94,18 +94,18 @@
   readonly daemons: WorldDaemon[] = [];
   readonly random: Random;
   /** Questions to granters, and requests, so far. */
-  questions = 0;
+  allocatorCalls = 0;
   requests = 0;
-  private readonly granting: GrantingZones;
+  private readonly leases: ZoneLeases;
   private readonly runs = new Map<string, Run[]>();
   private readonly asked = new Map<string, number>();
-  private readonly owed = new Map<string, number>();
+  private readonly entitled = new Map<string, number>();
   private readonly wronglyRefused = new Map<string, number>();
   private readonly buckets = new Map<string, LimitBucket>();
 
   constructor(
     readonly tenants: readonly TenantLoad[],
-    private readonly way: QuotaWay,
+    private readonly createQuota: QuotaFactory,
     seed = 1,
   ) {
     this.cluster = new SimulatedCluster({ seed });
@@ -114,7 +114,7 @@
       this.runs.set(name, []);
       this.buckets.set(name, new LimitBucket(quota));
     }
-    this.granting = new GrantingZones(this.cluster.world, ZONES, this.daemons);
+    this.leases = new ZoneLeases(this.cluster.world, ZONES, this.daemons);
   }
 
   get now(): number {
@@ -126,7 +126,7 @@
       const zone = ZONES[index % ZONES.length] ?? '';
       this.daemons.push(await this.startDaemon(index, zone));
     }
-    await this.cluster.advance(LEAD_MS);
+    await this.cluster.advance(WARM_UP_MS);
     for (const tenant of this.tenants) for (const daemon of tenant.daemons) this.sendNext(tenant, daemon);
   }
 
@@ -135,7 +135,7 @@
     const daemon = this.daemons[index];
     if (daemon === undefined) return;
     daemon.node.process.kill();
-    this.granting.takeOverFrom(index);
+    this.leases.takeOverFrom(index);
     await this.cluster.advance(downMs);
     Object.assign(daemon, await this.startDaemon(index, daemon.zone));
   }
@@ -154,10 +154,12 @@
     return {
       asked: this.asked.get(name) ?? 0,
       ran: runs.reduce((sum, { units }) => sum + units, 0),
-      owed: this.owed.get(name) ?? 0,
+      entitled: this.entitled.get(name) ?? 0,
       wronglyRefused: this.wronglyRefused.get(name) ?? 0,
-      fullest:
-        quota === undefined ? 0 : fullestWindow(runs.filter(({ at }) => at >= fromMs)) / allowedOf(quota),
+      peakUsage:
+        quota === undefined
+          ? 0
+          : peakWindowUnits(runs.filter(({ at }) => at >= fromMs)) / allowedUnitsOf(quota),
     };
   }
 
@@ -167,26 +169,26 @@
     const { process: clock, peers } = node;
     const coordinators = new CoordinatorDirectory(clock, name);
     const daemon = { index, name, zone, node, coordinators } as WorldDaemon;
-    daemon.quota = this.way(daemon, this);
+    daemon.quota = this.createQuota(daemon, this);
     const service = new QuotaService({
       zones: ZONES,
       allowance: ALLOWANCE,
       quotaOf: (tenant) => this.tenants.find((candidate) => candidate.name === tenant)?.quota,
-      authorityOf: (candidate) => this.granting.authorityOf(candidate, index),
+      authorityOf: (candidate) => this.leases.authorityOf(candidate, index),
       peers,
       clock,
       log: silentLog,
     });
     service.start();
-    this.tellClaims(daemon, clock, service);
+    this.publishClaims(daemon, clock, service);
     return daemon;
   }
 
-  private tellClaims(daemon: WorldDaemon, clock: Clock, service: QuotaService): void {
-    daemon.coordinators.accept('told', 'own', this.granting.claims());
+  private publishClaims(daemon: WorldDaemon, clock: Clock, service: QuotaService): void {
+    daemon.coordinators.accept('told', 'own', this.leases.claims());
     service.noteZones();
     clock.schedule(CLAIM_INTERVAL_MS, () => {
-      this.tellClaims(daemon, clock, service);
+      this.publishClaims(daemon, clock, service);
     });
   }
 
@@ -205,43 +207,43 @@
     const units = Math.round(requestUnits(this.random));
     this.requests += 1;
     this.asked.set(tenant.name, (this.asked.get(tenant.name) ?? 0) + units);
-    const isOwed = this.buckets.get(tenant.name)?.admits(units, this.now) === true;
-    if (isOwed) this.owed.set(tenant.name, (this.owed.get(tenant.name) ?? 0) + units);
-    const outcome = await this.decide(daemon, tenant, units);
+    const isEntitled = this.buckets.get(tenant.name)?.admits(units, this.now) === true;
+    if (isEntitled) this.entitled.set(tenant.name, (this.entitled.get(tenant.name) ?? 0) + units);
+    const outcome = await this.acquire(daemon, tenant, units);
     if (outcome.kind === 'granted') {
       // A daemon that is frozen or killed sends nothing; it asks again whether the right still holds when it wakes.
       daemon.node.process.deliver(() => {
         if (outcome.ticket.isValid()) this.runs.get(tenant.name)?.push({ at: this.now, units });
       });
-    } else if (isOwed) {
+    } else if (isEntitled) {
       this.wronglyRefused.set(tenant.name, (this.wronglyRefused.get(tenant.name) ?? 0) + units);
     }
   }
 
-  private decide(daemon: WorldDaemon, tenant: TenantLoad, units: number): Promise<QuotaOutcome> {
+  private acquire(daemon: WorldDaemon, tenant: TenantLoad, units: number): Promise<QuotaOutcome> {
     return new Promise((resolve) => {
       daemon.node.process.deliver(() => {
-        const wish = daemon.quota.acquire(
+        const outcome = daemon.quota.acquire(
           tenant.name,
           tenant.quota,
           units,
           3000,
           new AbortController().signal,
         );
-        void wish.then(resolve);
+        void outcome.then(resolve);
       });
     });
   }
 }
 
-function allowedOf({ ratePerSecond, burst }: TenantQuota): number {
+function allowedUnitsOf({ ratePerSecond, burst }: TenantQuota): number {
   const { windowMs, overshoot, slack } = ALLOWANCE;
   return ((ratePerSecond * windowMs) / 1000 + burst) * (1 + overshoot) + slack;
 }
 
 /** Largest sum over any window. */
-function fullestWindow(runs: readonly Run[]): number {
-  let fullest = 0;
+function peakWindowUnits(runs: readonly Run[]): number {
+  let peak = 0;
   let sum = 0;
   let first = 0;
   for (const { at, units } of runs) {
@@ -250,13 +252,13 @@
       sum -= runs[first]?.units ?? 0;
       first += 1;
     }
-    fullest = Math.max(fullest, sum);
+    peak = Math.max(peak, sum);
   }
-  return fullest;
+  return peak;
 }
 
 /** Units that granters hand out ahead. */
-export const granted: QuotaWay = (daemon, world) =>
+export const sharedUnits: QuotaFactory = (daemon, world) =>
   new QuotaGate({
     daemon: daemon.name,
     zone: daemon.zone,
@@ -271,14 +273,14 @@
 function countedPeers(peers: PeerNetwork, world: QuotaWorld): Pick<PeerNetwork, 'call'> {
   return {
     call: (...call) => {
-      world.questions += 1;
+      world.allocatorCalls += 1;
       return peers.call(...call);
     },
   };
 }
 
 /** The baseline: each daemon has an equal part of the limit and of what is allowed beyond it. */
-export function fixedShares(daemons: number): QuotaWay {
+export function fixedShares(daemons: number): QuotaFactory {
   return ({ node }) => {
     const levels = new Map<string, { level: number; at: number }>();
     return {
--- a/packages/quota/test/quota.test.ts
+++ b/packages/quota/test/quota.test.ts
@@ -1,11 +1,11 @@
 import { expect } from 'chai';
 import type { QuotaOutcome } from '@woodbarrow/forwarding';
 import { Random } from '@woodbarrow/runtime';
-import { QuotaWorld, fixedShares, granted, type QuotaWay, type TenantLoad } from './quota-world.js';
+import { QuotaWorld, fixedShares, sharedUnits, type QuotaFactory, type TenantLoad } from './quota-world.js';
 
 const DAEMONS = 40;
 /** Limits leave tenants this many times what they ask for on average, as the users' do. */
-const ROOM = 1.8;
+const LIMIT_HEADROOM = 1.8;
 const TENANTS = [
   { name: 'large', unitsPerSecond: 320_000, callers: 20 },
   { name: 'middle', unitsPerSecond: 90_000, callers: 8 },
@@ -13,48 +13,48 @@
 ];
 const SEEDS = [1, 2, 3, 4, 5];
 /** One tenant sends this many times its usual. */
-const HOT = 6;
+const OVERLOAD_FACTOR = 6;
 
 function loads(seed: number): TenantLoad[] {
   const random = new Random(seed);
   const daemons = Array.from({ length: DAEMONS }, (_, index) => index);
   return TENANTS.map(({ name, unitsPerSecond, callers }) => {
-    const ratePerSecond = Math.max(29_000, unitsPerSecond * ROOM);
+    const ratePerSecond = Math.max(29_000, unitsPerSecond * LIMIT_HEADROOM);
     const quota = { unit: 'tokens' as const, ratePerSecond, burst: ratePerSecond, plainTokens: 200 };
     return { name, quota, unitsPerSecond, daemons: random.shuffle(daemons).slice(0, callers) };
   });
 }
 
-async function play(
-  way: QuotaWay,
+async function simulate(
+  createQuota: QuotaFactory,
   seed: number,
-  course: (world: QuotaWorld) => Promise<void>,
+  scenario: (world: QuotaWorld) => Promise<void>,
 ): Promise<QuotaWorld> {
-  const world = new QuotaWorld(loads(seed), way, seed);
+  const world = new QuotaWorld(loads(seed), createQuota, seed);
   await world.start(DAEMONS);
-  await course(world);
+  await scenario(world);
   return world;
 }
 
 /** A quiet time, one in which the largest tenant sends many times its usual, and a quiet one. */
-async function hotTenant({ cluster, tenants: [largest] }: QuotaWorld): Promise<void> {
+async function overloadLargestTenant({ cluster, tenants: [largest] }: QuotaWorld): Promise<void> {
   await cluster.advance(10_000);
-  if (largest !== undefined) largest.unitsPerSecond *= HOT;
+  if (largest !== undefined) largest.unitsPerSecond *= OVERLOAD_FACTOR;
   await cluster.advance(8000);
-  if (largest !== undefined) largest.unitsPerSecond /= HOT;
+  if (largest !== undefined) largest.unitsPerSecond /= OVERLOAD_FACTOR;
   await cluster.advance(5000);
 }
 
 /** All tenants ask for more than they may, while daemons and granters are killed, frozen, and cut off. */
-async function troubled(world: QuotaWorld): Promise<void> {
+async function injectFaults(world: QuotaWorld): Promise<void> {
   const { cluster, random, tenants } = world;
-  for (const tenant of tenants) tenant.unitsPerSecond *= HOT;
+  for (const tenant of tenants) tenant.unitsPerSecond *= OVERLOAD_FACTOR;
   for (let round = 0; round < 10; round += 1) {
     // The first four daemons are granters.
-    const hurt = random.next() < 0.4 ? random.integer(4) : random.integer(DAEMONS);
+    const target = random.next() < 0.4 ? random.integer(4) : random.integer(DAEMONS);
     const fault = random.next();
-    const daemon = world.daemons[hurt];
-    if (fault < 0.35) await world.restart(hurt, random.between(200, 1500));
+    const daemon = world.daemons[target];
+    if (fault < 0.35) await world.restart(target, random.between(200, 1500));
     else if (fault < 0.7) daemon?.node.process.pause(random.between(500, 6000));
     else {
       const isCut = (name: string): boolean => name === daemon?.name;
@@ -68,26 +68,26 @@
 /** Refused although owed, as a part of what was owed. */
 function wronglyRefused(world: QuotaWorld, name: string): number {
   const result = world.resultOf(name);
-  return result.wronglyRefused / result.owed;
+  return result.wronglyRefused / result.entitled;
 }
 
 describe('limits of tenants over all daemons', () => {
   it('let tenants below their limit through', async () => {
     for (const seed of SEEDS) {
-      const world = await play(granted, seed, (each) => each.cluster.advance(20_000));
+      const world = await simulate(sharedUnits, seed, (each) => each.cluster.advance(20_000));
       for (const { name } of TENANTS) {
         expect(wronglyRefused(world, name), `${name} with seed ${String(seed)}`).to.be.below(0.05);
-        expect(world.resultOf(name).fullest).to.be.below(1);
+        expect(world.resultOf(name).peakUsage).to.be.below(1);
       }
     }
   });
 
   it('give a tenant that asks for far more what it may have, and take nothing from others', async () => {
     for (const seed of SEEDS) {
-      const world = await play(granted, seed, hotTenant);
-      const { ran, owed, fullest } = world.resultOf('large');
-      expect(ran / owed).to.be.within(0.93, 1.1);
-      expect(fullest).to.be.below(1);
+      const world = await simulate(sharedUnits, seed, overloadLargestTenant);
+      const { ran, entitled, peakUsage } = world.resultOf('large');
+      expect(ran / entitled).to.be.within(0.93, 1.1);
+      expect(peakUsage).to.be.below(1);
       for (const name of ['middle', 'small']) expect(wronglyRefused(world, name), name).to.be.below(0.1);
     }
   });
@@ -97,10 +97,10 @@
     const seeds = `seeds ${String(firstSeed)} to ${String(lastSeed)}`;
     it(`are kept in every window while daemons and granters are killed, frozen and cut off, ${seeds}`, async () => {
       for (let seed = firstSeed; seed <= lastSeed; seed += 1) {
-        const world = await play(granted, seed, troubled);
+        const world = await simulate(sharedUnits, seed, injectFaults);
         for (const { name } of TENANTS) {
-          const { fullest, ran } = world.resultOf(name);
-          expect(fullest, `${name} with seed ${String(seed)}`).to.be.below(1);
+          const { peakUsage, ran } = world.resultOf(name);
+          expect(peakUsage, `${name} with seed ${String(seed)}`).to.be.below(1);
           expect(ran).to.be.above(0);
         }
       }
@@ -108,7 +108,7 @@
   }
 
   it('follow a limit that is lowered far below what is asked for', async () => {
-    const world = await play(granted, 7, async (each) => {
+    const world = await simulate(sharedUnits, 7, async (each) => {
       await each.cluster.advance(6000);
       const [largest] = each.tenants;
       if (largest === undefined) return;
@@ -117,7 +117,7 @@
       await each.cluster.advance(20_000);
     });
     const windowAfter = world.now - 20_000 + 8000;
-    expect(world.resultOf('large', windowAfter).fullest).to.be.below(1);
+    expect(world.resultOf('large', windowAfter).peakUsage).to.be.below(1);
   });
 
   /**
@@ -127,20 +127,20 @@
    */
   it('refuse far less than an equal share for each daemon does', async () => {
     for (const seed of SEEDS) {
-      const world = await play(granted, seed, hotTenant);
-      const shared = await play(fixedShares(DAEMONS), seed, hotTenant);
+      const world = await simulate(sharedUnits, seed, overloadLargestTenant);
+      const shared = await simulate(fixedShares(DAEMONS), seed, overloadLargestTenant);
       for (const { name } of TENANTS) {
         expect(wronglyRefused(world, name), name).to.be.below(0.2);
         expect(wronglyRefused(shared, name), name).to.be.above(0.4);
-        expect(shared.resultOf(name).fullest).to.be.below(1);
+        expect(shared.resultOf(name).peakUsage).to.be.below(1);
       }
-      expect(world.questions / world.requests).to.be.below(1.3);
+      expect(world.allocatorCalls / world.requests).to.be.below(1.3);
     }
   });
 
   it('need no question for most requests of a tenant far below its limit', async () => {
-    const world = await play(granted, 1, (each) => each.cluster.advance(20_000));
-    expect(world.questions / world.requests).to.be.below(0.6);
+    const world = await simulate(sharedUnits, 1, (each) => each.cluster.advance(20_000));
+    expect(world.allocatorCalls / world.requests).to.be.below(0.6);
   });
 });
 
@@ -154,7 +154,7 @@
 
   async function worldWithoutRequests(): Promise<QuietWorld> {
     const tenant = { name: 'tenant', quota, unitsPerSecond: 1, daemons: [] };
-    const world = new QuotaWorld([tenant], granted);
+    const world = new QuotaWorld([tenant], sharedUnits);
     await world.start(8);
     const gate = world.daemons[5]?.quota;
     const ask = async (units: number): Promise<QuotaOutcome> => {
@@ -177,9 +177,9 @@
     expect(units).to.be.within(9000, 70_000);
     if (outcome.kind !== 'over_limit') throw new Error(outcome.kind);
     expect(outcome.retryAfterMs).to.be.within(1, 4000);
-    const before = world.questions;
+    const before = world.allocatorCalls;
     expect((await ask(9000)).kind).to.equal('over_limit');
-    expect(world.questions, 'known without a question').to.equal(before);
+    expect(world.allocatorCalls, 'known without a question').to.equal(before);
     await world.cluster.advance(outcome.retryAfterMs);
     expect((await ask(9000)).kind).to.equal('granted');
   });
@@ -190,9 +190,9 @@
     if (first.kind !== 'granted') throw new Error(first.kind);
     first.ticket.giveBack();
     first.ticket.giveBack();
-    const before = world.questions;
+    const before = world.allocatorCalls;
     const second = await ask(9000);
-    expect(world.questions).to.equal(before);
+    expect(world.allocatorCalls).to.equal(before);
     if (second.kind !== 'granted') throw new Error(second.kind);
     expect(second.ticket.isValid()).to.equal(true);
     await world.cluster.advance(2000);
--- a/packages/quota/test/rate-limit-world.ts
+++ b/packages/quota/test/rate-limit-world.ts
@@ -13,7 +13,7 @@
 import type { RateLimitReport } from '@woodbarrow/protocol';
 import { Random } from '@woodbarrow/runtime';
 import { RateLimitGate, RateLimitService, fromReport, toReport, type UnitAllowance } from '../src/index.js';
-import { GrantingZones } from './granting-zones.js';
+import { ZoneLeases } from './zone-leases.js';
 
 const ZONES = ['alpha', 'beta', 'gamma'];
 /** What may reach a back end beyond its limit. */
@@ -21,21 +21,21 @@
 /** Time from the first word of a limit until all daemons must keep it, in milliseconds. */
 const SETTLE_MS = 3000;
 /** Time for which a daemon must have known of a limit before what it sends counts, in milliseconds. */
-const TOLD_MS = 500;
+const NOTIFIED_GRACE_MS = 500;
 /** Pause between two words of claims, in milliseconds. */
 const CLAIM_INTERVAL_MS = 300;
 /** Longest time until news have come to another daemon, in milliseconds. */
-const LONGEST_NEWS_MS = 400;
+const MAX_GOSSIP_DELAY_MS = 400;
 /** Part of the daemons that news do not come to. */
-const LOST_NEWS_PART = 0.2;
+const LOST_GOSSIP_FRACTION = 0.2;
 /** Longest time for which the next request of a daemon is drawn ahead, in milliseconds. */
-const LONGEST_DRAW_MS = 500;
+const MAX_DRAW_INTERVAL_MS = 500;
 /** Longest way of a request to the back end, with a new connection, in milliseconds. */
-const LONGEST_WAY_MS = 400;
+const MAX_NEW_CONNECTION_DELAY_MS = 400;
 /** Part of the requests that need a new connection. */
-const NEW_CONNECTION_PART = 0.1;
-const SHORT_WAY_MS = 3;
-const ANSWER_MS = 30;
+const NEW_CONNECTION_FRACTION = 0.1;
+const MAX_DELAY_MS = 3;
+const RESPONSE_MS = 30;
 
 export const BACK_END: BackEnd = {
   id: 'b',
@@ -64,11 +64,11 @@
   coordinators: CoordinatorDirectory;
   permits: SendPermits;
   /** Virtual time at which it was first told of the limit in this run. */
-  toldAt: number | undefined;
+  notifiedAt: number | undefined;
 }
 
 /** How permits are had on a daemon. */
-export type PermitWay = (daemon: RateLimitDaemon, world: RateLimitWorld) => SendPermits;
+export type PermitFactory = (daemon: RateLimitDaemon, world: RateLimitWorld) => SendPermits;
 
 /** The world. */
 export class RateLimitWorld {
@@ -79,18 +79,18 @@
   requestsPerSecond: number | undefined;
   /** Requests a second that its callers bring to each daemon, by index. */
   demand: (daemon: number) => number = () => 0;
-  questions = 0;
+  allocatorCalls = 0;
   requests = 0;
   private readonly arrivals: Arrival[] = [];
-  private readonly granting: GrantingZones;
+  private readonly leases: ZoneLeases;
 
   constructor(
-    private readonly way: PermitWay,
+    private readonly createPermits: PermitFactory,
     seed: number,
   ) {
     this.cluster = new SimulatedCluster({ seed });
     this.random = new Random(seed);
-    this.granting = new GrantingZones(this.cluster.world, ZONES, this.daemons);
+    this.leases = new ZoneLeases(this.cluster.world, ZONES, this.daemons);
   }
 
   get now(): number {
@@ -115,13 +115,13 @@
     const daemon = this.daemons[index];
     if (daemon === undefined) return;
     daemon.node.process.kill();
-    this.granting.takeOverFrom(index);
+    this.leases.takeOverFrom(index);
     await this.cluster.advance(downMs);
     Object.assign(daemon, await this.startDaemon(index, daemon.zone));
   }
 
   /** Names a limit, lets it settle, and forgets what arrived before. */
-  async name(requestsPerSecond: number): Promise<void> {
+  async setLimit(requestsPerSecond: number): Promise<void> {
     this.requestsPerSecond = requestsPerSecond;
     await this.cluster.advance(SETTLE_MS);
     this.arrivals.length = 0;
@@ -133,7 +133,7 @@
   }
 
   /** Most requests in a window, from daemons that had been told, as a part of what is allowed. */
-  fullest(requestsPerSecond: number): number {
+  peakUsage(requestsPerSecond: number): number {
     const { windowMs, overshoot, slack } = RATE_LIMIT_ALLOWANCE;
     const counted = this.arrivals.filter(({ isCounted }) => isCounted);
     const inWindow = ({ at }: Arrival): number =>
@@ -151,26 +151,33 @@
     notices.onNews = (backEndId, heard) => {
       this.shareNews(index, backEndId, toReport(heard, clock));
     };
-    const daemon = { index, name, zone, node, coordinators, notices, toldAt: undefined } as RateLimitDaemon &
-      Pick<Partial<RateLimitDaemon>, 'permits'>;
-    daemon.permits = this.way(daemon, this);
+    const daemon = {
+      index,
+      name,
+      zone,
+      node,
+      coordinators,
+      notices,
+      notifiedAt: undefined,
+    } as RateLimitDaemon & Pick<Partial<RateLimitDaemon>, 'permits'>;
+    daemon.permits = this.createPermits(daemon, this);
     const service = new RateLimitService({
       allowance: RATE_LIMIT_ALLOWANCE,
       notices,
-      authorityOf: (candidate) => this.granting.authorityOf(candidate, index),
+      authorityOf: (candidate) => this.leases.authorityOf(candidate, index),
       peers,
       clock,
       log: silentLog,
     });
     service.start();
-    this.tellClaims(daemon);
+    this.publishClaims(daemon);
     return daemon;
   }
 
   private shareNews(from: number, backEndId: string, report: RateLimitReport): void {
     for (const { index, node, notices } of this.daemons) {
-      if (index === from || this.random.next() < LOST_NEWS_PART) continue;
-      this.cluster.world.schedule(this.random.between(0, LONGEST_NEWS_MS), () => {
+      if (index === from || this.random.next() < LOST_GOSSIP_FRACTION) continue;
+      this.cluster.world.schedule(this.random.between(0, MAX_GOSSIP_DELAY_MS), () => {
         node.process.deliver(() => {
           notices.hearFromPeer(backEndId, fromReport(report, node.process));
         });
@@ -178,10 +185,10 @@
     }
   }
 
-  private tellClaims(daemon: RateLimitDaemon): void {
-    daemon.coordinators.accept('told', 'own', this.granting.claims());
+  private publishClaims(daemon: RateLimitDaemon): void {
+    daemon.coordinators.accept('told', 'own', this.leases.claims());
     daemon.node.process.schedule(CLAIM_INTERVAL_MS, () => {
-      this.tellClaims(daemon);
+      this.publishClaims(daemon);
     });
   }
 
@@ -189,9 +196,9 @@
     const perSecond = this.demand(index);
     const dueInMs = perSecond <= 0 ? Infinity : this.random.exponential(1000 / perSecond);
     // Drawn anew after a while, so that a change of the demand shows soon.
-    this.cluster.world.schedule(Math.min(dueInMs, LONGEST_DRAW_MS), () => {
+    this.cluster.world.schedule(Math.min(dueInMs, MAX_DRAW_INTERVAL_MS), () => {
       const daemon = this.daemons[index];
-      if (dueInMs <= LONGEST_DRAW_MS && daemon?.node.process.alive === true) {
+      if (dueInMs <= MAX_DRAW_INTERVAL_MS && daemon?.node.process.alive === true) {
         daemon.node.process.deliver(() => void this.send(daemon));
       }
       this.sendNext(index);
@@ -212,30 +219,30 @@
   private reachBackEnd(daemon: RateLimitDaemon): void {
     const { process } = daemon.node;
     const sentAt = process.monotonic();
-    const isNew = this.random.next() < NEW_CONNECTION_PART;
-    const wayMs = this.random.between(0, isNew ? LONGEST_WAY_MS : SHORT_WAY_MS);
-    const toldAt = daemon.toldAt ?? Infinity;
-    this.cluster.world.schedule(wayMs, () => {
-      this.arrivals.push({ at: this.now, isCounted: this.now - toldAt >= TOLD_MS });
-      const named = this.requestsPerSecond;
-      this.cluster.world.schedule(ANSWER_MS, () => {
+    const isNew = this.random.next() < NEW_CONNECTION_FRACTION;
+    const delayMs = this.random.between(0, isNew ? MAX_NEW_CONNECTION_DELAY_MS : MAX_DELAY_MS);
+    const toldAt = daemon.notifiedAt ?? Infinity;
+    this.cluster.world.schedule(delayMs, () => {
+      this.arrivals.push({ at: this.now, isCounted: this.now - toldAt >= NOTIFIED_GRACE_MS });
+      const limit = this.requestsPerSecond;
+      this.cluster.world.schedule(RESPONSE_MS, () => {
         process.deliver(() => {
-          this.hear(daemon, named, sentAt);
+          this.receiveNotice(daemon, limit, sentAt);
         });
       });
     });
   }
 
-  private hear(daemon: RateLimitDaemon, named: number | undefined, sentAt: number): void {
-    if (named !== undefined) daemon.toldAt ??= this.now;
+  private receiveNotice(daemon: RateLimitDaemon, limit: number | undefined, sentAt: number): void {
+    if (limit !== undefined) daemon.notifiedAt ??= this.now;
     const requestsPerSecond: NoticeField<number> =
-      named === undefined ? { kind: 'none' } : { kind: 'said', value: named };
+      limit === undefined ? { kind: 'none' } : { kind: 'said', value: limit };
     daemon.notices.hear(BACK_END.id, { ...EMPTY_NOTICE, requestsPerSecond }, sentAt);
   }
 }
 
 /** Permits of the coordinator of the back end's zone. */
-export const granted: PermitWay = ({ node, notices, coordinators }, world) =>
+export const sharedPermits: PermitFactory = ({ node, notices, coordinators }, world) =>
   new RateLimitGate({
     allowance: RATE_LIMIT_ALLOWANCE,
     notices,
@@ -243,7 +250,7 @@
     coordinators,
     peers: {
       call: (...call) => {
-        world.questions += 1;
+        world.allocatorCalls += 1;
         return node.peers.call(...call);
       },
     },
@@ -252,7 +259,7 @@
   });
 
 /** The baseline: each daemon lets an equal part of the limit through, with one request at once. */
-export function equalShares(daemons: number): PermitWay {
+export function equalShares(daemons: number): PermitFactory {
   return ({ node, notices }) => {
     let nextAt = 0;
     const isOpen = (): boolean => notices.requestsPerSecond(BACK_END.id) === undefined;
--- a/packages/quota/test/rate-limit.test.ts
+++ b/packages/quota/test/rate-limit.test.ts
@@ -3,24 +3,24 @@
   RATE_LIMIT_ALLOWANCE,
   RateLimitWorld,
   equalShares,
-  granted,
-  type PermitWay,
+  sharedPermits,
+  type PermitFactory,
 } from './rate-limit-world.js';
 
 const DAEMONS = 12;
 const SEEDS = Array.from({ length: 12 }, (_, index) => index + 1);
 const LIMITS = [0.5, 1, 5, 40];
-const PLAYED_MS = 20_000;
+const SIMULATION_MS = 20_000;
 /** Requests a second at all daemons together, for each that the back end takes. */
-const CROWD = 6;
+const OVERLOAD_FACTOR = 6;
 
-interface Course {
+interface Scenario {
   readonly limit: number;
   readonly seed: number;
   readonly daemons?: number;
   /** Part of the demand that is at the first daemon. */
   readonly uneven?: number;
-  readonly way?: PermitWay;
+  readonly createPermits?: PermitFactory;
 }
 
 async function limitedWorld({
@@ -28,33 +28,33 @@
   seed,
   daemons = DAEMONS,
   uneven,
-  way = granted,
-}: Course): Promise<RateLimitWorld> {
-  const world = new RateLimitWorld(way, seed);
-  const all = Math.max(4, limit * CROWD);
+  createPermits = sharedPermits,
+}: Scenario): Promise<RateLimitWorld> {
+  const world = new RateLimitWorld(createPermits, seed);
+  const all = Math.max(4, limit * OVERLOAD_FACTOR);
   world.demand = (index) => {
     if (uneven === undefined) return all / daemons;
     return index === 0 ? all * uneven : (all * (1 - uneven)) / (daemons - 1);
   };
   await world.start(daemons);
-  await world.name(limit);
+  await world.setLimit(limit);
   return world;
 }
 
 /** Nearly all that the limit lets through has reached the back end, and no more but for a burst at first. */
-function expectUsed({ arrived }: RateLimitWorld, limit: number, name?: string): void {
-  const whole = (limit * PLAYED_MS) / 1000;
+function expectLimitUsed({ arrived }: RateLimitWorld, limit: number, name?: string): void {
+  const whole = (limit * SIMULATION_MS) / 1000;
   expect(arrived, name).to.be.within(0.85 * whole, whole * 1.1 + RATE_LIMIT_ALLOWANCE.slack);
 }
 
 /** Daemons, the granter among them, are killed, frozen, cut off and added. */
-async function trouble(world: RateLimitWorld): Promise<void> {
+async function injectFaults(world: RateLimitWorld): Promise<void> {
   const { cluster, random } = world;
   for (let round = 0; round < 10; round += 1) {
-    const hurt = random.next() < 0.4 ? 0 : random.integer(world.daemons.length);
-    const daemon = world.daemons[hurt];
+    const target = random.next() < 0.4 ? 0 : random.integer(world.daemons.length);
+    const daemon = world.daemons[target];
     const fault = random.next();
-    if (fault < 0.3) await world.restart(hurt, random.between(200, 1500));
+    if (fault < 0.3) await world.restart(target, random.between(200, 1500));
     else if (fault < 0.6) daemon?.node.process.pause(random.between(500, 6000));
     else if (fault < 0.9) {
       const isCut = (name: string): boolean => name === daemon?.name;
@@ -70,10 +70,10 @@
     for (const limit of LIMITS) {
       for (const uneven of [undefined, 0.9]) {
         const world = await limitedWorld({ limit, seed: 3, ...(uneven === undefined ? {} : { uneven }) });
-        await world.cluster.advance(PLAYED_MS);
+        await world.cluster.advance(SIMULATION_MS);
         const name = `limit ${String(limit)}, uneven ${String(uneven)}`;
-        expect(world.fullest(limit), name).to.be.at.most(1);
-        expectUsed(world, limit, name);
+        expect(world.peakUsage(limit), name).to.be.at.most(1);
+        expectLimitUsed(world, limit, name);
       }
     }
   });
@@ -82,8 +82,8 @@
     for (const seed of SEEDS) {
       for (const limit of LIMITS) {
         const world = await limitedWorld({ limit, seed });
-        await trouble(world);
-        expect(world.fullest(limit), `limit ${String(limit)} with seed ${String(seed)}`).to.be.at.most(1);
+        await injectFaults(world);
+        expect(world.peakUsage(limit), `limit ${String(limit)} with seed ${String(seed)}`).to.be.at.most(1);
         expect(world.arrived).to.be.above(0);
       }
     }
@@ -91,12 +91,12 @@
 
   it('are followed when they fall, rise, and end', async () => {
     const world = await limitedWorld({ limit: 20, seed: 5 });
-    await world.name(1);
-    await world.cluster.advance(PLAYED_MS);
-    expect(world.fullest(1)).to.be.at.most(1);
-    await world.name(20);
-    await world.cluster.advance(PLAYED_MS);
-    expectUsed(world, 20);
+    await world.setLimit(1);
+    await world.cluster.advance(SIMULATION_MS);
+    expect(world.peakUsage(1)).to.be.at.most(1);
+    await world.setLimit(20);
+    await world.cluster.advance(SIMULATION_MS);
+    expectLimitUsed(world, 20);
     world.requestsPerSecond = undefined;
     await world.cluster.advance(3000);
     const [before, asked] = [world.arrived, world.requests];
@@ -108,19 +108,19 @@
     const world = await limitedWorld({ limit: 1, seed: 4, daemons: 40 });
     world.demand = () => 1.5;
     await world.cluster.advance(10_000);
-    world.demand = (index) => (index === 0 ? CROWD : 0);
+    world.demand = (index) => (index === 0 ? OVERLOAD_FACTOR : 0);
     await world.cluster.advance(1000);
     const before = world.arrived;
     await world.cluster.advance(10_000);
     expect(world.arrived - before).to.be.at.least(8);
-    expect(world.fullest(1)).to.be.at.most(1);
+    expect(world.peakUsage(1)).to.be.at.most(1);
   });
 
   it('are kept by many daemons of which each seldom has a request', async () => {
     const world = await limitedWorld({ limit: 1, seed: 2, daemons: 120 });
-    await world.cluster.advance(PLAYED_MS);
-    expect(world.fullest(1)).to.be.at.most(1);
-    expectUsed(world, 1);
+    await world.cluster.advance(SIMULATION_MS);
+    expect(world.peakUsage(1)).to.be.at.most(1);
+    expectLimitUsed(world, 1);
   });
 
   /**
@@ -128,12 +128,12 @@
    * used at all. And where one daemon has most of the demand, its share is all that it may use.
    */
   it('are kept by more daemons, and used more fully, than with an equal share for each', async () => {
-    const shared = await limitedWorld({ limit: 1, seed: 2, daemons: 40, way: equalShares(40) });
-    await shared.cluster.advance(PLAYED_MS);
-    const few = await limitedWorld({ limit: 1, seed: 2, uneven: 0.9, way: equalShares(DAEMONS) });
-    await few.cluster.advance(PLAYED_MS);
+    const shared = await limitedWorld({ limit: 1, seed: 2, daemons: 40, createPermits: equalShares(40) });
+    await shared.cluster.advance(SIMULATION_MS);
+    const few = await limitedWorld({ limit: 1, seed: 2, uneven: 0.9, createPermits: equalShares(DAEMONS) });
+    await few.cluster.advance(SIMULATION_MS);
     const own = await limitedWorld({ limit: 1, seed: 2, uneven: 0.9 });
-    await own.cluster.advance(PLAYED_MS);
+    await own.cluster.advance(SIMULATION_MS);
     expect(few.arrived).to.be.below(own.arrived / 2);
   });
 });
--- a/packages/quota/test/granting-zones.ts
+++ b/packages/quota/test/zone-leases.ts
@@ -5,7 +5,7 @@
 import type { ZoneAuthority } from '../src/index.js';
 
 /** Time after which a lost granter's zone has another one that may act, in milliseconds. */
-const TAKEOVER_MS = 5000;
+const TAKEOVER_DELAY_MS = 5000;
 
 /** A daemon that may hold zones. */
 export interface ZoneDaemon {
@@ -15,7 +15,7 @@
   readonly node: SimulatedNode;
 }
 
-interface Granting {
+interface ZoneLease {
   /** Daemon that holds the zone's lease, if any. */
   holder: number | undefined;
   fence: number;
@@ -24,8 +24,8 @@
 }
 
 /** Leases of some zones; at first the daemon of a zone's index holds it. */
-export class GrantingZones {
-  private readonly granting = new Map<string, Granting>();
+export class ZoneLeases {
+  private readonly leases = new Map<string, ZoneLease>();
 
   constructor(
     private readonly world: SimulatedWorld,
@@ -33,20 +33,20 @@
     private readonly daemons: readonly ZoneDaemon[],
   ) {
     zones.forEach((zone, index) => {
-      this.granting.set(zone, { holder: index, fence: 1, actsAt: 0 });
+      this.leases.set(zone, { holder: index, fence: 1, actsAt: 0 });
     });
   }
 
   /** A daemon has ended: other daemons take its zones, once it has certainly stopped. */
   takeOverFrom(index: number): void {
-    for (const [zone, granting] of this.granting) {
+    for (const [zone, granting] of this.leases) {
       if (granting.holder === index) this.takeOver(zone, granting, index);
     }
   }
 
   /** The authority of a daemon over a zone. */
   authorityOf(zone: string, index: number): ZoneAuthority | undefined {
-    const granting = this.granting.get(zone);
+    const granting = this.leases.get(zone);
     if (granting?.holder !== index) return undefined;
     const { fence, actsAt } = granting;
     return {
@@ -59,7 +59,7 @@
   /** Claims as a daemon hears of them. */
   claims(): RelayedClaim[] {
     const claims: RelayedClaim[] = [];
-    for (const [zone, { holder, fence }] of this.granting) {
+    for (const [zone, { holder, fence }] of this.leases) {
       const daemon = holder === undefined ? undefined : this.daemons[holder];
       if (daemon === undefined) continue;
       const common = { storeLoads: 0, loading: [], leaseRevision: 1, confirmedAgoMs: 0 };
@@ -69,9 +69,9 @@
     return claims;
   }
 
-  private takeOver(zone: string, granting: Granting, from: number): void {
+  private takeOver(zone: string, granting: ZoneLease, from: number): void {
     granting.holder = undefined;
-    this.world.schedule(TAKEOVER_MS, () => {
+    this.world.schedule(TAKEOVER_DELAY_MS, () => {
       const next = this.daemons.find((daemon) => daemon.zone === zone && daemon.index !== from);
       granting.holder = next?.index;
       granting.fence += 1;
