--- a/packages/quarantine/src/crash-batch-records.ts
+++ b/packages/quarantine/src/crash-batch-records.ts
@@ -1,10 +1,10 @@
 /**
- * First ends kept in the store. A single end under a content lived in memory alone: where all daemons were killed after each one, the content
- * was never found out, however many processes it ended. What is not kept yet is written in one record for all contents, since a process that
- * crashes leaves an end for each request that it ran: sixty requests on one worker cost one call, not sixty.
+ * Stores crash marks that no other record contains, so that they survive the loss of all daemons. One
+ * record covers several contents, because a crashed process leaves a mark for each request that it
+ * ran.
  *
- * What a kill may still cost: an end that was found out less than {@link MAX_WRITE_DELAY_MS} and one write before all daemons that know
- * of it were killed, and one that nobody had found out (20 to 1,520 ms after the answer broke off).
+ * A mark is still lost if every daemon that observed it exits before the record is written, at most
+ * {@link MAX_WRITE_DELAY_MS} and one store call after the crash was confirmed.
  */
 import type { CrashMarkEntry } from '@woodbarrow/protocol';
 import { contentDigest } from '@woodbarrow/runtime';
@@ -14,29 +14,30 @@
 import type { RecordWriter } from './record-writer.js';
 
 /**
- * Bounds of the pause between the first end that is not kept and its record, in milliseconds. Within the shorter one daemons tell each other of
- * the same process (some 150 ms); each then waits another time, so that most find in the store what the first one wrote.
+ * Bounds of the delay before unrecorded marks are written, in milliseconds. Within the minimum,
+ * daemons exchange their marks of the same crash. The random remainder lets most daemons observe the
+ * first record before they write their own.
  */
 const MIN_WRITE_DELAY_MS = 150;
 const MAX_WRITE_DELAY_MS = 500;
-/** Ends in one record at most: some 24 KB. */
+/** Limits the size of a record in the store. */
 const MAX_CRASHES_PER_RECORD = 200;
 
-/** Records of ends, as one daemon knows them. */
+/** Batch records as observed by one daemon. */
 export class CrashBatchRecords {
   private readonly records = new Map<string, CrashBatchRecord>();
-  /** Ends that records keep, or that are on their way to the store, each with the names of its records. */
+  /** Names of the records that contain a crash, including records still being written. */
   private readonly recordNamesByCrash = new Map<string, Set<string>>();
   private isScheduled = false;
 
   constructor(
     private readonly marks: CrashMarks,
     private readonly writer: RecordWriter,
-    /** Whether an end under a content stands in a record of that content. */
+    /** Returns whether a crash is in another record of that content. */
     private readonly isRecordedElsewhere: (content: string, processId: string) => boolean,
   ) {}
 
-  /** An end was found out here: it is kept soon, with all that is known by then and not kept either. */
+  /** Schedules a write of all marks that are unrecorded by then. */
   scheduleWrite(): void {
     if (this.isScheduled) return;
     this.isScheduled = true;
@@ -47,13 +48,13 @@
     });
   }
 
-  /** Enters a record that the store holds. Returns its marks. */
+  /** Handles a stored record. Returns its marks. */
   handleStored(record: CrashBatchRecord): readonly CrashMarkEntry[] {
     this.index(record);
     return record.ends.map((end) => toMarkEntry(end, this.writer.options.clock));
   }
 
-  /** A record is gone. Returns whether there was one of that name. */
+  /** Handles a removed record. Returns whether a record of that name existed. */
   handleRemoved(name: string): boolean {
     const record = this.records.get(name);
     if (record === undefined) return false;
@@ -62,13 +63,16 @@
     return true;
   }
 
-  /** Contents have run well or were lifted: records that say nothing else would bring their marks back. */
+  /** Removes records whose marks are all inactive, so that they cannot restore cleared marks. */
   removeInactive(): void {
     for (const record of this.records.values())
       if (!this.hasActiveMarks(record)) this.writer.remove(record.content);
   }
 
-  /** Removes records whose marks have run out. @param mayRemove Whether this daemon is to remove a record of a name. */
+  /**
+   * Removes records whose marks have expired. @param mayRemove Whether this daemon is responsible for
+   * a record.
+   */
   async removeExpired(mayRemove: (name: string) => boolean): Promise<void> {
     await this.writer.removeExpired(this.records.values(), MARK_LIFETIME_MS, mayRemove);
   }
--- a/packages/quarantine/src/crash-marks.ts
+++ b/packages/quarantine/src/crash-marks.ts
@@ -1,70 +1,77 @@
 /**
- * Evidence against contents: which processes ended while they ran which content. Every daemon holds a copy. Marks are
- * only added, and only go from counting to cleared, so copies are merged in any order and as often as wanted, and agree
- * once they have told each other, whatever was cut in between.
+ * Crash evidence: which processes ended while they ran which content. Every daemon holds a replica.
+ * Marks are only added or changed from active to cleared, so replicas merge in any order, any number
+ * of times, and converge.
  */
 import type { CrashMarkEntry } from '@woodbarrow/protocol';
 import { hashText, type Clock } from '@woodbarrow/runtime';
 
-/** A process that ended under a content. Times are monotonic, of this daemon. */
+/** A process that ended while it ran a content. Times are monotonic times of this daemon, in milliseconds. */
 export interface CrashMark {
   readonly content: string;
-  /** Id of the back end; each start of it has another. */
+  /** Id of the back end, which is unique for each start of its process. */
   readonly processId: string;
-  /** When the request, or the order to load, was sent to it. */
+  /** Time at which the request or load order was sent to the process. */
   readonly begunAt: number;
-  /** When the process was seen to have ended. */
+  /** Time at which the process was observed to have ended. */
   readonly endedAt: number;
-  /** A later run of the content ended well. */
+  /** Whether a later run of the content has succeeded. A cleared mark is not evidence. */
   readonly isCleared: boolean;
-  /** It ran the content in a trial: apart from all others that had ended as many processes as a verdict needs. */
+  /**
+   * Whether the process ran the content in a trial, isolated from other contents with enough crashes
+   * for a verdict.
+   */
   readonly isTrial?: boolean;
 }
 
 /**
- * Processes that must have ended under a content before it can count as what ended them. Neighbours of such a request end
- * with it as well; most have come back once and been answered by then. For the others see {@link CulpritSearch}.
+ * Number of crashes required before a content can receive a verdict. Contents that ran beside a
+ * culprit collect marks as well, but most succeed on a retry before they reach this number. {@link
+ * CulpritSearch} separates the others.
  */
 export const ENDS_FOR_VERDICT = 3;
-/** Time for which a mark is kept, in milliseconds: clients send the same request again within a few deadlines of 15 s. */
+/** Lifetime of a mark in milliseconds. Covers several client retries. */
 export const MARK_LIFETIME_MS = 600_000;
-/** Marks kept at most, the newest: some 200 KB. A rack of 13 processes with 64 requests each leaves 832. */
+/**
+ * Maximum number of marks; the oldest are dropped first. Exceeds the number of requests that a whole
+ * rack runs at a time.
+ */
 export const MAX_MARKS = 4096;
 
-/** Marks of one daemon, those of others included. */
+/** Marks of one daemon, including those received from other daemons. */
 export class CrashMarks {
   private readonly byContent = new Map<string, Map<string, CrashMark>>();
-  /** Contents with a mark at each process. */
+  /** Contents with a mark, by process. */
   private readonly byProcess = new Map<string, Set<string>>();
   private markCount = 0;
   private combinedDigest = 0;
 
   constructor(private readonly clock: Clock) {}
 
-  /** Digest of all marks, equal on daemons that know the same ones; 0 when there are none. */
+  /** Digest of all marks; equal on daemons with the same marks, and 0 if there are none. */
   get digest(): number {
     this.dropExpired();
     return this.combinedDigest;
   }
 
-  /** Number of marks, and of contents that have some which count. */
+  /** Number of marks, and of contents with active marks. */
   get totals(): { readonly marks: number; readonly suspects: number } {
     const suspects = this.suspects.length;
     return { marks: this.markCount, suspects };
   }
 
-  /** Whether there are no marks at all. */
+  /** Whether there are no marks, active or cleared. */
   get isEmpty(): boolean {
     return this.markCount === 0;
   }
 
-  /** Contents with marks that count. */
+  /** Contents with active marks. */
   get suspects(): string[] {
     this.dropExpired();
     return [...this.byContent.keys()].filter((content) => this.endsOf(content) > 0);
   }
 
-  /** Enters a mark. Returns whether it changed anything. */
+  /** Adds a mark. Returns whether this changed the set of marks or cleared one. */
   add(mark: CrashMark): boolean {
     if (this.clock.monotonic() - mark.endedAt > MARK_LIFETIME_MS) return false;
     const marks = this.byContent.get(mark.content) ?? new Map<string, CrashMark>();
@@ -77,11 +84,12 @@
     }
     this.put(marks, existing, merged);
     this.dropOldest();
-    // One that is older than all that are kept is no news, or daemons with full sets would tell each other without end.
+    // A mark that was dropped at once must not count as a change, or daemons with full sets would
+    // exchange it forever.
     return this.byContent.get(mark.content)?.get(mark.processId) === merged;
   }
 
-  /** A run of a content ended well: what is known against it counts no more. Returns whether that changed anything. */
+  /** Clears the marks of a content after a successful run. Returns whether any mark changed. */
   clear(content: string): boolean {
     const marks = this.byContent.get(content);
     if (marks === undefined) return false;
@@ -94,39 +102,37 @@
     return isChanged;
   }
 
-  /** Processes that ended under a content, as far as they count. */
+  /** Returns the number of active marks of a content. */
   endsOf(content: string): number {
     return this.findActiveMarks(content).length;
   }
 
-  /** Marks against a content, as far as they count. */
+  /** Returns the active marks of a content. */
   activeMarksOf(content: string): readonly CrashMark[] {
     return this.findActiveMarks(content);
   }
 
-  /** Contents under which a process ended, as far as these marks count. */
+  /** Returns the contents with an active mark at a process. */
   contentsOf(processId: string): readonly string[] {
     const contents = [...(this.byProcess.get(processId) ?? [])];
     return contents.filter((content) => this.hasActiveMark(content, processId));
   }
 
-  /** All marks that count. */
   allActiveMarks(): readonly CrashMark[] {
     return [...this.byContent.keys()].flatMap((content) => this.findActiveMarks(content));
   }
 
-  /** Whether a mark counts. */
   hasActiveMark(content: string, processId: string): boolean {
     const mark = this.byContent.get(content)?.get(processId);
     return mark !== undefined && this.isActiveMark(mark);
   }
 
-  /** Ids of the processes that ended under a content, as far as they count. */
+  /** Returns the ids of the processes with an active mark of a content. */
   processesOf(content: string): string[] {
     return this.findActiveMarks(content).map(({ processId }) => processId);
   }
 
-  /** All marks, in the form of messages. */
+  /** Returns all marks as message entries with relative times. */
   entries(): CrashMarkEntry[] {
     this.dropExpired();
     const now = this.clock.monotonic();
@@ -140,7 +146,7 @@
     }));
   }
 
-  /** Takes what another daemon knows. Returns the marks that were news here. */
+  /** Merges the marks of another daemon. Returns those that changed the set. */
   merge(entries: readonly CrashMarkEntry[]): CrashMark[] {
     const now = this.clock.monotonic();
     const marks = entries.map(({ c, p, b, e, x, t }) => ({
@@ -202,7 +208,7 @@
   }
 }
 
-/** Two daemons may have seen the same end, each under an attempt of its own. */
+/** Merges two observations of the same crash by different daemons. */
 function mergeMarks(existing: CrashMark, other: CrashMark): CrashMark {
   return {
     ...existing,
--- a/packages/quarantine/src/debounced-evaluation.ts
+++ b/packages/quarantine/src/debounced-evaluation.ts
@@ -1,10 +1,10 @@
-/** When contents are judged again: a while after the last change of marks, so that all daemons in touch have told theirs by then. */
+/** Delays the evaluation of contents after a change of marks until connected daemons have reported theirs. */
 import type { Clock } from '@woodbarrow/runtime';
 import { EVIDENCE_SETTLE_MS } from './culprit-search.js';
 
-/** Judges once for all changes that follow each other closely. */
+/** Runs one evaluation for changes in quick succession. */
 export class DebouncedEvaluation {
-  /** Monotonic time of the last change; undefined when all contents have been judged since. */
+  /** Monotonic time of the last change; undefined if all changes have been evaluated. */
   private lastChangedAt: number | undefined;
   private readonly waiters: (() => void)[] = [];
 
@@ -13,14 +13,14 @@
     private readonly evaluate: () => void,
   ) {}
 
-  /** Marks have changed. */
+  /** Schedules an evaluation after a change of marks, or postpones a scheduled one. */
   noteChange(): void {
     const isScheduled = this.lastChangedAt !== undefined;
     this.lastChangedAt = this.clock.monotonic();
     if (!isScheduled) this.scheduleEvaluation(EVIDENCE_SETTLE_MS);
   }
 
-  /** Resolves when the changes so far have been judged: at once where there are none. */
+  /** Resolves when all changes so far have been evaluated; at once if there are none. */
   async whenEvaluated(): Promise<void> {
     if (this.lastChangedAt === undefined) return;
     await new Promise<void>((resolve) => this.waiters.push(resolve));
--- a/packages/quarantine/src/index.ts
+++ b/packages/quarantine/src/index.ts
@@ -1,4 +1,4 @@
-/** Requests and loads that end the processes which run them: evidence, verdict, and how it is shared and kept. */
+/** Quarantine of requests and loads that crash the processes which run them. */
 export * from './crash-marks.js';
 export * from './culprit-search.js';
 export * from './crash-batch-records.js';
--- a/packages/quarantine/src/load-content.ts
+++ b/packages/quarantine/src/load-content.ts
@@ -1,21 +1,29 @@
-/** Loads as contents: what is loaded stands for all loads of it, whichever coordinator orders them. */
+/**
+ * Identifies loads as contents, so that all loads of the same model or adapter share their crash
+ * evidence.
+ */
 import { targetKey, type ModelTarget } from '@woodbarrow/backends';
 import { contentDigest } from '@woodbarrow/runtime';
 
-/** Begin of the contents that stand for loads; digests of requests are hexadecimal and never begin so. */
+/** Prefix of load contents. Request digests are hexadecimal and never start with it. */
 const LOAD_PREFIX = 'load-';
 
-/** Content of a load of a model, or of an adapter of it: names of records allow fewer characters than names of models. */
+/**
+ * Returns the content of a load of a model or adapter. It is a digest, because record names allow
+ * fewer characters than model names.
+ */
 export function loadContent(service: string, target: ModelTarget): string {
   return `${LOAD_PREFIX}${contentDigest([service, targetKey(target)])}`;
 }
 
-/** Whether a content stands for a load. */
 export function isLoadContent(content: string): boolean {
   return content.startsWith(LOAD_PREFIX);
 }
 
-/** Name of a load for operators: `service model`, `service model/adapter` or `service model/adapter@version`. */
+/**
+ * Returns the name of a load for operators: `service model`, `service model/adapter` or `service
+ * model/adapter@version`.
+ */
 export function loadName(service: string, target: ModelTarget): string {
   return `${service} ${targetKey(target)}`;
 }
--- a/packages/quarantine/src/load-quarantine.ts
+++ b/packages/quarantine/src/load-quarantine.ts
@@ -1,7 +1,7 @@
 /**
- * Loads that end each worker which begins them. An order to load is watched until its end. When the process ends before, that is
- * held against what is loaded: an adapter where it was one, else the model. Whoever orders a load asks here first, and does not
- * order what has proved to end the workers.
+ * Quarantines models and adapters whose loads crash workers. Each load order is tracked until it
+ * completes; if the process ends first, the crash is recorded against the loaded model or adapter.
+ * Callers check for a verdict before they order a load.
  */
 import type { BackEnd, BackendDirectory, ModelTarget } from '@woodbarrow/backends';
 import type { EventLog } from '@woodbarrow/observability';
@@ -12,39 +12,42 @@
 
 /** Options of {@link LoadQuarantine}. */
 export interface LoadQuarantineOptions {
-  /** Marks, verdicts and records, those of requests included. */
+  /** Marks, verdicts and records of requests and loads. */
   readonly contents: RequestQuarantine;
   readonly directory: BackendDirectory;
   readonly clock: Clock;
   readonly log: EventLog;
 }
 
-/** Counts for operators. */
+/** Counts for metrics. */
 export interface LoadQuarantineTotals {
-  /** Models and adapters that workers have ended under. */
+  /** Models and adapters with active crash marks or a verdict. */
   readonly suspects: number;
-  /** Those of them that are not loaded any more. */
+  /** Number of suspects that are refused. */
   readonly quarantined: number;
-  /** Demands refused for it since the start. */
+  /** Demands refused since the start because of a verdict. */
   readonly refused: number;
 }
 
-/** An order to load that has no end yet. */
+/** A load order that has not completed. */
 interface WatchedLoad {
   readonly attempt: ContentAttempt;
-  /** The worker has begun to leave, or its record went while it ran: its end says nothing. */
+  /**
+   * Whether the worker was draining, or was removed while draining, before its process ended. The end
+   * of its process is then no evidence.
+   */
   isLeaving: boolean;
   /** Monotonic time of the first call that the worker did not answer. */
   unresponsiveSince?: number;
-  /** Set while it is found out whether the process has ended. */
+  /** Set while the state of the process is being checked. */
   check?: Promise<void>;
-  /** It did not come about, and is dropped when that is known. */
+  /** Whether the load has failed; it is dropped when the state of the process is known. */
   isConcluding: boolean;
 }
 
-/** Loads of one daemon's zones, and what all daemons hold against loads. */
+/** Tracks the loads of one daemon's zones and refuses loads with a verdict. */
 export class LoadQuarantine {
-  /** By worker and content. */
+  /** By {@link loadKey}. */
   private readonly watched = new Map<string, WatchedLoad>();
   private refused = 0;
 
@@ -74,27 +77,34 @@
     };
   }
 
-  /** Why a model or adapter must not be loaded; undefined when it may. */
+  /** Returns the verdict on a model or adapter; undefined if it may be loaded. */
   verdictOf(service: string, target: ModelTarget): Verdict | undefined {
     const { contents } = this.options;
-    // Asked for each demand and each plan, and nearly always nothing is known against anything.
+    // Avoids computing a digest for each demand and plan while there is no evidence at all.
     return contents.hasNoEvidence ? undefined : contents.verdictOf(loadContent(service, target));
   }
 
-  /** When the last worker ended under a load of a target, monotonic; undefined while it is not suspected. */
+  /**
+   * Returns the monotonic time of the last crash under a load of a target; undefined if the target is
+   * no suspect.
+   */
   lastEndOf(service: string, target: ModelTarget): number | undefined {
     const { contents } = this.options;
     return contents.hasNoEvidence ? undefined : contents.lastCrashAt(loadContent(service, target));
   }
 
-  /** Whether this daemon has an order to load a target under way, or does not know yet what came of it. */
+  /**
+   * Returns whether this daemon has an incomplete load order for a target, or one whose outcome is
+   * still unknown.
+   */
   isUnderWay(service: string, target: ModelTarget): boolean {
     return this.loadsOf(loadContent(service, target)).length > 0;
   }
 
   /**
-   * Resolves when a load may be ordered: at once for one that is not suspected; for a suspect when no other load of it is under
-   * way from this daemon and it is known what came of the last one.
+   * Waits for the right to order a load and returns its slot. A target that is no suspect does not
+   * wait; a suspect waits until no other load of it from this daemon is in progress and the outcome of
+   * the last one is known.
    */
   async takeTurn(service: string, target: ModelTarget, signal: AbortSignal): Promise<Turn> {
     const content = loadContent(service, target);
@@ -104,14 +114,17 @@
     return slot;
   }
 
-  /** A demand was turned down because of a verdict. */
+  /** Counts and logs a demand that was refused because of a verdict. */
   noteRefused(service: string, target: ModelTarget, { ends, retryAfterMs }: Verdict): void {
     this.refused += 1;
     const load = loadName(service, target);
     this.options.log.changed('load_refused', { load, ends, retryAfterMs: Math.round(retryAfterMs) });
   }
 
-  /** A worker has taken an order to load, or may have. @param orderedAt Monotonic time at which it was sent. */
+  /**
+   * Starts tracking a load order that a worker accepted or may have accepted. @param orderedAt
+   * Monotonic time at which it was sent.
+   */
   ordered(backEnd: BackEnd, target: ModelTarget, orderedAt: number): void {
     const content = loadContent(backEnd.service, target);
     const key = loadKey(backEnd.id, content);
@@ -121,44 +134,47 @@
     this.watched.set(key, { attempt, isLeaving: backEnd.draining, isConcluding: false });
   }
 
-  /** A worker did not answer: where it was ordered to load, its process is asked after. */
+  /** Checks the process of a worker that did not answer while it had load orders. */
   unanswered(backEndId: string): void {
     for (const load of this.loadsOnProcess(backEndId)) void this.checkProcess(load);
   }
 
-  /** A load has come about: what ended workers before was not what it loads. */
+  /** Handles a completed load, which clears the evidence against its target. */
   finished({ id, service }: BackEnd, target: ModelTarget): void {
     const content = loadContent(service, target);
     if (this.watched.delete(loadKey(id, content)))
       this.options.contents.noteServed(content, loadName(service, target));
   }
 
-  /** A load did not come about; whether the process has ended is found out meanwhile. */
+  /** Handles a failed load: checks whether the process has ended, then stops tracking it. */
   failed({ id, service }: BackEnd, target: ModelTarget): void {
     const load = this.watched.get(loadKey(id, loadContent(service, target)));
     if (load !== undefined) void this.conclude(load);
   }
 
-  /** Asks after the process, and stops watching the load. */
+  /** Checks the state of the process, then stops tracking the load. */
   private async conclude(load: WatchedLoad): Promise<void> {
     load.isConcluding = true;
     await this.checkProcess(load);
     this.unwatch(load);
   }
 
-  /** A process that has ended comes back by way of {@link noteProcessEnded}. */
+  /** Checks the state of the process. If it has ended, {@link noteProcessEnded} is called. */
   private checkProcess(load: WatchedLoad): Promise<void> {
     const { contents, clock } = this.options;
     load.unresponsiveSince ??= clock.monotonic();
     load.check ??= contents.fateOf(load.attempt.backEnd).then((fate) => {
       delete load.check;
-      // It lives: what is not answered from now on is another silence.
+      // The process runs, so a later missing answer starts a new unresponsive period.
       if (fate === 'running') delete load.unresponsiveSince;
     });
     return load.check;
   }
 
-  /** What was ordered of the worker comes to an end with it: its record may stay in the store for seconds. */
+  /**
+   * Records the crash for each load of the process. The back end is removed from the directory,
+   * because its stored record may remain for seconds.
+   */
   private noteProcessEnded(processId: string): void {
     const { contents, clock, directory } = this.options;
     const loads = this.loadsOnProcess(processId);
--- a/packages/quarantine/src/process-state-checker.ts
+++ b/packages/quarantine/src/process-state-checker.ts
@@ -1,37 +1,44 @@
 /**
- * Whether the process behind a broken answer, or under a load that is no longer answered, has ended. A broken connection alone says nothing: connections are reset and
- * links cut while the process lives on. The process is asked, over a connection of its own.
+ * Determines whether a process has ended after a response broke off or a load call was not answered. A
+ * broken connection alone is no proof, because connections are also reset by the network. The process
+ * is probed over a separate connection.
  */
 import type { BackEnd } from '@woodbarrow/backends';
 import { sleep, type Clock } from '@woodbarrow/runtime';
 
-/** What one question to a process says. */
+/** Result of one probe. */
 export type ProcessAnswer =
-  /** It answered under its own id. */
+  /** The process answered under its own id. */
   | 'running'
   /** Another process answers at its address. */
   | 'replaced'
-  /** Nobody listens at its address. */
+  /** The connection was refused. */
   | 'refused'
-  /** No answer. */
+  /** There was no answer. */
   | 'unknown';
 
-/** Port: asks a process whether it runs. Never rejects. */
+/** Port that probes whether a process runs. Never rejects. */
 export interface ProcessProbe {
   ask(backEnd: BackEnd): Promise<ProcessAnswer>;
 }
 
-/** What is known in the end. */
+/** Outcome of a check. */
 export type ProcessState = 'running' | 'ended' | 'unknown';
 
-/** Pauses before each question, in milliseconds: a process that ends closes its connections before it stops listening. */
+/**
+ * Delays before each probe, in milliseconds. A process that exits may still accept connections after
+ * its open connections have closed.
+ */
 const PROBE_DELAYS_MS = [20, 100, 400, 1000];
-/** Refusals in a row after which nobody listens any more: a single one may come of a full queue of connections. */
+/**
+ * Consecutive refusals that prove that the process has ended. A single refusal may come from a full
+ * accept queue.
+ */
 const REFUSALS_FOR_ENDED = 2;
-/** Time for which it is remembered that a process has ended, in milliseconds. */
+/** Time for which an ended process is remembered, in milliseconds. */
 const ENDED_RETENTION_MS = 60_000;
 
-/** Fates of processes, as one daemon finds them out; one check a process at a time. */
+/** Checks processes, with at most one check per process at a time. */
 export class ProcessStateChecker {
   private readonly checks = new Map<string, Promise<ProcessState>>();
   private readonly endedAt = new Map<string, number>();
@@ -39,11 +46,17 @@
   constructor(
     private readonly probe: ProcessProbe,
     private readonly clock: Clock,
-    /** Called when a process is found to have ended, here or by another daemon; again for one that is known. */
+    /**
+     * Called when a process is found to have ended, by this daemon or another one. May be called
+     * repeatedly for the same process.
+     */
     private readonly onEnded: (processId: string) => void = () => undefined,
   ) {}
 
-  /** Finds out whether a process has ended; some 2 s at the longest. Never rejects. */
+  /**
+   * Determines whether a process has ended. Takes up to the sum of the probe delays and the probes.
+   * Never rejects.
+   */
   check(backEnd: BackEnd): Promise<ProcessState> {
     if (this.hasEnded(backEnd.id)) return Promise.resolve('ended');
     const ongoing = this.checks.get(backEnd.id);
@@ -53,12 +66,15 @@
     return check;
   }
 
-  /** Whether a process is known to have ended, for a while after it was found out. */
+  /**
+   * Returns whether a process was found to have ended. The result is remembered for {@link
+   * ENDED_RETENTION_MS}.
+   */
   hasEnded(processId: string): boolean {
     return this.endedAt.has(processId);
   }
 
-  /** Another daemon found that a process has ended. */
+  /** Records that a process has ended, as found by this daemon or another one. */
   noteEnded(processId: string): void {
     const now = this.clock.monotonic();
     for (const [id, at] of this.endedAt) if (now - at > ENDED_RETENTION_MS) this.endedAt.delete(id);
--- a/packages/quarantine/src/quarantine-record.ts
+++ b/packages/quarantine/src/quarantine-record.ts
@@ -1,34 +1,35 @@
-/** What lasts of a verdict and of the evidence before it: records in the store of the deployment. */
+/** Stored records of verdicts, crash evidence and trials. */
 
-/** A content that is not run for a while. */
+/** A verdict: the content is refused until the record expires. */
 export interface QuarantineRecord {
-  /** Digest of the content; the record's name. */
+  /** Digest of the content, which is the name of the record. */
   readonly content: string;
-  /** Processes that ended under it. */
+  /** Ids of the processes that ended while they ran the content. */
   readonly processes: readonly string[];
-  /** Route and id of the attempt that was under way when it was found out; empty for a load. */
+  /** Route and id of the request whose crash led to the verdict; empty for a load. */
   readonly route: string;
   readonly requestId: string;
-  /** Of a load: the service, and the model, or `model/adapter@version`, that it loads. */
+  /** Loaded target: the service and either the model or `model/adapter@version`. Only set for loads. */
   readonly load?: string;
-  /** Daemon that found it out. */
+  /** Name of the daemon that wrote the record. */
   readonly foundBy: string;
-  /** Time of day, in milliseconds. */
+  /** Wall-clock time in milliseconds. */
   readonly at: number;
 }
 
-/** A process that ended under a content; times of day, in milliseconds. */
+/** A stored crash mark. Times are wall-clock times in milliseconds. */
 export interface KeptMark {
   readonly processId: string;
   readonly begunAt: number;
   readonly endedAt: number;
-  /** Set where the process ran the content in a trial. */
+  /** Set if the process ran the content in a trial. */
   readonly isTrial?: true;
 }
 
 /**
- * Evidence against a content that has no verdict yet, kept from the second of two ends in a row on, so that it outlasts the daemons that
- * know of it. First ends are kept apart, see {@link CrashBatchRecord}.
+ * Evidence against a content without a verdict, stored from its second consecutive crash so that it
+ * survives the loss of the daemons that observed it. Earlier crashes are stored in a {@link
+ * CrashBatchRecord}.
  */
 export interface SuspectRecord {
   /** Name of the record, see {@link suspectName}. */
@@ -36,67 +37,70 @@
   readonly suspect: string;
   readonly marks: readonly KeptMark[];
   readonly foundBy: string;
-  /** Time of day, in milliseconds. */
+  /** Wall-clock time in milliseconds. */
   readonly at: number;
 }
 
-/** A process that ended under a content, and which content that was. */
+/** A stored crash mark with its content. */
 export interface KeptEnd extends KeptMark {
   readonly suspect: string;
 }
 
 /**
- * Ends that no other record keeps yet, of all contents that one daemon knows of at the time: one worker that crashes leaves one for each request
- * that it ran, which is common, so that they share a record.
+ * Crash marks of several contents that no other record contains. They share a record because a crashed
+ * worker leaves a mark for each request that it ran.
  */
 export interface CrashBatchRecord {
-  /** Name of the record; no content has it. */
+  /** Name of the record; never equal to a content. */
   readonly content: string;
   readonly ends: readonly KeptEnd[];
   readonly foundBy: string;
-  /** Time of day, in milliseconds. */
+  /** Wall-clock time in milliseconds. */
   readonly at: number;
 }
 
-/** The right to run a content apart from its like: whoever created the record has it, until the record is gone. */
+/**
+ * The right to run a content in a trial. Held by the daemon that created the record until the record
+ * is removed.
+ */
 export interface TrialRecord {
   /** Name of the record, see {@link trialName}. */
   readonly content: string;
-  /** Content that is tried, and the process that runs it. */
+  /** Content in the trial. `processId` is the process that runs it. */
   readonly trial: string;
   readonly processId: string;
   readonly foundBy: string;
-  /** Time of day, in milliseconds. */
+  /** Wall-clock time in milliseconds. */
   readonly at: number;
 }
 
-/** What the store holds. */
+/** Any record of the quarantine. */
 export type QuarantineEntry = QuarantineRecord | SuspectRecord | CrashBatchRecord | TrialRecord;
 
-/** Whether an entry is a verdict, and no evidence. */
+/** Returns whether a record is a verdict. */
 export function isVerdict(entry: QuarantineEntry): entry is QuarantineRecord {
   return 'processes' in entry;
 }
 
-/** Name of the record of evidence against a content. */
+/** Returns the name of the record of evidence against a content. */
 export function suspectName(content: string): string {
   return `suspect-${content}`;
 }
 
-/** Name of the record of a trial of a content. */
+/** Returns the name of the record of a content's trial. */
 export function trialName(content: string): string {
   return `trial-${content}`;
 }
 
-/** Port: the records in the store. Calls may throw, and may then have been carried out. */
+/** Port to the stored records. A call that throws may still have taken effect. */
 export interface QuarantineStore {
-  /** Enters a record; one that is there already stays. */
+  /** Creates a record. An existing record of that name is not changed. */
   create(record: QuarantineEntry): Promise<void>;
-  /** Enters the record of a trial. Resolves with whether there was none of that name, so that it is this caller's. */
+  /** Creates the record of a trial. Returns false if a record of that name already exists. */
   claim(record: TrialRecord): Promise<boolean>;
-  /** Removes a record; of a verdict, the content may run again. */
+  /** Removes a record. Removing a verdict allows its content to run again. */
   remove(content: string): Promise<void>;
 }
 
-/** Time for which a content is not run, in milliseconds. By then it may have been mended what it struck. */
+/** Lifetime of a verdict in milliseconds. By then the defect that the content triggers may be fixed. */
 export const QUARANTINE_MS = 3_600_000;
--- a/packages/quarantine/src/record-cache.ts
+++ b/packages/quarantine/src/record-cache.ts
@@ -1,29 +1,30 @@
 /**
- * Records of the store as this daemon last knew them. A store that is restored from a copy may lack some of them, and show others again that had been
- * removed: what was found out stays in force and is written again, and what an operator lifted stays lifted.
+ * Caches the stored records. A store that was restored from a backup may lack newer records and
+ * contain removed ones. Missing records stay in effect and are written again; verdicts that an
+ * operator lifted are removed again.
  */
 import type { Clock } from '@woodbarrow/runtime';
 import type { QuarantineEntry } from './quarantine-record.js';
 
-/** Milliseconds for which it is remembered that a record was removed: copies are some seconds old. */
+/** Time for which a removal is remembered, in milliseconds. Must exceed the age of a backup. */
 const REMOVED_RETENTION_MS = 60_000;
 
-/** How a copy differs from what was known. */
+/** Differences between a backup and the cached records. */
 export interface RestoreDifference {
-  /** Records that were known and that the copy lacks. */
+  /** Cached records that the backup lacks. */
   readonly lost: readonly QuarantineEntry[];
-  /** Records of the copy that had been removed before. */
+  /** Records of the backup that have been removed since. */
   readonly removed: readonly QuarantineEntry[];
-  /** Records of the copy that hold. */
+  /** Records of the backup that are in effect. */
   readonly valid: readonly QuarantineEntry[];
 }
 
-/** Records by name. */
+/** Cached records by name. */
 export class RecordCache {
   private readonly entries = new Map<string, QuarantineEntry>();
-  /** Names of records that a copy lacked and that have not been seen since. */
+  /** Names of records that the backup lacked and that are not stored again yet. */
   private readonly awaitingRewrite = new Set<string>();
-  /** Monotonic time at which each record was removed. */
+  /** Monotonic time of each removal, by record name. */
   private readonly removedAt = new Map<string, number>();
 
   constructor(private readonly clock: Clock) {}
@@ -42,13 +43,16 @@
     return this.entries.has(name);
   }
 
-  /** Names of records that a listing of all lacks, other than those that are being written again. */
+  /**
+   * Returns the names of cached records that a complete listing lacks, except those that are being
+   * written again.
+   */
   missingFrom(listed: readonly QuarantineEntry[]): readonly string[] {
     const names = new Set(listed.map(({ content }) => content));
     return [...this.entries.keys()].filter((name) => !names.has(name) && !this.awaitingRewrite.has(name));
   }
 
-  /** Compares what is known with a copy from which the store was restored. */
+  /** Compares the cached records with a backup from which the store was restored. */
   compareWithBackup(backup: readonly QuarantineEntry[]): RestoreDifference {
     const oldest = this.clock.monotonic() - REMOVED_RETENTION_MS;
     const isRemoved = ({ content }: QuarantineEntry): boolean =>
@@ -62,7 +66,7 @@
     };
   }
 
-  /** Forgets removals that no copy can undo any more. */
+  /** Forgets removals that are older than any backup. */
   pruneRemoved(): void {
     const oldest = this.clock.monotonic() - REMOVED_RETENTION_MS;
     for (const [name, at] of this.removedAt) if (at < oldest) this.removedAt.delete(name);
--- a/packages/quarantine/src/record-writer.ts
+++ b/packages/quarantine/src/record-writer.ts
@@ -1,13 +1,16 @@
-/** Writes records of evidence and of verdicts, each until the store has taken it or nobody needs it any more. */
+/**
+ * Writes records of verdicts and evidence, each until the store has accepted it or it is no longer
+ * needed.
+ */
 import { messageOf } from '@woodbarrow/errors';
 import type { EventLog } from '@woodbarrow/observability';
 import { backoffDelay, sleep, type Clock, type Random, type TaskGroup } from '@woodbarrow/runtime';
 import type { QuarantineEntry, QuarantineStore } from './quarantine-record.js';
 
-/** A store that is away is asked again after 0.2 s at first, and within 5 s of its return at the latest. */
+/** Delays between attempts to write to an unavailable store. */
 const WRITE_BACKOFF = { initialMs: 200, maximumMs: 5000 };
 
-/** What all that write records share. */
+/** Options of {@link RecordWriter}. */
 export interface RecordWriterOptions {
   /** Name of this daemon. */
   readonly daemon: string;
@@ -18,18 +21,24 @@
   readonly log: EventLog;
 }
 
-/** Writer of one daemon. */
+/** Writes and removes records on behalf of one daemon. */
 export class RecordWriter {
   constructor(readonly options: RecordWriterOptions) {}
 
-  /** @param isNeeded Whether the record still says something; asked before each try. */
+  /**
+   * Writes a record in the background. @param isNeeded Checked before each attempt; false stops the
+   * write.
+   */
   write(record: QuarantineEntry, isNeeded: () => boolean): void {
     this.options.tasks.spawn('quarantine record', (signal) =>
       this.writeUntilStored(record, isNeeded, signal),
     );
   }
 
-  /** Removes a record once. Where that fails it goes with its time, and one more good run clears what it says. */
+  /**
+   * Removes a record with a single attempt. If it fails, the record remains until it expires, and
+   * another successful run clears its marks.
+   */
   remove(name: string): void {
     const { tasks, store, log } = this.options;
     tasks.spawn('quarantine record', async () => {
@@ -41,7 +50,7 @@
     });
   }
 
-  /** Removes records whose time is over. @param mayRemove Whether this daemon is to remove a record of a name. */
+  /** Removes expired records. @param mayRemove Whether this daemon is responsible for a record. */
   async removeExpired(
     records: Iterable<QuarantineEntry>,
     lifetimeMs: number,
--- a/packages/quarantine/src/request-quarantine.ts
+++ b/packages/quarantine/src/request-quarantine.ts
@@ -1,8 +1,8 @@
 /**
- * Requests that end each process which begins to run them. A bound on the sends of one attempt does not hold them: their clients come
- * back, to any daemon, under a new id. So the content is what is remembered: processes that ended under it, over all attempts
- * and daemons. A content that has proved to end them is refused at once from then on. Loads are contents of their own kind
- * (see {@link LoadQuarantine}): marks, verdicts and records are the same.
+ * Quarantines requests that crash the processes which run them. Clients resend such requests under new
+ * ids to any daemon, so crashes are counted by content, across all attempts and daemons. A content
+ * that is proven to crash processes is refused. Loads are contents as well, with the same marks,
+ * verdicts and records (see `LoadQuarantine`).
  */
 import type { BackEnd } from '@woodbarrow/backends';
 import { messageOf } from '@woodbarrow/errors';
@@ -40,7 +40,7 @@
   readonly daemon: string;
   readonly probe: ProcessProbe;
   readonly store: QuarantineStore;
-  /** Whether this daemon is the one that removes a record whose time is over. */
+  /** Whether this daemon is responsible for removing a record that has expired. */
   readonly removesRecord: (content: string) => boolean;
   readonly clock: Clock;
   readonly random: Random;
@@ -50,61 +50,76 @@
 /** One run of a content on a process. */
 export interface ContentAttempt {
   readonly content: string;
-  /** Route and id of a request; empty for a load. */
+  /** Id and route of a request; empty for a load. */
   readonly requestId: string;
   readonly route: string;
-  /** Of a load: what it loads, as in {@link QuarantineRecord.load}. */
+  /** Target of a load, as in {@link QuarantineRecord.load}; undefined for a request. */
   readonly load?: string;
   readonly backEnd: BackEnd;
-  /** Monotonic time at which it was sent. */
+  /** Monotonic time at which the attempt was sent. */
   readonly sentAt: number;
 }
 
-/** An attempt whose answer broke off. */
+/** An attempt whose response broke off. */
 export interface BrokenAttempt extends ContentAttempt {
-  /** It was leaving, or its record had gone, before the answer broke off: it has ended because it was to. */
+  /**
+   * Whether the process was draining or its record was removed before the response broke off. Its end
+   * is then expected.
+   */
   readonly wasLeaving: boolean;
 }
 
-/** A content that is refused. */
+/** The reason why a content is refused. */
 export interface Verdict {
-  /** Processes that ended under it. */
+  /** Number of processes that ended while they ran the content. */
   readonly ends: number;
-  /** Milliseconds until it may be tried again. */
+  /** Milliseconds until the content may run again. */
   readonly retryAfterMs: number;
 }
 
-/** Counts for operators. */
+/** Counts for metrics. */
 export interface QuarantineTotals {
-  /** Pairs of a content and a process that ended under it. */
+  /** Pairs of a content and a process that ended while it ran the content. */
   readonly marks: number;
-  /** Contents with such processes. */
+  /** Contents with active marks. */
   readonly suspects: number;
   /** Contents that are refused. */
   readonly quarantined: number;
 }
 
-/** Time for which a further send of a suspect waits to hear whether the process before it has ended, in milliseconds. */
+/**
+ * Maximum time for which an attempt of a suspect waits for the process checks of earlier attempts, in
+ * milliseconds.
+ */
 const CRASH_CHECK_TIMEOUT_MS = 600;
-/** Time for which an accused content waits to be judged, in milliseconds: others may end processes without a pause. */
+/**
+ * Maximum time for which a content waits for an evaluation, in milliseconds. Continuous crashes could
+ * postpone an evaluation indefinitely.
+ */
 const EVALUATION_TIMEOUT_MS = 2 * EVIDENCE_SETTLE_MS;
-/** Marks made within this time are told together, in milliseconds: all requests of a process break off at once. */
+/**
+ * Delay within which mark changes are published together, in milliseconds. All requests of a process
+ * break off at once.
+ */
 const PUBLISH_DELAY_MS = 10;
-/** Pause between two looks for records whose time is over, in milliseconds. */
+/** Interval between removals of expired records, in milliseconds. */
 const EXPIRY_INTERVAL_MS = 60_000;
-/** The quarantine as one daemon knows it. */
+/** Quarantine of one daemon. */
 export class RequestQuarantine {
   private readonly marks: CrashMarks;
   private readonly search: CulpritSearch;
   private readonly processStates: ProcessStateChecker;
   private readonly slots = new SuspectSlots();
-  /** Broken attempts whose process is being asked after, by content. */
+  /** Checks of the processes of broken attempts that are still running, by content. */
   private readonly openChecks = new Map<string, Set<Promise<void>>>();
-  /** The newest attempt of each content that a process ended under here, to be named in its record. */
+  /**
+   * Latest attempt of each content under which a process ended on this daemon; named in the content's
+   * record.
+   */
   private readonly ownAttempts = new Map<string, ContentAttempt>();
   private readonly tasks: TaskGroup;
   private readonly writer: RecordWriter;
-  /** Evidence that the store keeps: of contents under which processes ended in a row, and of all others. */
+  /** Stored evidence: records of contents with consecutive crashes, and batches of all other marks. */
   private readonly suspectRecords: SuspectRecords;
   private readonly crashBatches: CrashBatchRecords;
   private readonly trials: SuspectTrials;
@@ -112,9 +127,12 @@
   private readonly recordCache: RecordCache;
   private readonly evaluation: DebouncedEvaluation;
   private isPublishScheduled = false;
-  /** Called when marks are news that other daemons should hear of at once. */
+  /** Called when changed marks should be published to other daemons. */
   onNews: () => void = () => undefined;
-  /** Called when a process is found to have ended, whoever found it out; it may be called again for the same one. */
+  /**
+   * Called when a process is found to have ended, by any daemon. May be called repeatedly for the same
+   * process.
+   */
   onProcessEnded: (processId: string) => void = () => undefined;
 
   constructor(private readonly options: RequestQuarantineOptions) {
@@ -150,7 +168,7 @@
     });
   }
 
-  /** Starts to look for records whose time is over. */
+  /** Starts the periodic removal of expired records. */
   start(): void {
     this.tasks.loop(
       'quarantine expiry',
@@ -167,33 +185,33 @@
     return { ...this.marks.totals, quarantined: this.verdicts.size };
   }
 
-  /** Contents that processes have ended under, those that are refused included. */
+  /** Contents with active marks or a verdict. */
   get suspects(): readonly string[] {
     return [...new Set([...this.marks.suspects, ...this.verdicts.names])];
   }
 
-  /** Whether nothing is known against any content. */
+  /** Whether there are no marks and no verdicts. */
   get hasNoEvidence(): boolean {
     return this.marks.isEmpty && this.verdicts.size === 0;
   }
 
-  /** When the last process was seen to end under a content, monotonic; undefined for one that is no suspect. */
+  /** Returns the monotonic time of the last unexplained crash of a content; undefined if there is none. */
   lastCrashAt(content: string): number | undefined {
     const times = this.search.unexplainedCrashes(content).map(({ endedAt }) => endedAt);
     return times.length === 0 ? undefined : Math.max(...times);
   }
 
-  /** Whether a process is known to have ended within the last minute. */
+  /** Returns whether a process was recently found to have ended. */
   hasEnded(processId: string): boolean {
     return this.processStates.hasEnded(processId);
   }
 
-  /** Asks whether a process runs; some 2 s at the longest where nothing answers. Never rejects. */
+  /** Checks whether a process runs, see {@link ProcessStateChecker.check}. Never rejects. */
   fateOf(backEnd: BackEnd): Promise<ProcessState> {
     return this.processStates.check(backEnd);
   }
 
-  /** Why a content must not be run; undefined when it may. */
+  /** Returns the verdict on a content; undefined if it may run. */
   verdictOf(content: string): Verdict | undefined {
     const record = this.verdicts.get(content);
     if (record === undefined && !this.search.isProven(content)) return undefined;
@@ -205,9 +223,9 @@
   }
 
   /**
-   * Resolves when an attempt of a content may begin: at once for one that nothing is known against, and for a first repeat after a
-   * broken answer; for a suspect when no other attempt of it is under way here and it is known whether the processes
-   * of the last ones have ended.
+   * Waits until an attempt of a content may begin and returns its slot. Contents without evidence, and
+   * the first retry after a broken response, do not wait. A suspect waits until no other attempt of it
+   * runs on this daemon and the processes of the last attempts have been checked.
    */
   async takeTurn(content: string, signal: AbortSignal): Promise<Turn> {
     const open = this.openChecks.get(content)?.size ?? 0;
@@ -215,15 +233,17 @@
     const isSuspect = (): boolean => this.unexplainedCrashCount(content) > 0 || this.openChecks.has(content);
     const slot = await this.slots.acquire(content, isSuspect, signal);
     await this.awaitOpenChecks(content);
-    // What can be told apart once all have told of the last end needs no trial.
+    // Once all daemons have reported the last crash, the content may be distinguishable without a
+    // trial.
     if (this.search.requiresTrial(content))
       await settleWithin(this.options.clock, EVALUATION_TIMEOUT_MS, this.evaluation.whenEvaluated());
     return slot;
   }
 
   /**
-   * When the caller of a content is to come back that may run in a trial only, and cannot now: another attempt of it is being tried, or others
-   * come first. Undefined where it may ask for its turn. Without it, callers waited behind the trial until their time was up.
+   * Returns the retry delay of a content that requires a trial but cannot run now, because a trial of
+   * it is in progress or its rivals run first. Returns undefined if it may acquire a slot. Refusing
+   * early spares callers a wait until their deadline.
    */
   trialDelayMs(content: string): number | undefined {
     if (this.marks.isEmpty || !this.search.requiresTrial(content)) return undefined;
@@ -231,21 +251,22 @@
     return this.search.mustWaitForRivals(content) ? RETRY_AFTER_RIVALS_MS : undefined;
   }
 
-  /** Waits until it is known whether the processes of broken attempts have ended, for a while at most. */
+  /** Waits, for a limited time, until the processes of broken attempts have been checked. */
   private async awaitOpenChecks(content: string): Promise<void> {
     const open = [...(this.openChecks.get(content) ?? [])];
     if (open.length > 0) await settleWithin(this.options.clock, CRASH_CHECK_TIMEOUT_MS, Promise.all(open));
   }
 
-  /** Processes that must not get a content now, as they run another one that has ended several. */
+  /** Returns the processes to which a content must not be sent, because they run other suspects. */
   processesToAvoid(content: string): readonly string[] {
     if (this.unexplainedCrashCount(content) < 2) return [];
     return [...this.slots.processesOfOthers(content), ...this.trials.processesOfOthers(content)];
   }
 
   /**
-   * Whether a content may be sent to a process now, and if not, when its caller is to come back. One that cannot be told from its neighbours
-   * by the processes that ended under it runs in a trial only. Whoever is admitted ends the admission.
+   * Decides whether a content may be sent to a process now, and if not, after which delay the caller
+   * may retry. Contents that cannot be distinguished by their crashes run only in trials. The caller
+   * must end an admission.
    */
   async admit(content: string, processId: string): Promise<TrialAdmission> {
     if (this.marks.isEmpty || !this.search.requiresTrial(content)) return UNRESTRICTED_ADMISSION;
@@ -254,12 +275,12 @@
     return this.trials.begin(content, processId);
   }
 
-  /** Processes that ended under a content, other than those that a proven one explains. */
+  /** Returns the number of crashes of a content that no proven culprit explains. */
   private unexplainedCrashCount(content: string): number {
     return this.marks.isEmpty ? 0 : this.search.unexplainedCrashes(content).length;
   }
 
-  /** Waits until it is known what came of a trial, and until an end has been judged. */
+  /** Waits until the processes of a trial have been checked and a crash has been evaluated. */
   private async awaitTrialOutcome(content: string): Promise<void> {
     const crashCount = this.marks.endsOf(content);
     await Promise.all([...(this.openChecks.get(content) ?? [])]);
@@ -267,7 +288,7 @@
       await settleWithin(this.options.clock, EVALUATION_TIMEOUT_MS, this.evaluation.whenEvaluated());
   }
 
-  /** An answer broke off: if its process has ended, that is held against the content. */
+  /** Handles a response that broke off: checks the process and records a crash if it has ended. */
   noteBroken(attempt: BrokenAttempt): void {
     const { content, backEnd, wasLeaving } = attempt;
     if (wasLeaving) return;
@@ -281,7 +302,7 @@
     this.openChecks.set(content, open.add(check));
   }
 
-  /** The process of an attempt has ended before the attempt had: that is held against the content. */
+  /** Records that a process ended while it ran an attempt. */
   noteEnded(attempt: ContentAttempt, endedAt: number, isTrial = false): void {
     const { content, backEnd, sentAt } = attempt;
     const mark = { content, processId: backEnd.id, begunAt: sentAt, endedAt, isCleared: false, isTrial };
@@ -295,19 +316,22 @@
     this.schedulePublish();
   }
 
-  /** Whether an end under a content stands in a record of that content, in the store or on its way there. */
+  /** Returns whether a record of the content itself, stored or being written, contains a crash. */
   private isRecorded(content: string, processId: string): boolean {
     if (this.verdicts.isRecorded(content)) return true;
     return this.suspectRecords.includesCrash(content, processId);
   }
 
-  /** Only one that has seen an end itself writes: the others have been told. */
+  /** Only a daemon that observed a crash writes; the others received the marks from it. */
   private writeEvidence(content: string): void {
     if (this.ownAttempts.has(content) && this.search.hasConsecutiveCrashes(content))
       this.suspectRecords.write(content);
   }
 
-  /** A run of a content ended well: it is not what ended the processes. @param load What was loaded, of a load. */
+  /**
+   * Clears the marks of a content after a successful run. @param load Name of a loaded target;
+   * undefined for a request.
+   */
   noteServed(content: string, load?: string): void {
     if (!this.marks.clear(content)) return;
     this.options.log.changed('suspect_cleared', { content, load });
@@ -319,17 +343,17 @@
     this.schedulePublish();
   }
 
-  /** Digest of all marks. */
+  /** Digest of all marks; 0 if there are none. */
   get digest(): number {
     return this.marks.digest;
   }
 
-  /** All marks, for another daemon. */
+  /** Returns all marks as message entries. */
   entries(): readonly CrashMarkEntry[] {
     return this.marks.entries();
   }
 
-  /** Takes the marks of another daemon. */
+  /** Merges the marks of another daemon. */
   merge(entries: readonly CrashMarkEntry[]): void {
     const newMarks = this.marks.merge(entries);
     if (newMarks.length === 0) return;
@@ -343,7 +367,7 @@
     this.schedulePublish();
   }
 
-  /** All records there are. */
+  /** Handles a complete listing of the stored records. */
   recordsListed(entries: readonly QuarantineEntry[]): void {
     for (const name of this.recordCache.missingFrom(entries)) this.recordGone(name);
     entries.forEach((entry) => {
@@ -351,7 +375,10 @@
     });
   }
 
-  /** All records that a copy holds from which the store was restored: what it lacks is written again, what it brings back removed again. */
+  /**
+   * Handles the listing of a store that was restored from a backup: writes missing records again and
+   * removes those that had been removed.
+   */
   recordsRestored(backup: readonly QuarantineEntry[]): void {
     const { lost, removed, valid } = this.recordCache.compareWithBackup(backup);
     for (const entry of lost) {
@@ -364,7 +391,7 @@
     });
   }
 
-  /** A record appeared. */
+  /** Handles a stored record. */
   recordSeen(entry: QuarantineEntry): void {
     this.recordCache.handleStored(entry);
     if (isVerdict(entry)) this.handleVerdictStored(entry);
@@ -377,12 +404,13 @@
 
   private handleVerdictStored(record: QuarantineRecord): void {
     if (!this.verdicts.handleStored(record)) return;
-    // What it explains is held against no other content any more.
+    // Crashes that the new culprit explains no longer count against other contents.
     for (const suspect of this.marks.suspects) this.slots.wake(suspect);
   }
 
   /**
-   * A record is gone. Of a verdict: an operator lifted it, or its time is over, and what was held against the content counts no more.
+   * Handles a removed record. If it was a verdict that an operator lifted or that expired, the marks
+   * of its content are cleared.
    *
    * @param content Name of the record.
    */
--- a/packages/quarantine/src/stored-marks.ts
+++ b/packages/quarantine/src/stored-marks.ts
@@ -1,10 +1,10 @@
-/** Marks as records keep them: monotonic times of one daemon become times of day, and those ages for another. */
+/** Converts crash marks between local monotonic times, stored wall-clock times, and ages in messages. */
 import type { CrashMarkEntry } from '@woodbarrow/protocol';
 import type { Clock } from '@woodbarrow/runtime';
 import type { CrashMark } from './crash-marks.js';
 import type { KeptEnd } from './quarantine-record.js';
 
-/** A mark for a record. */
+/** Converts a mark for storage. */
 export function toStoredCrash(
   { content, processId, begunAt, endedAt, isTrial }: CrashMark,
   clock: Clock,
@@ -19,7 +19,7 @@
   };
 }
 
-/** A mark of a record, as other daemons tell them. Clocks of daemons differ: what lies ahead of this one has just been. */
+/** Converts a stored mark to a message entry. A time ahead of this daemon's clock gets the age 0. */
 export function toMarkEntry(
   { suspect, processId, begunAt, endedAt, isTrial }: KeptEnd,
   clock: Clock,
--- a/packages/quarantine/src/suspect-slots.ts
+++ b/packages/quarantine/src/suspect-slots.ts
@@ -1,33 +1,33 @@
 /**
- * Suspects run one at a time: of one content a single attempt is under way on this daemon, and two contents that have
- * ended several processes never share one, so that the next end says which of them it was.
+ * Serializes the runs of suspects. A daemon runs one attempt of a suspect at a time, and contents that
+ * have each crashed several processes never share one, so that the next crash can be attributed.
  */
 
-/** A turn of one content. */
+/** The right to run one attempt of a content. */
 export interface Turn {
-  /** The attempt goes to this process. */
+  /** Records the process that the attempt is sent to. */
   sentTo(processId: string): void;
-  /** Ends the turn; calling it again does nothing. */
+  /** Releases the slot. Further calls have no effect. */
   release(): void;
 }
 
-/** The turn of a content that nothing is known against. */
+/** Slot of a content that is no suspect. */
 export const UNRESTRICTED_SLOT: Turn = { sentTo: () => undefined, release: () => undefined };
 
 interface HeldSlot {
-  /** Process that the attempt was sent to, once it was. */
+  /** Process that the attempt was sent to, if any. */
   processId?: string;
 }
 
-/** Turns of one daemon. */
+/** Slots of one daemon. */
 export class SuspectSlots {
   private readonly held = new Map<string, HeldSlot>();
-  /** Wakes those that wait for a turn of a content. */
+  /** Callbacks that wake the waiters for a slot, by content. */
   private readonly waiters = new Map<string, Set<() => void>>();
 
   /**
-   * Resolves once no other attempt of the content is under way here; with a free turn when `signal` aborts, or when the content
-   * is no longer suspected. Never rejects.
+   * Waits until no other attempt of the content holds the slot. Returns {@link UNRESTRICTED_SLOT} if
+   * `signal` aborts or the content is no longer a suspect. Never rejects.
    */
   async acquire(content: string, isSuspect: () => boolean, signal: AbortSignal): Promise<Turn> {
     while (this.held.has(content)) {
@@ -47,17 +47,17 @@
     };
   }
 
-  /** Whether an attempt of a content is under way. */
+  /** Returns whether an attempt of a content holds the slot. */
   isHeld(content: string): boolean {
     return this.held.has(content);
   }
 
-  /** Something has changed for a content: those that wait look again. */
+  /** Wakes the waiters of a content so that they check its state again. */
   wake(content: string): void {
     for (const wake of this.waiters.get(content) ?? []) wake();
   }
 
-  /** Processes that run other suspects now. */
+  /** Returns the processes that run other suspects. */
   processesOfOthers(content: string): string[] {
     const others = [...this.held].filter(([other]) => other !== content);
     return others.flatMap(([, { processId }]) => (processId === undefined ? [] : [processId]));
--- a/packages/quarantine/src/suspect-trials.ts
+++ b/packages/quarantine/src/suspect-trials.ts
@@ -1,69 +1,73 @@
 /**
- * Trials: a content that cannot be told from its neighbours by the ends of processes runs alone among its like, once at a time over all daemons. A
- * record in the store, which one daemon alone can create, is the right to run it; it names the process, so that others keep off. A daemon that
- * cannot reach the store tries nothing.
+ * Runs trials of contents that cannot be distinguished by their crashes. A trial runs a content apart
+ * from other suspects, and at most once at a time in the deployment. The right to a trial is a record
+ * that only one daemon can create; it names the process, so that others avoid it. A daemon that cannot
+ * reach the store runs no trials.
  */
 import { messageOf } from '@woodbarrow/errors';
 import { trialName, type TrialRecord } from './quarantine-record.js';
 import type { RecordWriter } from './record-writer.js';
 
+/** Time after which the trial of a crashed daemon ends, in milliseconds. Covers the longest requests. */
+export const TRIAL_LIFETIME_MS = 30_000;
 /**
- * Time after which the trial of a daemon that was killed is over, in milliseconds: as long as the longest requests may take. Its content
- * waits for so long at most.
+ * Retry delay for callers of a content that is in a trial, in milliseconds. Most requests complete
+ * sooner.
  */
-export const TRIAL_LIFETIME_MS = 30_000;
-/** When a caller is to come back whose content is being tried, in milliseconds: most requests have run by then. */
 export const RETRY_AFTER_TRIAL_MS = 2000;
-/** When a caller is to come back whose content waits for those that ran beside it, in milliseconds: most have come back twice by then. */
+/**
+ * Retry delay for callers of a content that waits for its rivals, in milliseconds. Most callers of
+ * rivals have retried by then.
+ */
 export const RETRY_AFTER_RIVALS_MS = 10_000;
-/** When a caller is to come back where the store gave no answer, in milliseconds: some 5 s pass until it is asked again. */
+/** Retry delay if the store did not respond, in milliseconds. */
 const RETRY_AFTER_STORE_FAILURE_MS = 5000;
 
-/** Whether a content may run now. */
+/** Decision on whether a content may run on a process now. */
 export type TrialAdmission =
   | {
       readonly kind: 'admitted';
-      /** The run has ended, or did not come about; calling it again does nothing. */
+      /** Ends the run, also one that was not started. Further calls have no effect. */
       end(): void;
     }
-  /** Another content is being tried on that process: another one may do. */
+  /** Another content is in a trial on the process. The caller may try another process. */
   | { readonly kind: 'occupied' }
   | { readonly kind: 'refused'; readonly retryAfterMs: number };
 
-/** Of a content that needs no trial. */
+/** Admission of a content that needs no trial. */
 export const UNRESTRICTED_ADMISSION: TrialAdmission = { kind: 'admitted', end: () => undefined };
 
-/** A trial that the store holds, here or elsewhere. */
+/** A trial in the store, by this daemon or another one. */
 interface ObservedTrial {
   readonly record: TrialRecord;
-  /** Monotonic. */
+  /** Monotonic time. */
   readonly seenAt: number;
 }
 
 /** Options of {@link SuspectTrials}. */
 export interface SuspectTrialsOptions {
   readonly writer: RecordWriter;
-  /** Whether this daemon removes a record of a name that nobody else removes. */
+  /** Whether this daemon is responsible for removing abandoned records. */
   readonly removesRecord: (name: string) => boolean;
-  /** Resolves when it is known what came of a run of a content. */
+  /** Resolves when the outcome of a run of a content is known. */
   readonly whenSettled: (content: string) => Promise<void>;
 }
 
-/** Trials as one daemon knows them. */
+/** Trials as observed by one daemon. */
 export class SuspectTrials {
-  /** By name of the record. */
+  /** By record name. */
   private readonly observedTrials = new Map<string, ObservedTrial>();
-  /** Processes that this daemon tries contents on, by content. */
+  /** Processes of the trials by this daemon, by content. */
   private readonly ownTrials = new Map<string, string>();
 
   constructor(private readonly options: SuspectTrialsOptions) {}
 
-  /** Whether this daemon tries a content on a process. */
+  /** Returns whether this daemon has a trial of a content on a process. */
   isTrying(content: string, processId: string): boolean {
     return this.ownTrials.get(content) === processId;
   }
 
-  /** Processes on which contents other than this one are being tried. */
+  /** Returns the processes with trials of other contents. */
   processesOfOthers(content: string): string[] {
     const observed = [...this.observedTrials.values()].map(
       ({ record }) => [record.trial, record.processId] as const,
@@ -72,7 +76,7 @@
     return others.map(([, processId]) => processId);
   }
 
-  /** Asks for the right to run a content on a process now. */
+  /** Requests the right to run a trial of a content on a process. */
   async begin(content: string, processId: string): Promise<TrialAdmission> {
     if (this.isUnderWay(content)) return refused(RETRY_AFTER_TRIAL_MS);
     if (this.processesOfOthers(content).includes(processId)) return { kind: 'occupied' };
@@ -90,14 +94,14 @@
       this.ownTrials.delete(content);
       return refused(RETRY_AFTER_TRIAL_MS);
     } catch (error) {
-      // It may have been carried out: then the record goes with its time.
+      // The record may have been created nevertheless; it is then removed after its lifetime.
       this.ownTrials.delete(content);
       log.warned('quarantine_not_written', { content, failures: 1, cause: messageOf(error) });
       return refused(RETRY_AFTER_STORE_FAILURE_MS);
     }
   }
 
-  /** Enters a record that the store holds. */
+  /** Handles a stored record. */
   handleStored(record: TrialRecord): void {
     const { clock } = this.options.writer.options;
     const name = record.content;
@@ -110,12 +114,12 @@
     });
   }
 
-  /** A record is gone. Returns whether there was one of that name. */
+  /** Handles a removed record. Returns whether a record of that name existed. */
   handleRemoved(name: string): boolean {
     return this.observedTrials.delete(name);
   }
 
-  /** Whether a content is being tried, here or elsewhere. */
+  /** Returns whether a content is in a trial on any daemon. */
   isUnderWay(content: string): boolean {
     if (this.ownTrials.has(content)) return true;
     const trial = this.observedTrials.get(trialName(content));
--- a/packages/quarantine/src/verdict-records.ts
+++ b/packages/quarantine/src/verdict-records.ts
@@ -1,4 +1,7 @@
-/** Verdicts: found here, told by others or read in the store; each is written there until it has been taken. */
+/**
+ * Tracks verdicts that were found by this daemon, reported by another one or read from the store, and
+ * writes missing records to the store.
+ */
 import type { EventLog } from '@woodbarrow/observability';
 import type { CrashMarks } from './crash-marks.js';
 import type { CulpritSearch } from './culprit-search.js';
@@ -7,12 +10,12 @@
 import type { RecordWriter } from './record-writer.js';
 
 /**
- * Time for which the daemon that saw an end may write the record of a verdict before another one does, in milliseconds. Where all that saw
- * one were killed, the verdict would be gone with the marks otherwise, after ten minutes instead of an hour.
+ * Delay before another daemon writes a verdict's record in place of a daemon that observed a crash, in
+ * milliseconds. If all those daemons have exited, the verdict would otherwise expire with its marks.
  */
 const FALLBACK_WRITE_DELAY_MS = 2000;
 
-/** The attempt by which a verdict was found: what its record says of it. */
+/** The attempt that led to a verdict, as named in its record. */
 export type VerdictSource = Pick<QuarantineRecord, 'content' | 'requestId' | 'route' | 'load'>;
 
 /** Options of {@link VerdictRecords}. */
@@ -20,22 +23,22 @@
   readonly marks: CrashMarks;
   readonly search: CulpritSearch;
   readonly writer: RecordWriter;
-  /** Whether this daemon removes a record whose time is over, and writes one that nobody else has written. */
+  /** Whether this daemon is responsible for removing expired records and for writing missing ones. */
   readonly removesRecord: (content: string) => boolean;
   readonly log: EventLog;
 }
 
-/** Verdicts as one daemon knows them. */
+/** Verdicts as observed by one daemon. */
 export class VerdictRecords {
   private readonly records = new Map<string, QuarantineRecord>();
-  /** Contents whose record this daemon writes, or has written: the store's feed tells it back. */
+  /** Contents whose record this daemon has written or is writing. */
   private readonly writing = new Set<string>();
-  /** Contents whose verdict was found here or told by others, and is in the log. */
+  /** Contents whose verdict has been logged. */
   private readonly reported = new Set<string>();
 
   constructor(private readonly options: VerdictRecordsOptions) {}
 
-  /** Contents that the store says must not run. */
+  /** Contents with a stored verdict. */
   get names(): readonly string[] {
     return [...this.records.keys()];
   }
@@ -48,12 +51,12 @@
     return this.records.get(content);
   }
 
-  /** Whether a verdict is in the store, or on its way there. */
+  /** Returns whether a verdict is stored or being written. */
   isRecorded(content: string): boolean {
     return this.records.has(content) || this.writing.has(content);
   }
 
-  /** Enters a record that the store holds. Returns whether it is new. */
+  /** Handles a stored record. Returns whether it is new. */
   handleStored(record: QuarantineRecord): boolean {
     const { content, processes, foundBy, route, requestId, load } = record;
     if (this.records.has(content)) return false;
@@ -64,7 +67,7 @@
     return true;
   }
 
-  /** A record is gone. Returns whether there was one of that name. */
+  /** Handles a removed record. Returns whether a record of that name existed. */
   handleRemoved(content: string): boolean {
     if (!this.records.delete(content)) return false;
     this.writing.delete(content);
@@ -73,13 +76,16 @@
     return true;
   }
 
-  /** A content has run well, or may run again: it has no verdict until it is proven anew. */
+  /** Drops the verdict on a content that may run again. */
   forget(content: string): void {
     this.options.search.forget(content);
     this.reported.delete(content);
   }
 
-  /** A content is proven. @param attempt The newest one under which a process ended here, if any. */
+  /**
+   * Handles a verdict found by evaluating marks. @param attempt The latest attempt under which a
+   * process ended on this daemon, if any.
+   */
   noteProven(content: string, origin: 'seen' | 'told', attempt: VerdictSource | undefined): void {
     if (this.records.has(content)) return;
     if (!this.reported.has(content)) {
@@ -92,7 +98,7 @@
     else this.scheduleFallbackWrite(content);
   }
 
-  /** Removes records whose time is over, and forgets verdicts that have neither a record nor marks. */
+  /** Removes expired records, and drops verdicts that have neither a record nor active marks. */
   async removeExpired(): Promise<void> {
     const { marks, writer, removesRecord } = this.options;
     for (const content of [...this.reported]) {
@@ -101,7 +107,7 @@
     await writer.removeExpired(this.records.values(), QUARANTINE_MS, removesRecord);
   }
 
-  /** Writes the record of a verdict that no daemon which saw an end has written. */
+  /** Schedules a write in case no daemon that observed a crash writes the record. */
   private scheduleFallbackWrite(content: string): void {
     const { writer, removesRecord } = this.options;
     if (!removesRecord(content)) return;
@@ -110,7 +116,7 @@
     });
   }
 
-  /** Writes the record of a verdict, until the store has taken it or the content has been cleared. */
+  /** Writes the record of a verdict until the store accepts it or the content is cleared. */
   private write({ content, requestId, route, load }: VerdictSource): void {
     const { marks, search, writer } = this.options;
     if (this.isRecorded(content) || !search.isProven(content)) return;
--- a/packages/quota/src/call-allocator.ts
+++ b/packages/quota/src/call-allocator.ts
@@ -1,20 +1,23 @@
-/** One question to the granter of a zone. */
+/** Calls the quota allocator of a zone, which runs on the zone's coordinator. */
 import type { CoordinatorDirectory } from '@woodbarrow/exchange';
 import type { CallFailures } from '@woodbarrow/observability';
 import type { PeerNetwork } from '@woodbarrow/peering';
 import type { PeerMethod } from '@woodbarrow/protocol';
 
-/** What a question needs. */
+/** Dependencies of {@link callAllocator}. */
 export interface AllocatorAccess {
   readonly coordinators: CoordinatorDirectory;
   readonly peers: Pick<PeerNetwork, 'call'>;
   readonly failures: CallFailures;
 }
 
-/** Time that a granter has to answer, in milliseconds; one that is slower is as good as gone. */
+/** Timeout of a call to an allocator, in milliseconds. */
 const ALLOCATION_TIMEOUT_MS = 300;
 
-/** Undefined where the zone has no granter, or it does not answer. Never rejects. */
+/**
+ * Calls the allocator of a zone. Returns undefined if the zone has no allocator or it does not
+ * respond. Never rejects.
+ */
 export async function callAllocator<Message, Answer>(
   { coordinators, peers, failures }: AllocatorAccess,
   zone: string,
@@ -26,7 +29,7 @@
   try {
     return await peers.call(coordinator.address, method, message, { timeoutMs: ALLOCATION_TIMEOUT_MS });
   } catch (error) {
-    // Units that were handed out in an answer that is lost lapse unused.
+    // Units granted in a lost response expire unused.
     failures.note(method.name, coordinator.memberId, error);
     return undefined;
   }
--- a/packages/quota/src/index.ts
+++ b/packages/quota/src/index.ts
@@ -1,4 +1,4 @@
-/** Limits over all daemons, in units that the coordinators of zones hand out. */
+/** Deployment-wide limits, enforced with units that the coordinators of zones allocate to daemons. */
 export * from './quota-gate.js';
 export * from './quota-service.js';
 export * from './rate-limit-gate.js';
--- a/packages/quota/src/quota-gate.ts
+++ b/packages/quota/src/quota-gate.ts
@@ -1,4 +1,7 @@
-/** A daemon's side of tenants' limits: the granter of the own zone is asked first, then those of the other zones. */
+/**
+ * Enforces tenants' limits on one daemon. Requests units from the allocator of its own zone first,
+ * then from those of the other zones.
+ */
 import { rankByRendezvous } from '@woodbarrow/coordination';
 import type { CoordinatorDirectory } from '@woodbarrow/exchange';
 import type { QuotaOutcome, RequestQuota, TenantQuota } from '@woodbarrow/forwarding';
@@ -14,7 +17,7 @@
 export interface QuotaGateOptions {
   /** Name of this daemon. */
   readonly daemon: string;
-  /** Zone of this daemon, whose granter is asked first. */
+  /** Zone of this daemon, whose allocator is called first. */
   readonly zone: string;
   /** Zones of the deployment. */
   readonly zones: readonly string[];
@@ -25,7 +28,7 @@
   readonly clock: Clock;
 }
 
-/** Gate of one daemon. */
+/** Acquires units of tenants' limits for the requests of one daemon. */
 export class QuotaGate implements RequestQuota {
   private readonly gate: UnitGate;
 
@@ -50,7 +53,7 @@
     return this.gate.acquire(tenant, quota, units, withinMs, signal);
   }
 
-  /** Units used and refused since the start, by tenant. */
+  /** Returns the units used and refused since the start, by tenant. */
   use(): ReadonlyMap<string, GateUse> {
     return this.gate.use();
   }
@@ -59,7 +62,10 @@
     return callAllocator(this.options, zone, quotaGrantMethod, { zone, tenant, ...wish });
   }
 
-  /** The own zone, then the others in an order of this daemon's own, so that daemons share the granters. */
+  /**
+   * Returns this daemon's zone, then the others in an order that depends on the daemon and the tenant,
+   * which spreads the load over the allocators.
+   */
   private zonesInOrder(tenant: string): string[] {
     const { zones, zone: own, daemon } = this.options;
     const others = zones.filter((zone) => zone !== own).map((id) => ({ id }));
--- a/packages/quota/src/quota-service.ts
+++ b/packages/quota/src/quota-service.ts
@@ -1,4 +1,4 @@
-/** A daemon's granters of tenants' limits: one for each zone whose lease it holds. */
+/** Runs the allocators of tenants' limits: one for each zone whose lease this daemon holds. */
 import type { TenantQuota } from '@woodbarrow/forwarding';
 import { WoodbarrowError } from '@woodbarrow/errors';
 import type { EventLog } from '@woodbarrow/observability';
@@ -11,19 +11,19 @@
 
 /** Options of {@link QuotaService}. */
 export interface QuotaServiceOptions {
-  /** Zones of the deployment: each has a granter. */
+  /** Zones of the deployment. Each has one allocator. */
   readonly zones: readonly string[];
   readonly allowance: UnitAllowance;
-  /** The limit of a tenant now; undefined when it has none, or is not known. */
+  /** Returns the current limit of a tenant; undefined if it has none or is unknown. */
   readonly quotaOf: (tenant: string) => TenantQuota | undefined;
-  /** The lease of a zone, while it is held here. */
+  /** Returns the lease of a zone while this daemon holds it. */
   readonly authorityOf: (zone: string) => ZoneAuthority | undefined;
   readonly peers: PeerNetwork;
   readonly clock: Clock;
   readonly log: EventLog;
 }
 
-/** Granting side of one daemon. */
+/** Serves the quota allocation calls of other daemons. */
 export class QuotaService {
   private readonly allocators: ZoneAllocators<UnitAllocator>;
 
@@ -40,21 +40,24 @@
     });
   }
 
-  /** Starts answering. The peer network must be listening. */
+  /** Registers the call handler. The peer network must be listening. */
   start(): void {
     this.options.peers.handle(quotaGrantMethod, (message) => this.grant(message));
   }
 
-  /** Zones have been gained or given back: a granter begins to fill its buckets as soon as it may. */
+  /**
+   * Creates and drops allocators after a change of the held zones, so that their buckets begin to fill
+   * at once.
+   */
   noteZones(): void {
     for (const zone of this.options.zones) this.allocators.of(zone);
   }
 
-  /** Units handed out and turned down here, by tenant, over all zones held now. */
+  /** Returns the units granted and refused by this daemon, by tenant, summed over the zones held now. */
   use(): ReadonlyMap<string, GranterUse> {
     const sums = new Map<string, GranterUse>();
-    for (const granter of this.allocators.all()) {
-      for (const [tenant, { granted, turnedDown }] of granter.use()) {
+    for (const allocator of this.allocators.all()) {
+      for (const [tenant, { granted, turnedDown }] of allocator.use()) {
         const sum = sums.get(tenant) ?? { granted: 0, turnedDown: 0 };
         sums.set(tenant, { granted: sum.granted + granted, turnedDown: sum.turnedDown + turnedDown });
       }
@@ -64,7 +67,8 @@
 
   private grant({ zone, tenant, ...wish }: QuotaGrantMessage): GrantAnswer {
     const allocator = this.allocators.activeOf(zone);
-    if (allocator === undefined) throw new WoodbarrowError('not_leader', `no granter for ${zone} here`);
+    if (allocator === undefined)
+      throw new WoodbarrowError('not_leader', `this daemon has no active allocator for zone ${zone}`);
     return allocator.grant(tenant, wish);
   }
 }
--- a/packages/quota/src/rate-limit-gate.ts
+++ b/packages/quota/src/rate-limit-gate.ts
@@ -1,6 +1,7 @@
 /**
- * A daemon's side of back ends' rate limits. Each send to a back end that names one needs a permit of the granter that all daemons
- * ask for it: the coordinator of its zone. Where none answers nothing is sent there, since others may be sending all that it takes.
+ * Enforces the rate limits that back ends announce. Each request to a limited back end needs a permit
+ * from the allocator in its zone's coordinator. If the allocator does not respond, nothing is sent,
+ * because other daemons may be using the whole limit.
  */
 import type { BackEnd } from '@woodbarrow/backends';
 import { FREE_PERMIT, type BackendNotices, type SendPermit, type SendPermits } from '@woodbarrow/forwarding';
@@ -15,32 +16,35 @@
 export interface RateLimitGateOptions extends AllocatorAccess {
   readonly allowance: UnitAllowance;
   readonly notices: BackendNotices;
-  /** Zone of a back end; undefined where it is gone. */
+  /** Returns the zone of a back end; undefined if the back end is gone. */
   readonly zoneOf: (backEndId: string) => string | undefined;
   readonly clock: Clock;
 }
 
-/** Numbers since the start. */
+/** Permit counts since the start. */
 export interface PermitTotals {
   readonly granted: number;
   readonly turnedDown: number;
-  /** Turned down as no granter answered. */
+  /** Permits refused because no allocator responded. */
   readonly withoutGranter: number;
 }
 
-/** One permit. */
+/** Units that one request needs. */
 const ONE_UNIT = 1;
-/** Shortest time for which a back end is left alone once a request was turned down, in milliseconds. */
+/** Minimum time without further requests to a back end after a refusal, in milliseconds. */
 const MIN_BACKOFF_MS = 20;
-/** Longest such time: less than what fills a granter's bucket, so that nothing is lost while all daemons wait. */
+/**
+ * Maximum time without further requests after a refusal, in milliseconds. It is shorter than the time
+ * in which an allocator's bucket fills, so that no units are lost while all daemons wait.
+ */
 const MAX_BACKOFF_MS = 800;
-/** Time for which no permit is asked for where no granter answered, in milliseconds. */
+/** Time without further requests after an allocator did not respond, in milliseconds. */
 const NO_ALLOCATOR_BACKOFF_MS = 200;
 
-/** Gate of one daemon. */
+/** Acquires permits to send requests to rate-limited back ends. */
 export class RateLimitGate implements SendPermits {
   private readonly gate: UnitGate;
-  /** Monotonic time until which a back end takes nothing more. */
+  /** Monotonic time until which no permit is requested, by back end. */
   private readonly closedUntil = new Map<string, number>();
   private granted = 0;
   private turnedDown = 0;
@@ -77,7 +81,7 @@
     if (ratePerSecond === undefined) return FREE_PERMIT;
     if (this.waitMs(id) > 0) return undefined;
     const outcome = await this.gate.acquire(id, { ratePerSecond, burst: 0 }, ONE_UNIT, 0, signal);
-    // The limit may have ended while the granter was asked.
+    // The back end may have withdrawn its limit during the call.
     if (notices.requestsPerSecond(id) === undefined) return FREE_PERMIT;
     switch (outcome.kind) {
       case 'granted':
@@ -94,7 +98,7 @@
     }
   }
 
-  /** Forgets an incarnation that has ended. */
+  /** Drops the state of a back-end process that has ended. */
   forget(backEndId: string): void {
     this.closedUntil.delete(backEndId);
     this.gate.forget(backEndId);
--- a/packages/quota/src/rate-limit-service.ts
+++ b/packages/quota/src/rate-limit-service.ts
@@ -1,4 +1,7 @@
-/** A daemon's granters of back ends' rate limits: the coordinator of a zone grants for all back ends of that zone. */
+/**
+ * Runs the allocators of back ends' rate limits: the coordinator of a zone allocates for all back ends
+ * in that zone.
+ */
 import { WoodbarrowError } from '@woodbarrow/errors';
 import type { BackendNotices } from '@woodbarrow/forwarding';
 import type { EventLog } from '@woodbarrow/observability';
@@ -18,14 +21,14 @@
 export interface RateLimitServiceOptions {
   readonly allowance: UnitAllowance;
   readonly notices: BackendNotices;
-  /** The lease of a zone, while it is held here. */
+  /** Returns the lease of a zone while this daemon holds it. */
   readonly authorityOf: (zone: string) => ZoneAuthority | undefined;
   readonly peers: PeerNetwork;
   readonly clock: Clock;
   readonly log: EventLog;
 }
 
-/** Granting side of one daemon. */
+/** Serves the rate-limit allocation calls of other daemons. */
 export class RateLimitService {
   private readonly allocators: ZoneAllocators<UnitAllocator>;
 
@@ -42,20 +45,21 @@
     });
   }
 
-  /** Starts answering. The peer network must be listening. */
+  /** Registers the call handler. The peer network must be listening. */
   start(): void {
     this.options.peers.handle(rateLimitGrantMethod, (message) => this.grant(message));
   }
 
-  /** Forgets an incarnation that has ended. */
+  /** Drops the state of a back-end process that has ended. */
   forget(backEndId: string): void {
-    for (const granter of this.allocators.all()) granter.forget(backEndId);
+    for (const allocator of this.allocators.all()) allocator.forget(backEndId);
   }
 
   private grant({ zone, backEndId, report, ...wish }: RateLimitGrantMessage): RateLimitGrantAnswer {
     const { notices, clock } = this.options;
     const allocator = this.allocators.activeOf(zone);
-    if (allocator === undefined) throw new WoodbarrowError('not_leader', `no granter for ${zone} here`);
+    if (allocator === undefined)
+      throw new WoodbarrowError('not_leader', `this daemon has no active allocator for zone ${zone}`);
     notices.hearFromPeer(backEndId, fromReport(report, clock));
     const answer = allocator.grant(backEndId, wish);
     const observed = notices.lastHeard(backEndId);
--- a/packages/quota/src/unit-allocator.ts
+++ b/packages/quota/src/unit-allocator.ts
@@ -1,4 +1,4 @@
-/** One zone's granter: hands units of limits out while its daemon holds the zone's lease. */
+/** Allocates units of limits for one zone while this daemon holds the zone's lease. */
 import type { GrantAnswer, GrantWish } from '@woodbarrow/protocol';
 import type { Clock } from '@woodbarrow/runtime';
 import { shareOf, type UnitAllowance, type UnitLimit } from './unit-share.js';
@@ -7,24 +7,24 @@
 /** Options of {@link UnitAllocator}. */
 export interface UnitAllocatorOptions {
   readonly allowance: UnitAllowance;
-  /** Number of granters that share the limits. */
+  /** Number of allocators that share each limit. */
   readonly allocatorCount: number;
-  /** The limit of a subject, such as a tenant, now; undefined when it has none, or is not known. */
+  /** Returns the current limit of a subject, such as a tenant; undefined if it has none or is unknown. */
   readonly limitOf: (subject: string) => UnitLimit | undefined;
-  /** Monotonic time from which it may hand out what comes in: the one before it has stopped then. */
+  /** Monotonic time from which the buckets fill. By then the previous allocator has stopped granting. */
   readonly startsAt: number;
   readonly clock: Clock;
 }
 
-/** What a granter has done for one subject. */
+/** Units granted and refused for one subject. */
 export interface GranterUse {
   readonly granted: number;
   readonly turnedDown: number;
 }
 
 /**
- * Part of a bucket that only waiting requests may take. What is handed out ahead of need lapses unused in part, which a subject
- * near its limit would miss.
+ * Fraction of a bucket that is reserved for waiting requests. Prefetched units partly expire unused,
+ * which would cost a subject near its limit.
  */
 const RESERVED_FRACTION = 0.5;
 
@@ -35,13 +35,13 @@
   turnedDown: number;
 }
 
-/** Granter of one zone, for as long as one lease lasts. */
+/** Allocator of one zone for the duration of one lease. */
 export class UnitAllocator {
   private readonly subjects = new Map<string, SubjectBucket>();
 
   constructor(private readonly options: UnitAllocatorOptions) {}
 
-  /** Hands units out. */
+  /** Grants units to a daemon from the subject's bucket. */
   grant(subject: string, wish: GrantWish): GrantAnswer {
     const { needed, isLast } = wish;
     const held = this.entryOf(subject);
@@ -57,12 +57,12 @@
     return { granted, lifetimeMs, left, retryAfterMs: isLast ? bucket.reserveRetry(needed - granted) : 0 };
   }
 
-  /** Drops the bucket of a subject that is gone for good. */
+  /** Drops the bucket of a removed subject. */
   forget(subject: string): void {
     this.subjects.delete(subject);
   }
 
-  /** Units handed out and turned down since the start, by subject. */
+  /** Returns the units granted and refused since the start, by subject. */
   use(): ReadonlyMap<string, GranterUse> {
     return new Map(
       [...this.subjects].map(([name, { granted, turnedDown }]) => [name, { granted, turnedDown }]),
@@ -88,7 +88,10 @@
   }
 }
 
-/** All that waits, or what the first needs, and beyond that what is asked for ahead from the upper part of the bucket. */
+/**
+ * Returns the units for the waiting requests, plus prefetched units from above the reserved fraction
+ * of the bucket.
+ */
 function unitsToGrant(
   bucket: UnitBucket,
   { needed, queued, ahead, mayBePart }: Omit<GrantWish, 'isLast'>,
--- a/packages/quota/src/unit-bucket.ts
+++ b/packages/quota/src/unit-bucket.ts
@@ -1,18 +1,19 @@
-/** A bucket of units that fills at a rate up to its depth. */
+/** Token bucket that fills at a fixed rate up to its depth. */
 import type { Clock } from '@woodbarrow/runtime';
 import type { UnitShare } from './unit-share.js';
 
-/** One subject's bucket at one granter. */
+/** Bucket of one subject in one allocator. */
 export class UnitBucket {
   private level = 0;
   private filledAt: number;
-  /** Monotonic time until which what fills it is spoken for by those who were told to come back. */
+  /** Monotonic time until which the refill is reserved for earlier refused requests. */
   private reservedUntil = 0;
 
   /**
-   * Empty at first: a granter before may have handed everything out.
+   * Creates an empty bucket, because the previous allocator may have granted every unit.
    *
-   * @param startsAt Monotonic time from which it fills; by the clock that counts no time for which the machine was suspended.
+   * @param startsAt Monotonic time from which the bucket fills. The clock excludes time that the
+   * machine was suspended.
    */
   constructor(
     private share: UnitShare,
@@ -22,7 +23,7 @@
     this.filledAt = startsAt;
   }
 
-  /** Takes another share into use. */
+  /** Changes the rate and depth of the bucket. Excess units are dropped. */
   setShare(share: UnitShare): void {
     this.fill();
     this.share = share;
@@ -37,21 +38,21 @@
     return this.share.lifetimeMs;
   }
 
-  /** Units in it now. */
+  /** Returns the units in the bucket. */
   available(): number {
     this.fill();
     return this.level;
   }
 
-  /** Takes units out; no more than are available. */
+  /** Removes units. The caller must not take more than are available. */
   take(units: number): void {
     this.level -= units;
   }
 
   /**
-   * Milliseconds until units will be there that are not there now, behind those promised before; they are promised as well. Those who are
-   * told to come back spread over all granters, so that what one has promised stands for its part of all; one request alone is put
-   * together from what fills all buckets.
+   * Reserves the refill for a refused request, after earlier reservations, and returns the
+   * milliseconds until it may retry. Retries spread over all allocators, so a reservation delays later
+   * ones by this allocator's rate, but the request itself by the total rate.
    */
   reserveRetry(units: number): number {
     const now = this.clock.monotonic();
--- a/packages/quota/src/unit-gate.ts
+++ b/packages/quota/src/unit-gate.ts
@@ -1,6 +1,7 @@
 /**
- * A daemon's side of limits over all daemons: what is limited uses units that were asked of a granter before. Most are found in the
- * daemon's purse; others wait for granters, asked one after the other where one has too little.
+ * Enforces deployment-wide limits on one daemon. Requests use units that allocators granted
+ * beforehand; if the local allowance is too small, they wait while the allocators are called one after
+ * the other.
  */
 import type { QuotaOutcome, QuotaTicket } from '@woodbarrow/forwarding';
 import type { GrantAnswer, GrantWish } from '@woodbarrow/protocol';
@@ -12,60 +13,66 @@
 /** Options of {@link UnitGate}. */
 export interface UnitGateOptions {
   readonly allowance: UnitAllowance;
-  /** Number of granters that share each limit. */
+  /** Number of allocators that share each limit. */
   readonly allocatorCount: number;
-  /** Zones whose granters are asked for a subject, in this order. */
+  /** Returns the zones whose allocators are called for a subject, in order. */
   readonly zonesFor: (subject: string) => readonly string[];
-  /** Asks one granter; undefined where there is none, or it does not answer. Never rejects. */
+  /** Calls one allocator. Returns undefined if there is none or it does not respond. Never rejects. */
   readonly requestUnits: (zone: string, subject: string, wish: GrantWish) => Promise<GrantAnswer | undefined>;
   /**
-   * Longest time for which no units are asked for once some were turned down, in milliseconds: what others were promised before may not be
-   * used by them.
+   * Maximum time without further calls after a refusal, in milliseconds. Bounds the wait for refill
+   * that is reserved for other requests, which may not use it.
    * @default unbounded
    */
   readonly maxBackoffMs?: number;
   readonly clock: Clock;
 }
 
-/** Units that a daemon has used and refused for a subject. */
+/** Units that a daemon has used and refused for one subject. */
 export interface GateUse {
   readonly used: number;
   readonly refused: number;
 }
 
-/** Pause before granters are asked again where none answered, in milliseconds. */
+/** Delay before the allocators are called again after none responded, in milliseconds. */
 const ALLOCATOR_RETRY_INTERVAL_MS = 100;
-/** Longest wait for a granter, in milliseconds: a lost coordinator is replaced in about five seconds, a restarted one in one or two. */
+/**
+ * Maximum wait for an allocator to respond, in milliseconds. Covers the restart of a coordinator, but
+ * not its replacement.
+ */
 const MAX_ALLOCATOR_WAIT_MS = 2500;
-/** Time after which to come back where no granter answers, in milliseconds. */
+/** Retry delay reported to a caller if no allocator responds, in milliseconds. */
 export const RETRY_AFTER_NO_ALLOCATOR_MS = 1000;
 /**
- * Units that come in within this time are waited for, in milliseconds: a caller would be back no sooner, and buckets that have just been
- * taken over are empty without a subject being over its limit.
+ * Maximum wait for a refill, in milliseconds. A client's retry would take as long, and the buckets of
+ * a new allocator are empty although the subject is below its limit.
  */
 const MAX_REFILL_WAIT_MS = 150;
 const MS_PER_SECOND = 1000;
-/** Part of a lifetime for which units are asked for ahead of need: asking takes some milliseconds. */
+/** Fraction of the unit lifetime for which units are prefetched. The rest covers the duration of the call. */
 const PREFETCH_FRACTION = 0.8;
 
-/** Part of a full bucket from which on a request is worth a second round of questions, in which it is put together. */
+/**
+ * Fraction of a bucket above which a request is combined from the units of several allocators in a
+ * second round.
+ */
 const LARGE_REQUEST_FRACTION = 0.25;
 
 /** A request that waits for units. */
 interface WaitingRequest {
   readonly units: number;
-  /** Monotonic time after which it is of no use to wait for a granter. */
+  /** Monotonic time after which the request stops waiting for an allocator. */
   readonly giveUpAt: number;
   readonly signal: AbortSignal;
   readonly resolve: (outcome: QuotaOutcome) => void;
-  /** It has waited for units that were to come in a moment. */
+  /** Whether the request has already waited once for a refill. */
   hasWaitedForRefill: boolean;
 }
 
-/** What granters said to one round of questions. */
+/** Combined result of one call to each allocator. */
 interface RoundResult {
   readonly hasAnswer: boolean;
-  /** Units that they have and did not hand out, together. */
+  /** Units left in the buckets of the allocators, in total. */
   readonly remaining: number;
   readonly retryAfterMs: number;
 }
@@ -75,25 +82,28 @@
   readonly rate: UsageRate;
   readonly waiting: WaitingRequest[];
   isServing: boolean;
-  /** What all granters turned down last, and the monotonic time until which it is not asked for again. */
+  /**
+   * Size of the last refused request, and the monotonic time until which requests of that size are
+   * refused without a call.
+   */
   lastRejection: { readonly units: number; readonly until: number } | undefined;
-  /** Of the limit when units were last asked for. */
+  /** Rate of the limit when units were last requested. */
   ratePerSecond: number;
   lifetimeMs: number;
   used: number;
   refused: number;
 }
 
-/** Gate of one daemon. A subject is what has a limit: a tenant, or a back end. */
+/** Acquires units for the requests of one daemon. A subject is a tenant or a back end that has a limit. */
 export class UnitGate {
   private readonly subjects = new Map<string, SubjectState>();
 
   constructor(private readonly options: UnitGateOptions) {}
 
   /**
-   * Asks for units.
+   * Acquires units for one request.
    *
-   * @param maxWaitMs Milliseconds for which it is of use to wait where no granter answers.
+   * @param maxWaitMs Maximum wait in milliseconds if no allocator responds.
    */
   acquire(
     subject: string,
@@ -104,7 +114,7 @@
   ): Promise<QuotaOutcome> {
     const { clock } = this.options;
     const state = this.stateOf(subject);
-    // Units of a higher limit would be used beside those of the lower one.
+    // Units of the previous, higher limit would be used in addition to those of the lower one.
     if (limit.ratePerSecond < state.ratePerSecond) state.allowance.clear();
     state.ratePerSecond = limit.ratePerSecond;
     state.rate.add(units);
@@ -123,17 +133,17 @@
     });
   }
 
-  /** Units used and refused since the start, by subject. */
+  /** Returns the units used and refused since the start, by subject. */
   use(): ReadonlyMap<string, GateUse> {
     return new Map([...this.subjects].map(([name, { used, refused }]) => [name, { used, refused }]));
   }
 
-  /** Drops what is held for a subject that is gone. */
+  /** Drops the state of a removed subject. */
   forget(subject: string): void {
     if (this.subjects.get(subject)?.isServing === false) this.subjects.delete(subject);
   }
 
-  /** Asks for what waits until nothing does. Never rejects. */
+  /** Requests units until no request waits. Never rejects. */
   private async serveWaiting(subject: string, limit: UnitLimit, state: SubjectState): Promise<void> {
     state.isServing = true;
     try {
@@ -148,7 +158,7 @@
     }
   }
 
-  /** Forgets requests whose clients have gone. Returns whether any waits. */
+  /** Removes aborted requests. Returns whether any request still waits. */
   private dropAborted(state: SubjectState): boolean {
     const aborted = state.waiting.filter(({ signal }) => signal.aborted);
     for (const request of aborted) this.settle(state, request, { kind: 'unavailable', retryAfterMs: 0 });
@@ -156,8 +166,9 @@
   }
 
   /**
-   * Asks the granters one after the other until the first request has what it needs. Where none has all of it, but several together have, it
-   * is put together from their parts: a large request under a small limit is more than one granter often has.
+   * Calls the allocators in turn until the first waiting request has its units. If no single allocator
+   * has enough, but all together do, a large request is combined from partial grants in a second
+   * round.
    */
   private async requestRound(subject: string, limit: UnitLimit, state: SubjectState): Promise<RoundResult> {
     const { allowance, allocatorCount } = this.options;
@@ -199,7 +210,7 @@
     return round;
   }
 
-  /** Gives waiting requests what there is, in the order in which they came. Returns whether any got what it needs. */
+  /** Grants available units to waiting requests in arrival order. Returns whether any request was served. */
   private grantFromAllowance(state: SubjectState): boolean {
     let anyServed = false;
     for (const request of [...state.waiting]) {
@@ -212,8 +223,8 @@
   }
 
   /**
-   * All granters that answered have too little for the first request. Where it will be there in a moment, it waits; else it and all that
-   * are no smaller are turned down.
+   * Handles a round in which the allocators had too few units for the first request. It waits for a
+   * short refill; otherwise it and all requests of at least its size are refused.
    */
   private async handleOverLimit(
     state: SubjectState,
@@ -222,7 +233,8 @@
   ): Promise<void> {
     const [first] = state.waiting;
     if (first === undefined) return;
-    // The last granter in the order did not answer: what the request lacks takes at least so long to come in.
+    // The last allocator, which reports the delay, did not respond. The refill takes at least this
+    // long.
     const { maxBackoffMs = Infinity } = this.options;
     const dueMs = reportedRetryMs > 0 ? reportedRetryMs : (first.units * MS_PER_SECOND) / limit.ratePerSecond;
     const retryAfterMs = Math.min(maxBackoffMs, dueMs);
@@ -290,7 +302,7 @@
   }
 }
 
-/** Units that the first waiting request lacks; 0 when none waits. */
+/** Returns the units that the first waiting request lacks; 0 if none waits. */
 function missingUnitsOf({ waiting, allowance }: SubjectState): number {
   const [first] = waiting;
   return first === undefined ? 0 : first.units - allowance.available();
--- a/packages/quota/src/unit-share.ts
+++ b/packages/quota/src/unit-share.ts
@@ -1,53 +1,61 @@
 /**
- * How a limit over all daemons is dealt out, so that all daemons together stay within what the deployment allows, whatever is cut off, frozen or
- * killed. The limit is split evenly among the granters, one a zone. Each fills a bucket at its part of the rate and hands units out of it,
- * which lapse a while later where they have not been used.
+ * Divides a deployment-wide limit so that all daemons together stay within the tolerated overshoot
+ * under partitions, pauses and crashes. The limit is split evenly among the allocators, one per zone.
+ * Each fills a token bucket at its share of the rate and grants units that expire after a fixed
+ * lifetime.
  *
- * In a window of length W a granter hands out at most `depth + rate x (W + lifetime)` units that can be used in it: a full bucket, what
- * fills it meanwhile, and what was handed out up to a lifetime before. A granter that takes a zone over begins with an empty bucket, so
- * the bound holds over both together. Summed over the granters this must not exceed `(rate x W + burst) x (1 + overshoot) + slack`.
- * What that leaves beside `rate x W`, the headroom, is dealt between the depth of the buckets and the lifetime of what was handed out.
+ * In a window of length W, at most `depth + rate x (W + lifetime)` units granted by one allocator can
+ * be used: a full bucket, its refill, and units granted up to one lifetime earlier. An allocator that
+ * takes over a zone starts with an empty bucket, so the bound covers both holders. The sum over all
+ * allocators must not exceed `(rate x W + burst) x (1 + overshoot) + slack`. The headroom, which is
+ * that bound without `rate x W`, is split between bucket depth and unit lifetime.
  */
 
-/** A limit: of a tenant, or of a back end. */
+/** Rate limit of a tenant or a back end. */
 export interface UnitLimit {
-  /** Units a second. */
+  /** Units per second. */
   readonly ratePerSecond: number;
   /** Units beyond the rate that may be used at once. */
   readonly burst: number;
 }
 
-/** What the deployment allows beyond a limit, in each window. */
+/** Tolerated use beyond a limit in each window. */
 export interface UnitAllowance {
-  /** Length of the windows in which use is judged. */
+  /** Length of the window in which use is measured, in milliseconds. */
   readonly windowMs: number;
-  /** Part of the limit, for example 0.1. */
+  /** Tolerated fraction beyond the limit, for example 0.1. */
   readonly overshoot: number;
-  /** Units whatever the limit. */
+  /** Units tolerated in addition, whatever the limit. */
   readonly slack: number;
 }
 
-/** One granter's part of a limit. */
+/** One allocator's share of a limit. */
 export interface UnitShare {
-  /** Units that fill the bucket in a millisecond. */
+  /** Units that refill the bucket per millisecond. */
   readonly ratePerMs: number;
-  /** The same over all granters. */
+  /** Refill rate of all allocators together, in units per millisecond. */
   readonly totalRatePerMs: number;
-  /** Units that the bucket holds. */
+  /** Maximum number of units in the bucket. */
   readonly depth: number;
-  /** Milliseconds for which units may be used once they were asked for. */
+  /** Time for which granted units are valid, in milliseconds from the start of the call. */
   readonly lifetimeMs: number;
 }
 
-/** Part of the headroom that is spent on the depth of the buckets: bursts, and subjects that are asked for in few zones. */
+/** Fraction of the headroom for bucket depth, which serves bursts and subjects that are used in few zones. */
 const DEPTH_FRACTION = 0.45;
-/** Part spent on the lifetime. What is left covers requests that are on their way to a worker for a while. */
+/** Fraction of the headroom for unit lifetime. The remainder covers requests in transit to a worker. */
 const LIFETIME_FRACTION = 0.4;
-/** Longest lifetime, in milliseconds: what a daemon holds and does not use is of use to nobody meanwhile. */
+/**
+ * Maximum lifetime of granted units, in milliseconds. Units that a daemon holds are unavailable to all
+ * others.
+ */
 const MAX_LIFETIME_MS = 2000;
 const MS_PER_SECOND = 1000;
 
-/** One granter's part. @param allocatorCount Number of zones, the same for all daemons. */
+/**
+ * Computes one allocator's share of a limit. @param allocatorCount Number of allocators, which must be
+ * the same on all daemons.
+ */
 export function shareOf(limit: UnitLimit, allowance: UnitAllowance, allocatorCount: number): UnitShare {
   const { ratePerSecond, burst } = limit;
   const { windowMs, overshoot, slack } = allowance;
--- a/packages/quota/src/usage-rate.ts
+++ b/packages/quota/src/usage-rate.ts
@@ -1,12 +1,12 @@
-/** How many units of one limit a daemon uses, as a running average. */
+/** Exponentially decaying average of the units of one limit that a daemon uses. */
 import type { Clock } from '@woodbarrow/runtime';
 
-/** Time in which a use counts for half, in milliseconds: about as long as units may be held ahead of need. */
+/** Half-life of a recorded use, in milliseconds. It is about the lifetime of prefetched units. */
 const HALF_LIFE_MS = 1500;
-/** A sum that halves in {@link HALF_LIFE_MS} holds the uses of this many milliseconds. */
+/** Divisor that converts a sum decaying by {@link HALF_LIFE_MS} into units per millisecond. */
 const MEAN_AGE_MS = HALF_LIFE_MS / Math.LN2;
 
-/** Rate of one subject. */
+/** Tracks the usage rate of one subject. */
 export class UsageRate {
   private sum = 0;
   private updatedAt: number;
@@ -15,13 +15,13 @@
     this.updatedAt = clock.monotonic();
   }
 
-  /** Units were asked for. */
+  /** Records requested units. */
   add(units: number): void {
     this.decay();
     this.sum += units;
   }
 
-  /** Units a millisecond. */
+  /** Returns the current rate in units per millisecond. */
   perMs(): number {
     this.decay();
     return this.sum / MEAN_AGE_MS;
--- a/packages/quota/src/zone-allocators.ts
+++ b/packages/quota/src/zone-allocators.ts
@@ -1,39 +1,45 @@
-/** One granter for each zone whose lease this daemon holds; another hold of a lease begins with a new one. */
+/**
+ * Manages one allocator for each zone whose lease this daemon holds. Each new hold of a lease gets a
+ * new allocator.
+ */
 import type { Clock } from '@woodbarrow/runtime';
 
-/** Right to act for a zone, as its lease gives it. */
+/** Authority to act for a zone, derived from its lease. */
 export interface ZoneAuthority {
-  /** Differs between two holds of the lease. */
+  /** Fencing token; differs between two holds of the lease. */
   readonly fence: number;
-  /** Whether this daemon may act for the zone at this moment. */
+  /** Returns whether this daemon may act for the zone now. */
   mayAct(): boolean;
-  /** Milliseconds until it may; the holder before may act until then. */
+  /** Returns the milliseconds until this daemon may act. Until then the previous holder may. */
   actsInMs(): number;
 }
 
 /** Options of {@link ZoneAllocators}. */
-export interface ZoneAllocatorsOptions<Granter> {
-  /** The lease of a zone, while it is held here. */
+export interface ZoneAllocatorsOptions<Allocator> {
+  /** Returns the lease of a zone while this daemon holds it. */
   readonly authorityOf: (zone: string) => ZoneAuthority | undefined;
-  /** @param startsAt Monotonic time from which it may hand out what comes in: the one before it has stopped then. */
-  readonly create: (startsAt: number) => Granter;
+  /**
+   * Creates an allocator. @param startsAt Monotonic time from which its buckets fill. By then the
+   * previous allocator has stopped granting.
+   */
+  readonly create: (startsAt: number) => Allocator;
   readonly onCreated: (zone: string, fence: number, startsInMs: number) => void;
   readonly clock: Clock;
 }
 
-interface HeldAllocator<Granter> {
+interface HeldAllocator<Allocator> {
   readonly fence: number;
-  readonly allocator: Granter;
+  readonly allocator: Allocator;
 }
 
-/** Granters of one daemon. */
-export class ZoneAllocators<Granter> {
-  private readonly held = new Map<string, HeldAllocator<Granter>>();
+/** Allocators of one daemon, by zone. */
+export class ZoneAllocators<Allocator> {
+  private readonly held = new Map<string, HeldAllocator<Allocator>>();
 
-  constructor(private readonly options: ZoneAllocatorsOptions<Granter>) {}
+  constructor(private readonly options: ZoneAllocatorsOptions<Allocator>) {}
 
-  /** The granter of a zone, as soon as this daemon holds its lease, if perhaps not allowed to act yet. */
-  of(zone: string): Granter | undefined {
+  /** Returns the allocator of a zone whose lease this daemon holds, even if it may not act yet. */
+  of(zone: string): Allocator | undefined {
     const { authorityOf, create, onCreated, clock } = this.options;
     const authority = authorityOf(zone);
     if (authority === undefined) {
@@ -49,14 +55,14 @@
     return allocator;
   }
 
-  /** The granter of a zone, while this daemon may act for it. */
-  activeOf(zone: string): Granter | undefined {
-    const granter = this.of(zone);
-    return this.options.authorityOf(zone)?.mayAct() === true ? granter : undefined;
+  /** Returns the allocator of a zone while this daemon may act for it. */
+  activeOf(zone: string): Allocator | undefined {
+    const allocator = this.of(zone);
+    return this.options.authorityOf(zone)?.mayAct() === true ? allocator : undefined;
   }
 
-  /** Granters of the zones held when last asked for. */
-  all(): Granter[] {
+  /** Returns the allocators created for zones that were held at their last lookup. */
+  all(): Allocator[] {
     return [...this.held.values()].map(({ allocator }) => allocator);
   }
 }
