--- a/packages/quarantine/src/crash-batch-records.ts
+++ b/packages/quarantine/src/crash-batch-records.ts
@@ -59,7 +59,7 @@
     const record = this.records.get(name);
     if (record === undefined) return false;
     this.records.delete(name);
-    for (const { suspect, processId } of record.ends) this.unindex(crashKey(suspect, processId), name);
+    for (const { suspect, processId } of record.ends) this.unindex(keyOf(suspect, processId), name);
     return true;
   }
 
@@ -70,8 +70,9 @@
   }
 
   /**
-   * Removes records whose marks have expired. @param mayRemove Whether this daemon is responsible for
-   * a record.
+   * Removes records whose marks have expired.
+   *
+   * @param mayRemove Whether this daemon is responsible for a record.
    */
   async removeExpired(mayRemove: (name: string) => boolean): Promise<void> {
     await this.writer.removeExpired(this.records.values(), MARK_LIFETIME_MS, mayRemove);
@@ -85,8 +86,7 @@
 
   private isUnrecorded({ content, processId }: CrashMark): boolean {
     return (
-      !this.recordNamesByCrash.has(crashKey(content, processId)) &&
-      !this.isRecordedElsewhere(content, processId)
+      !this.recordNamesByCrash.has(keyOf(content, processId)) && !this.isRecordedElsewhere(content, processId)
     );
   }
 
@@ -94,12 +94,8 @@
     const { clock, daemon } = this.writer.options;
     const ends = marks.map((mark) => toStoredCrash(mark, clock));
     const at = clock.wall();
-    const digestParts = [
-      daemon,
-      String(at),
-      ...ends.map(({ suspect, processId }) => crashKey(suspect, processId)),
-    ];
-    const record = { content: `ends-${contentDigest(digestParts)}`, ends, foundBy: daemon, at };
+    const pieces = [daemon, String(at), ...ends.map(({ suspect, processId }) => keyOf(suspect, processId))];
+    const record = { content: `ends-${contentDigest(pieces)}`, ends, foundBy: daemon, at };
     this.index(record);
     this.writer.write(record, () => this.hasActiveMarks(record));
   }
@@ -107,7 +103,7 @@
   private index(record: CrashBatchRecord): void {
     this.records.set(record.content, record);
     for (const { suspect, processId } of record.ends) {
-      const key = crashKey(suspect, processId);
+      const key = keyOf(suspect, processId);
       this.recordNamesByCrash.set(key, (this.recordNamesByCrash.get(key) ?? new Set()).add(record.content));
     }
   }
@@ -123,6 +119,6 @@
   }
 }
 
-function crashKey(content: string, processId: string): string {
+function keyOf(content: string, processId: string): string {
   return `${content} ${processId}`;
 }
--- a/packages/quarantine/src/crash-marks.ts
+++ b/packages/quarantine/src/crash-marks.ts
@@ -26,8 +26,8 @@
 
 /**
  * Number of crashes required before a content can receive a verdict. Contents that ran beside a
- * culprit collect marks as well, but most succeed on a retry before they reach this number. {@link
- * CulpritSearch} separates the others.
+ * culprit collect marks as well, but most succeed on a retry before they reach this number.
+ * {@link CulpritSearch} separates the others.
  */
 export const ENDS_FOR_VERDICT = 3;
 /** Lifetime of a mark in milliseconds. Covers several client retries. */
--- a/packages/quarantine/src/debounced-evaluation.ts
+++ b/packages/quarantine/src/debounced-evaluation.ts
@@ -5,8 +5,8 @@
 /** Runs one evaluation for changes in quick succession. */
 export class DebouncedEvaluation {
   /** Monotonic time of the last change; undefined if all changes have been evaluated. */
-  private lastChangedAt: number | undefined;
-  private readonly waiters: (() => void)[] = [];
+  private changedAt: number | undefined;
+  private readonly waiting: (() => void)[] = [];
 
   constructor(
     private readonly clock: Clock,
@@ -15,28 +15,28 @@
 
   /** Schedules an evaluation after a change of marks, or postpones a scheduled one. */
   noteChange(): void {
-    const isScheduled = this.lastChangedAt !== undefined;
-    this.lastChangedAt = this.clock.monotonic();
+    const isScheduled = this.changedAt !== undefined;
+    this.changedAt = this.clock.monotonic();
     if (!isScheduled) this.scheduleEvaluation(EVIDENCE_SETTLE_MS);
   }
 
   /** Resolves when all changes so far have been evaluated; at once if there are none. */
   async whenEvaluated(): Promise<void> {
-    if (this.lastChangedAt === undefined) return;
-    await new Promise<void>((resolve) => this.waiters.push(resolve));
+    if (this.changedAt === undefined) return;
+    await new Promise<void>((resolve) => this.waiting.push(resolve));
   }
 
   private scheduleEvaluation(delayMs: number): void {
     this.clock.schedule(delayMs, () => {
-      const remainingMs = (this.lastChangedAt ?? 0) + EVIDENCE_SETTLE_MS - this.clock.monotonic();
-      if (remainingMs > 0) this.scheduleEvaluation(remainingMs);
+      const leftMs = (this.changedAt ?? 0) + EVIDENCE_SETTLE_MS - this.clock.monotonic();
+      if (leftMs > 0) this.scheduleEvaluation(leftMs);
       else this.evaluateNow();
     });
   }
 
   private evaluateNow(): void {
-    this.lastChangedAt = undefined;
+    this.changedAt = undefined;
     this.evaluate();
-    for (const resolve of this.waiters.splice(0)) resolve();
+    for (const resolve of this.waiting.splice(0)) resolve();
   }
 }
--- a/packages/quarantine/src/load-quarantine.ts
+++ b/packages/quarantine/src/load-quarantine.ts
@@ -122,8 +122,9 @@
   }
 
   /**
-   * Starts tracking a load order that a worker accepted or may have accepted. @param orderedAt
-   * Monotonic time at which it was sent.
+   * Starts tracking a load order that a worker accepted or may have accepted.
+   *
+   * @param orderedAt Monotonic time at which it was sent.
    */
   ordered(backEnd: BackEnd, target: ModelTarget, orderedAt: number): void {
     const content = loadContent(backEnd.service, target);
--- a/packages/quarantine/src/process-state-checker.ts
+++ b/packages/quarantine/src/process-state-checker.ts
@@ -67,8 +67,8 @@
   }
 
   /**
-   * Returns whether a process was found to have ended. The result is remembered for {@link
-   * ENDED_RETENTION_MS}.
+   * Returns whether a process was found to have ended. The result is remembered for
+   * {@link ENDED_RETENTION_MS}.
    */
   hasEnded(processId: string): boolean {
     return this.endedAt.has(processId);
--- a/packages/quarantine/src/quarantine-record.ts
+++ b/packages/quarantine/src/quarantine-record.ts
@@ -28,8 +28,8 @@
 
 /**
  * Evidence against a content without a verdict, stored from its second consecutive crash so that it
- * survives the loss of the daemons that observed it. Earlier crashes are stored in a {@link
- * CrashBatchRecord}.
+ * survives the loss of the daemons that observed it. Earlier crashes are stored in a
+ * {@link CrashBatchRecord}.
  */
 export interface SuspectRecord {
   /** Name of the record, see {@link suspectName}. */
--- a/packages/quarantine/src/record-writer.ts
+++ b/packages/quarantine/src/record-writer.ts
@@ -26,8 +26,9 @@
   constructor(readonly options: RecordWriterOptions) {}
 
   /**
-   * Writes a record in the background. @param isNeeded Checked before each attempt; false stops the
-   * write.
+   * Writes a record in the background.
+   *
+   * @param isNeeded Checked before each attempt; false stops the write.
    */
   write(record: QuarantineEntry, isNeeded: () => boolean): void {
     this.options.tasks.spawn('quarantine record', (signal) =>
--- a/packages/quarantine/src/request-quarantine.ts
+++ b/packages/quarantine/src/request-quarantine.ts
@@ -329,8 +329,9 @@
   }
 
   /**
-   * Clears the marks of a content after a successful run. @param load Name of a loaded target;
-   * undefined for a request.
+   * Clears the marks of a content after a successful run.
+   *
+   * @param load Name of a loaded target; undefined for a request.
    */
   noteServed(content: string, load?: string): void {
     if (!this.marks.clear(content)) return;
--- a/packages/quarantine/src/suspect-records.ts
+++ b/packages/quarantine/src/suspect-records.ts
@@ -71,8 +71,9 @@
   }
 
   /**
-   * Removes records whose marks have expired. @param mayRemove Whether this daemon is responsible for
-   * a record.
+   * Removes records whose marks have expired.
+   *
+   * @param mayRemove Whether this daemon is responsible for a record.
    */
   async removeExpired(mayRemove: (name: string) => boolean): Promise<void> {
     await this.writer.removeExpired(this.records.values(), MARK_LIFETIME_MS, mayRemove);
--- a/packages/quarantine/src/suspect-slots.ts
+++ b/packages/quarantine/src/suspect-slots.ts
@@ -23,7 +23,7 @@
 export class SuspectSlots {
   private readonly held = new Map<string, HeldSlot>();
   /** Callbacks that wake the waiters for a slot, by content. */
-  private readonly waiters = new Map<string, Set<() => void>>();
+  private readonly waiting = new Map<string, Set<() => void>>();
 
   /**
    * Waits until no other attempt of the content holds the slot. Returns {@link UNRESTRICTED_SLOT} if
@@ -54,7 +54,7 @@
 
   /** Wakes the waiters of a content so that they check its state again. */
   wake(content: string): void {
-    for (const wake of this.waiters.get(content) ?? []) wake();
+    for (const wake of this.waiting.get(content) ?? []) wake();
   }
 
   /** Returns the processes that run other suspects. */
@@ -65,15 +65,15 @@
 
   private waitForWake(content: string, signal: AbortSignal): Promise<void> {
     return new Promise((resolve) => {
-      const waiters = this.waiters.get(content) ?? new Set();
-      this.waiters.set(content, waiters);
+      const waiting = this.waiting.get(content) ?? new Set();
+      this.waiting.set(content, waiting);
       const wake = (): void => {
-        waiters.delete(wake);
-        if (waiters.size === 0 && this.waiters.get(content) === waiters) this.waiters.delete(content);
+        waiting.delete(wake);
+        if (waiting.size === 0 && this.waiting.get(content) === waiting) this.waiting.delete(content);
         signal.removeEventListener('abort', wake);
         resolve();
       };
-      waiters.add(wake);
+      waiting.add(wake);
       signal.addEventListener('abort', wake);
     });
   }
--- a/packages/quarantine/src/verdict-records.ts
+++ b/packages/quarantine/src/verdict-records.ts
@@ -83,8 +83,9 @@
   }
 
   /**
-   * Handles a verdict found by evaluating marks. @param attempt The latest attempt under which a
-   * process ended on this daemon, if any.
+   * Handles a verdict found by evaluating marks.
+   *
+   * @param attempt The latest attempt under which a process ended on this daemon, if any.
    */
   noteProven(content: string, origin: 'seen' | 'told', attempt: VerdictSource | undefined): void {
     if (this.records.has(content)) return;
--- a/packages/quota/src/unit-share.ts
+++ b/packages/quota/src/unit-share.ts
@@ -53,8 +53,9 @@
 const MS_PER_SECOND = 1000;
 
 /**
- * Computes one allocator's share of a limit. @param allocatorCount Number of allocators, which must be
- * the same on all daemons.
+ * Computes one allocator's share of a limit.
+ *
+ * @param allocatorCount Number of allocators, which must be the same on all daemons.
  */
 export function shareOf(limit: UnitLimit, allowance: UnitAllowance, allocatorCount: number): UnitShare {
   const { ratePerSecond, burst } = limit;
--- a/packages/quota/src/zone-allocators.ts
+++ b/packages/quota/src/zone-allocators.ts
@@ -6,9 +6,9 @@
 
 /** Authority to act for a zone, derived from its lease. */
 export interface ZoneAuthority {
-  /** Fencing token; differs between two holds of the lease. */
+  /** Differs between two holds of the lease. */
   readonly fence: number;
-  /** Returns whether this daemon may act for the zone now. */
+  /** Whether this daemon may act for the zone at this moment. */
   mayAct(): boolean;
   /** Returns the milliseconds until this daemon may act. Until then the previous holder may. */
   actsInMs(): number;
@@ -16,11 +16,13 @@
 
 /** Options of {@link ZoneAllocators}. */
 export interface ZoneAllocatorsOptions<Allocator> {
-  /** Returns the lease of a zone while this daemon holds it. */
+  /** The lease of a zone, while it is held here. */
   readonly authorityOf: (zone: string) => ZoneAuthority | undefined;
   /**
-   * Creates an allocator. @param startsAt Monotonic time from which its buckets fill. By then the
-   * previous allocator has stopped granting.
+   * Creates an allocator.
+   *
+   * @param startsAt Monotonic time from which its buckets fill. By then the previous allocator has
+   * stopped granting.
    */
   readonly create: (startsAt: number) => Allocator;
   readonly onCreated: (zone: string, fence: number, startsInMs: number) => void;
