--- a/packages/quarantine/src/load-quarantine.ts
+++ b/packages/quarantine/src/load-quarantine.ts
@@ -164,10 +164,10 @@
   private checkProcess(load: WatchedLoad): Promise<void> {
     const { contents, clock } = this.options;
     load.unresponsiveSince ??= clock.monotonic();
-    load.check ??= contents.fateOf(load.attempt.backEnd).then((fate) => {
+    load.check ??= contents.fateOf(load.attempt.backEnd).then((state) => {
       delete load.check;
       // The process runs, so a later missing answer starts a new unresponsive period.
-      if (fate === 'running') delete load.unresponsiveSince;
+      if (state === 'running') delete load.unresponsiveSince;
     });
     return load.check;
   }
--- a/packages/quarantine/src/request-quarantine.ts
+++ b/packages/quarantine/src/request-quarantine.ts
@@ -247,7 +247,7 @@
    */
   trialDelayMs(content: string): number | undefined {
     if (this.marks.isEmpty || !this.search.requiresTrial(content)) return undefined;
-    if (this.slots.isHeld(content) || this.trials.isUnderWay(content)) return RETRY_AFTER_TRIAL_MS;
+    if (this.slots.isHeld(content) || this.trials.isInProgress(content)) return RETRY_AFTER_TRIAL_MS;
     return this.search.mustWaitForRivals(content) ? RETRY_AFTER_RIVALS_MS : undefined;
   }
 
@@ -293,10 +293,10 @@
     const { content, backEnd, wasLeaving } = attempt;
     if (wasLeaving) return;
     const endedAt = this.options.clock.monotonic();
-    const isTrial = this.trials.isTrying(content, backEnd.id);
-    const check = this.processStates.check(backEnd).then((fate) => {
+    const isTrial = this.trials.hasTrialOn(content, backEnd.id);
+    const check = this.processStates.check(backEnd).then((state) => {
       this.closeCheck(content, check);
-      if (fate === 'ended') this.noteEnded(attempt, endedAt, isTrial);
+      if (state === 'ended') this.noteEnded(attempt, endedAt, isTrial);
     });
     const open = this.openChecks.get(content) ?? new Set();
     this.openChecks.set(content, open.add(check));
--- a/packages/quarantine/src/suspect-trials.ts
+++ b/packages/quarantine/src/suspect-trials.ts
@@ -63,7 +63,7 @@
   constructor(private readonly options: SuspectTrialsOptions) {}
 
   /** Returns whether this daemon has a trial of a content on a process. */
-  isTrying(content: string, processId: string): boolean {
+  hasTrialOn(content: string, processId: string): boolean {
     return this.ownTrials.get(content) === processId;
   }
 
@@ -78,7 +78,7 @@
 
   /** Requests the right to run a trial of a content on a process. */
   async begin(content: string, processId: string): Promise<TrialAdmission> {
-    if (this.isUnderWay(content)) return refused(RETRY_AFTER_TRIAL_MS);
+    if (this.isInProgress(content)) return refused(RETRY_AFTER_TRIAL_MS);
     if (this.processesOfOthers(content).includes(processId)) return { kind: 'occupied' };
     const { clock, daemon, store, log } = this.options.writer.options;
     this.ownTrials.set(content, processId);
@@ -120,7 +120,7 @@
   }
 
   /** Returns whether a content is in a trial on any daemon. */
-  isUnderWay(content: string): boolean {
+  isInProgress(content: string): boolean {
     if (this.ownTrials.has(content)) return true;
     const trial = this.observedTrials.get(trialName(content));
     const now = this.options.writer.options.clock.monotonic();
--- a/packages/quarantine/test/crash-batch-records.test.ts
+++ b/packages/quarantine/test/crash-batch-records.test.ts
@@ -8,7 +8,7 @@
 import { QuarantineDeployment } from './quarantine-deployment.js';
 
 /** Time from an answer that breaks off until its end stands in the store, in milliseconds: two questions, the longest pause, the write. */
-const KEPT_WITHIN_MS = 120 + 500 + 20;
+const RECORDED_WITHIN_MS = 120 + 500 + 20;
 
 describe('EndsRecords', () => {
   let deployment: QuarantineDeployment;
@@ -24,7 +24,7 @@
   }
 
   /** One process ends under many contents, by way of all daemons. */
-  function endUnderMany(processId: string, count: number): string[] {
+  function crashUnderMany(processId: string, count: number): string[] {
     const contents = Array.from({ length: count }, (_, index) => `content-${String(index)}`);
     deployment.ended.add(processId);
     contents.forEach((content, index) => {
@@ -39,8 +39,8 @@
   }
 
   it('keep the ends of sixty requests of one process in a few calls, over twelve daemons', async () => {
-    const contents = endUnderMany('w1', 60);
-    await deployment.advance(KEPT_WITHIN_MS);
+    const contents = crashUnderMany('w1', 60);
+    await deployment.advance(RECORDED_WITHIN_MS);
     const kept = new Set(records().flatMap(({ ends }) => ends.map(({ suspect }) => suspect)));
     expect([...kept]).to.have.members(contents);
     // A record for each content would be sixty calls, one for each daemon that saw an end twelve.
@@ -52,7 +52,7 @@
       const [daemon] = deployment.daemons as [RequestQuarantine];
       deployment.ended.add(processId);
       deployment.breakOff(daemon, 'crashes', processId, deployment.world.now);
-      await deployment.advance(KEPT_WITHIN_MS);
+      await deployment.advance(RECORDED_WITHIN_MS);
       deployment.killAll();
       deployment.addDaemon();
     }
@@ -60,7 +60,7 @@
   });
 
   it('lose one end at most for each time that all daemons are killed sooner', async () => {
-    const killedAfterMs = [100, KEPT_WITHIN_MS, 200, KEPT_WITHIN_MS, 50, KEPT_WITHIN_MS];
+    const killedAfterMs = [100, RECORDED_WITHIN_MS, 200, RECORDED_WITHIN_MS, 50, RECORDED_WITHIN_MS];
     for (const [index, afterMs] of killedAfterMs.entries()) {
       const [daemon] = deployment.daemons as [RequestQuarantine];
       const processId = `w${String(index)}`;
@@ -75,7 +75,7 @@
 
   it('are written once the store is back, with all that came meanwhile', async () => {
     deployment.isStoreDown = true;
-    const contents = endUnderMany('w1', 24);
+    const contents = crashUnderMany('w1', 24);
     await deployment.advance(3000);
     expect(deployment.entries.size).to.equal(0);
     deployment.isStoreDown = false;
@@ -85,8 +85,8 @@
   });
 
   it('are removed once every content in them has run well', async () => {
-    const contents = endUnderMany('w1', 12);
-    await deployment.advance(KEPT_WITHIN_MS);
+    const contents = crashUnderMany('w1', 12);
+    await deployment.advance(RECORDED_WITHIN_MS);
     for (const content of contents) daemons[0]?.noteServed(content);
     await deployment.advance(1000);
     expect(deployment.entries.size).to.equal(0);
--- a/packages/quarantine/test/culprit-search.test.ts
+++ b/packages/quarantine/test/culprit-search.test.ts
@@ -4,30 +4,30 @@
 import { NeighboursSimulation, type NeighboursResult } from './neighbours-simulation.js';
 
 /** Sends of a culprit that the users allow later than 3 s after its third end. */
-const LATE_SENDS_ALLOWED = 3;
+const MAX_LATE_SENDS = 3;
 /** Ends of one culprit at most: as many as a verdict needs, and those of its trials. */
-const MOST_ENDS_EACH = 6;
+const MAX_CRASHES_PER_CULPRIT = 6;
 
 describe('CulpritSearch', () => {
   let world: SimulatedWorld;
   let marks: CrashMarks;
   let search: CulpritSearch;
-  let ends = 0;
+  let crashes = 0;
 
   beforeEach(() => {
     world = new SimulatedWorld();
     const clock = new SimulatedProcess(world, { name: 'd', zone: 'a', region: 'r' });
     marks = new CrashMarks(clock);
     search = new CulpritSearch(marks, clock);
-    ends = 0;
+    crashes = 0;
   });
 
   /** A process ends under contents that began after the one before had ended; of a trial, the first of them was tried. */
-  async function endUnder(contents: readonly string[], isTrial = false): Promise<void> {
-    ends += 1;
+  async function crashUnder(contents: readonly string[], isTrial = false): Promise<void> {
+    crashes += 1;
     const endedAt = world.now;
     contents.forEach((content, index) => {
-      const processId = `w${String(ends)}`;
+      const processId = `w${String(crashes)}`;
       marks.add({
         content,
         processId,
@@ -41,13 +41,13 @@
   }
 
   it('proves what ended three processes beside requests that had not run on another', async () => {
-    for (const neighbour of ['a', 'b', 'c']) await endUnder(['culprit', neighbour]);
+    for (const neighbour of ['a', 'b', 'c']) await crashUnder(['culprit', neighbour]);
     expect(search.isProven('culprit')).to.equal(true);
     expect(search.isProven('a')).to.equal(false);
   });
 
   it('accuses all that ran beside each other three times, and proves none of them', async () => {
-    for (let end = 0; end < 3; end += 1) await endUnder(['culprit', 'neighbour']);
+    for (let end = 0; end < 3; end += 1) await crashUnder(['culprit', 'neighbour']);
     for (const content of ['culprit', 'neighbour']) {
       expect(search.requiresTrial(content)).to.equal(true);
       expect(search.isProven(content)).to.equal(false);
@@ -55,8 +55,8 @@
   });
 
   it('proves the one whose trial ends a process, and holds nothing against the others from then on', async () => {
-    for (let end = 0; end < 3; end += 1) await endUnder(['culprit', 'neighbour']);
-    await endUnder(['culprit', 'bystander'], true);
+    for (let end = 0; end < 3; end += 1) await crashUnder(['culprit', 'neighbour']);
+    await crashUnder(['culprit', 'bystander'], true);
     expect(search.isProven('culprit')).to.equal(true);
     // It runs once by itself before its callers are let in together: it may be a second culprit.
     expect(search.requiresTrial('neighbour')).to.equal(true);
@@ -66,16 +66,16 @@
   });
 
   it('finds out a second culprit that ran beside the first each time by one more end', async () => {
-    for (let end = 0; end < 3; end += 1) await endUnder(['first', 'second']);
-    await endUnder(['first'], true);
+    for (let end = 0; end < 3; end += 1) await crashUnder(['first', 'second']);
+    await crashUnder(['first'], true);
     expect(search.isProven('first')).to.equal(true);
     expect(search.requiresTrial('second')).to.equal(true);
-    await endUnder(['second', 'bystander'], true);
+    await crashUnder(['second', 'bystander'], true);
     expect(search.isProven('second')).to.equal(true);
   });
 
   it('proves the one that is left when all its neighbours have run well', async () => {
-    for (let end = 0; end < 3; end += 1) await endUnder(['culprit', 'a', 'b']);
+    for (let end = 0; end < 3; end += 1) await crashUnder(['culprit', 'a', 'b']);
     marks.clear('a');
     expect(search.isProven('culprit')).to.equal(false);
     marks.clear('b');
@@ -83,16 +83,16 @@
   });
 
   it('does not put two culprits down to one request that ran beside both', async () => {
-    await endUnder(['first', 'neighbour']);
-    await endUnder(['first', 'neighbour']);
-    await endUnder(['second', 'neighbour']);
+    await crashUnder(['first', 'neighbour']);
+    await crashUnder(['first', 'neighbour']);
+    await crashUnder(['second', 'neighbour']);
     expect(search.isProven('neighbour')).to.equal(false);
     expect(search.requiresTrial('neighbour')).to.equal(true);
   });
 
   it('lets the one with the most ends wait until the others have run well, and proves it without a trial', async () => {
-    for (const neighbour of ['a', 'b']) await endUnder(['culprit', neighbour]);
-    await endUnder(['culprit', 'a', 'b']);
+    for (const neighbour of ['a', 'b']) await crashUnder(['culprit', neighbour]);
+    await crashUnder(['culprit', 'a', 'b']);
     expect(search.requiresTrial('culprit')).to.equal(true);
     expect(search.mustWaitForRivals('culprit')).to.equal(true);
     marks.clear('a');
@@ -102,8 +102,8 @@
   });
 
   it('lets the one with the most ends wait for two minutes at most', async () => {
-    for (const other of ['a', 'b']) await endUnder(['neighbour', other]);
-    await endUnder(['neighbour', 'a', 'b']);
+    for (const other of ['a', 'b']) await crashUnder(['neighbour', other]);
+    await crashUnder(['neighbour', 'a', 'b']);
     expect(search.mustWaitForRivals('neighbour')).to.equal(true);
     await world.run(world.now + 121_000);
     expect(search.mustWaitForRivals('neighbour')).to.equal(false);
@@ -111,17 +111,17 @@
   });
 
   it('proves what ended four processes, whatever ran beside it each time', async () => {
-    for (let end = 0; end < 3; end += 1) await endUnder(['culprit', 'neighbour', 'third']);
+    for (let end = 0; end < 3; end += 1) await crashUnder(['culprit', 'neighbour', 'third']);
     expect(search.isProven('culprit')).to.equal(false);
-    await endUnder(['culprit', 'another']);
+    await crashUnder(['culprit', 'another']);
     expect(search.isProven('culprit')).to.equal(true);
     expect(search.isProven('neighbour')).to.equal(false);
   });
 
   it('counts an end only when all have had time to tell what ran there', async () => {
-    for (let end = 0; end < 2; end += 1) await endUnder(['culprit']);
+    for (let end = 0; end < 2; end += 1) await crashUnder(['culprit']);
     const told = { c: 'neighbour', p: 'w2', b: 10, e: 5 };
-    await endUnder(['culprit']);
+    await crashUnder(['culprit']);
     expect(search.isProven('culprit')).to.equal(true);
     marks.merge([told]);
     expect(search.isProven('neighbour')).to.equal(false);
@@ -147,8 +147,8 @@
       it(`refuses ${String(culprits)} of ${String(workers)} workers' requests for an hour, and the others not`, async () => {
         for (const result of await play(workers, culprits)) {
           expect(result).to.include({ innocentsRefused: 0, culpritsRefused: culprits });
-          expect(result.workersEnded).to.be.at.most(MOST_ENDS_EACH * culprits);
-          expect(result.lateSends).to.be.at.most(LATE_SENDS_ALLOWED);
+          expect(result.workersEnded).to.be.at.most(MAX_CRASHES_PER_CULPRIT * culprits);
+          expect(result.lateSends).to.be.at.most(MAX_LATE_SENDS);
         }
       });
     }
--- a/packages/quarantine/test/load-quarantine.test.ts
+++ b/packages/quarantine/test/load-quarantine.test.ts
@@ -10,9 +10,9 @@
 /** Service of the scene's back ends. */
 const SERVICE = backEndOf('any').service;
 /** Of a demand that has time left. */
-const open = new AbortController().signal;
+const neverAborted = new AbortController().signal;
 /** Time in which the fate of a process is found out, in milliseconds. */
-const FOUND_OUT_MS = 300;
+const PROCESS_CHECK_MS = 300;
 
 describe('LoadQuarantine', () => {
   let deployment: QuarantineDeployment;
@@ -34,18 +34,18 @@
     loads.ordered(backEnd, target, deployment.world.now);
   }
 
-  async function endUnder(id: string, target = MODEL): Promise<void> {
+  async function crashUnder(id: string, target = MODEL): Promise<void> {
     order(id, target);
     await deployment.advance(50);
     deployment.ended.add(id);
     loads.unanswered(id);
-    await deployment.advance(FOUND_OUT_MS);
+    await deployment.advance(PROCESS_CHECK_MS);
   }
 
   it('finds out a load under which three processes have ended, and names it in the record', async () => {
-    for (const id of ['w1', 'w2']) await endUnder(id);
+    for (const id of ['w1', 'w2']) await crashUnder(id);
     expect(loads.verdictOf(SERVICE, MODEL)).to.equal(undefined);
-    await endUnder('w3');
+    await crashUnder('w3');
     expect(loads.verdictOf(SERVICE, MODEL)).to.include({ ends: ENDS_FOR_VERDICT });
     const record = deployment.records.get(loadContent(SERVICE, MODEL));
     expect(record).to.include({ load: `${SERVICE} m1`, route: '', requestId: '' });
@@ -55,7 +55,7 @@
   });
 
   it('counts an adapter apart from its model and from its other versions', async () => {
-    for (const id of ['w1', 'w2', 'w3']) await endUnder(id, ADAPTER);
+    for (const id of ['w1', 'w2', 'w3']) await crashUnder(id, ADAPTER);
     expect(loads.verdictOf(SERVICE, ADAPTER)).not.to.equal(undefined);
     expect(loads.verdictOf(SERVICE, MODEL)).to.equal(undefined);
     expect(loads.verdictOf(SERVICE, { ...ADAPTER, adapterVersion: 3 })).to.equal(undefined);
@@ -71,11 +71,11 @@
     await deployment.advance(5000);
     for (const id of ['w1', 'w2', 'w3']) deployment.ended.add(id);
     loads.failed(backEndOf('w2'), MODEL);
-    await deployment.advance(FOUND_OUT_MS);
+    await deployment.advance(PROCESS_CHECK_MS);
     expect(contents.totals.marks).to.equal(0);
     expect(loads.isUnderWay(SERVICE, MODEL)).to.equal(true);
     loads.unanswered('w1');
-    await deployment.advance(FOUND_OUT_MS);
+    await deployment.advance(PROCESS_CHECK_MS);
     expect(contents.totals.marks).to.equal(1);
   });
 
@@ -88,11 +88,11 @@
   });
 
   it('lets a suspect be loaded again only when it is known what came of the last load', async () => {
-    await endUnder('w1', ADAPTER);
-    const first = await loads.takeTurn(SERVICE, ADAPTER, open);
+    await crashUnder('w1', ADAPTER);
+    const first = await loads.takeTurn(SERVICE, ADAPTER, neverAborted);
     order('w2', ADAPTER);
     let isNext = false;
-    void loads.takeTurn(SERVICE, ADAPTER, open).then((turn) => {
+    void loads.takeTurn(SERVICE, ADAPTER, neverAborted).then((turn) => {
       isNext = true;
       turn.release();
     });
@@ -103,9 +103,9 @@
     first.release();
     await deployment.advance(50);
     expect(isNext).to.equal(false);
-    await deployment.advance(FOUND_OUT_MS);
+    await deployment.advance(PROCESS_CHECK_MS);
     expect(isNext).to.equal(true);
-    const aside = await loads.takeTurn(SERVICE, MODEL, open);
+    const aside = await loads.takeTurn(SERVICE, MODEL, neverAborted);
     aside.release();
   });
 });
--- a/packages/quarantine/test/request-quarantine.test.ts
+++ b/packages/quarantine/test/request-quarantine.test.ts
@@ -4,7 +4,7 @@
 
 const CONTENT = 'crashes';
 /** Of a request that has time left. */
-const open = new AbortController().signal;
+const neverAborted = new AbortController().signal;
 
 function isRefused(daemon: RequestQuarantine, content = CONTENT): boolean {
   return daemon.verdictOf(content) !== undefined;
@@ -17,7 +17,7 @@
   let third: RequestQuarantine;
 
   /** Content and process of each end that stands in a record of ends. */
-  function keptEnds(): string[] {
+  function recordedCrashes(): string[] {
     const records = [...deployment.entries.values()].flatMap((entry) => ('ends' in entry ? entry.ends : []));
     return records.map(({ suspect, processId }) => `${suspect} ${processId}`);
   }
@@ -129,11 +129,11 @@
 
   it('keeps evidence from the first end on, until the content has run well', async () => {
     await deployment.crashUnder(first, CONTENT, 'w1');
-    expect(keptEnds()).to.deep.equal([`${CONTENT} w1`]);
+    expect(recordedCrashes()).to.deep.equal([`${CONTENT} w1`]);
     expect(deployment.entries.size).to.equal(1);
     await deployment.crashUnder(second, CONTENT, 'w2');
     await deployment.advance(100);
-    expect(keptEnds()).to.deep.equal([`${CONTENT} w1`]);
+    expect(recordedCrashes()).to.deep.equal([`${CONTENT} w1`]);
     expect([...deployment.entries.keys()].slice(1)).to.deep.equal([`suspect-${CONTENT}`]);
     third.noteServed(CONTENT);
     await deployment.advance(200);
@@ -252,9 +252,9 @@
 
   it('lets one attempt of a suspect run at a time, and the next one only when the fate of the last is known', async () => {
     await deployment.crashUnder(first, CONTENT, 'w1');
-    const turn = await first.takeTurn(CONTENT, open);
+    const turn = await first.takeTurn(CONTENT, neverAborted);
     let hasNext = false;
-    void first.takeTurn(CONTENT, open).then(() => (hasNext = true));
+    void first.takeTurn(CONTENT, neverAborted).then(() => (hasNext = true));
     await deployment.advance(100);
     expect(hasNext).to.equal(false);
     deployment.ended.add('w2');
@@ -268,7 +268,7 @@
 
   it('lets nobody wait for a turn beyond its time', async () => {
     await deployment.crashUnder(first, CONTENT, 'w1');
-    await first.takeTurn(CONTENT, open);
+    await first.takeTurn(CONTENT, neverAborted);
     const expired = new AbortController();
     let hasEnded = false;
     void first.takeTurn(CONTENT, expired.signal).then(() => (hasEnded = true));
@@ -281,9 +281,10 @@
 
   it('lets all that wait for a turn go on once the content has run well', async () => {
     await deployment.crashUnder(first, CONTENT, 'w1');
-    const turn = await first.takeTurn(CONTENT, open);
+    const turn = await first.takeTurn(CONTENT, neverAborted);
     let going = 0;
-    for (let index = 0; index < 5; index += 1) void first.takeTurn(CONTENT, open).then(() => (going += 1));
+    for (let index = 0; index < 5; index += 1)
+      void first.takeTurn(CONTENT, neverAborted).then(() => (going += 1));
     await deployment.advance(100);
     expect(going).to.equal(0);
     first.noteServed(CONTENT);
@@ -296,7 +297,7 @@
     for (const content of ['a', 'b']) {
       for (const id of ['w1', 'w2']) await deployment.crashUnder(first, content, `${content}-${id}`);
     }
-    const turn = await first.takeTurn('a', open);
+    const turn = await first.takeTurn('a', neverAborted);
     turn.sentTo('w9');
     expect(first.processesToAvoid('b')).to.deep.equal(['w9']);
     expect(first.processesToAvoid('a')).to.deep.equal([]);
--- a/packages/quota/src/quota-gate.ts
+++ b/packages/quota/src/quota-gate.ts
@@ -47,15 +47,15 @@
     tenant: string,
     quota: TenantQuota,
     units: number,
-    withinMs: number,
+    maxWaitMs: number,
     signal: AbortSignal,
   ): Promise<QuotaOutcome> {
-    return this.gate.acquire(tenant, quota, units, withinMs, signal);
+    return this.gate.acquire(tenant, quota, units, maxWaitMs, signal);
   }
 
   /** Returns the units used and refused since the start, by tenant. */
   use(): ReadonlyMap<string, GateUse> {
-    return this.gate.use();
+    return this.gate.usage();
   }
 
   private requestUnits(zone: string, tenant: string, wish: GrantWish): Promise<GrantAnswer | undefined> {
--- a/packages/quota/src/quota-service.ts
+++ b/packages/quota/src/quota-service.ts
@@ -57,7 +57,7 @@
   use(): ReadonlyMap<string, GranterUse> {
     const sums = new Map<string, GranterUse>();
     for (const allocator of this.allocators.all()) {
-      for (const [tenant, { granted, turnedDown }] of allocator.use()) {
+      for (const [tenant, { granted, turnedDown }] of allocator.usage()) {
         const sum = sums.get(tenant) ?? { granted: 0, turnedDown: 0 };
         sums.set(tenant, { granted: sum.granted + granted, turnedDown: sum.turnedDown + turnedDown });
       }
--- a/packages/quota/src/unit-allocator.ts
+++ b/packages/quota/src/unit-allocator.ts
@@ -44,16 +44,16 @@
   /** Grants units to a daemon from the subject's bucket. */
   grant(subject: string, wish: GrantWish): GrantAnswer {
     const { needed, isLast } = wish;
-    const held = this.entryOf(subject);
-    if (held === undefined) return { granted: 0, lifetimeMs: 0, left: 0, retryAfterMs: 0 };
-    const { bucket } = held;
+    const entry = this.entryOf(subject);
+    if (entry === undefined) return { granted: 0, lifetimeMs: 0, left: 0, retryAfterMs: 0 };
+    const { bucket } = entry;
     const granted = unitsToGrant(bucket, wish);
     bucket.take(granted);
-    held.granted += granted;
+    entry.granted += granted;
     const { lifetimeMs } = bucket;
     const left = bucket.available();
     if (granted >= needed) return { granted, lifetimeMs, left, retryAfterMs: 0 };
-    held.turnedDown += needed - granted;
+    entry.turnedDown += needed - granted;
     return { granted, lifetimeMs, left, retryAfterMs: isLast ? bucket.reserveRetry(needed - granted) : 0 };
   }
 
@@ -63,7 +63,7 @@
   }
 
   /** Returns the units granted and refused since the start, by subject. */
-  use(): ReadonlyMap<string, GranterUse> {
+  usage(): ReadonlyMap<string, GranterUse> {
     return new Map(
       [...this.subjects].map(([name, { granted, turnedDown }]) => [name, { granted, turnedDown }]),
     );
@@ -73,18 +73,18 @@
     const { limitOf, allowance, allocatorCount, clock, startsAt } = this.options;
     const limit = limitOf(subject);
     if (limit === undefined) return undefined;
-    const known = this.subjects.get(subject);
-    if (known === undefined) {
+    const existing = this.subjects.get(subject);
+    if (existing === undefined) {
       const bucket = new UnitBucket(shareOf(limit, allowance, allocatorCount), clock, startsAt);
       const created = { bucket, limit, granted: 0, turnedDown: 0 };
       this.subjects.set(subject, created);
       return created;
     }
-    if (known.limit.ratePerSecond !== limit.ratePerSecond || known.limit.burst !== limit.burst) {
-      known.limit = limit;
-      known.bucket.setShare(shareOf(limit, allowance, allocatorCount));
+    if (existing.limit.ratePerSecond !== limit.ratePerSecond || existing.limit.burst !== limit.burst) {
+      existing.limit = limit;
+      existing.bucket.setShare(shareOf(limit, allowance, allocatorCount));
     }
-    return known;
+    return existing;
   }
 }
 
--- a/packages/quota/src/unit-gate.ts
+++ b/packages/quota/src/unit-gate.ts
@@ -78,7 +78,7 @@
 }
 
 interface SubjectState {
-  readonly allowance: LocalAllowance;
+  readonly localAllowance: LocalAllowance;
   readonly rate: UsageRate;
   readonly waiting: WaitingRequest[];
   isServing: boolean;
@@ -115,7 +115,7 @@
     const { clock } = this.options;
     const state = this.stateOf(subject);
     // Units of the previous, higher limit would be used in addition to those of the lower one.
-    if (limit.ratePerSecond < state.ratePerSecond) state.allowance.clear();
+    if (limit.ratePerSecond < state.ratePerSecond) state.localAllowance.clear();
     state.ratePerSecond = limit.ratePerSecond;
     state.rate.add(units);
     const now = clock.monotonic();
@@ -134,7 +134,7 @@
   }
 
   /** Returns the units used and refused since the start, by subject. */
-  use(): ReadonlyMap<string, GateUse> {
+  usage(): ReadonlyMap<string, GateUse> {
     return new Map([...this.subjects].map(([name, { used, refused }]) => [name, { used, refused }]));
   }
 
@@ -195,7 +195,8 @@
     for (const [index, zone] of zones.entries()) {
       const needed = missingUnitsOf(state);
       if (needed <= 0) break;
-      const queued = state.waiting.reduce((sum, { units }) => sum + units, 0) - state.allowance.available();
+      const queued =
+        state.waiting.reduce((sum, { units }) => sum + units, 0) - state.localAllowance.available();
       const ahead = state.rate.perMs() * state.lifetimeMs * PREFETCH_FRACTION;
       const isLast = index === zones.length - 1;
       const askedAt = clock.elapsed();
@@ -205,7 +206,7 @@
       round.remaining += answer.left;
       round.retryAfterMs = Math.max(round.retryAfterMs, answer.retryAfterMs);
       state.lifetimeMs = answer.lifetimeMs;
-      state.allowance.add(answer.granted, askedAt + answer.lifetimeMs);
+      state.localAllowance.add(answer.granted, askedAt + answer.lifetimeMs);
     }
     return round;
   }
@@ -266,7 +267,7 @@
 
   private take(state: SubjectState, units: number): QuotaTicket | undefined {
     const { clock } = this.options;
-    const taken = state.allowance.take(units);
+    const taken = state.localAllowance.take(units);
     if (taken === undefined) return undefined;
     state.used += units;
     let isOpen = true;
@@ -276,7 +277,7 @@
         if (!isOpen) return;
         isOpen = false;
         state.used -= units;
-        state.allowance.add(units, taken.earliestExpiresAt);
+        state.localAllowance.add(units, taken.earliestExpiresAt);
       },
     };
   }
@@ -286,7 +287,7 @@
     if (state === undefined) {
       const { clock } = this.options;
       state = {
-        allowance: new LocalAllowance(clock),
+        localAllowance: new LocalAllowance(clock),
         rate: new UsageRate(clock),
         waiting: [],
         isServing: false,
@@ -303,7 +304,7 @@
 }
 
 /** Returns the units that the first waiting request lacks; 0 if none waits. */
-function missingUnitsOf({ waiting, allowance }: SubjectState): number {
+function missingUnitsOf({ waiting, localAllowance }: SubjectState): number {
   const [first] = waiting;
-  return first === undefined ? 0 : first.units - allowance.available();
+  return first === undefined ? 0 : first.units - localAllowance.available();
 }
--- a/packages/quota/test/quota-world.ts
+++ b/packages/quota/test/quota-world.ts
@@ -98,9 +98,9 @@
   requests = 0;
   private readonly leases: ZoneLeases;
   private readonly runs = new Map<string, Run[]>();
-  private readonly asked = new Map<string, number>();
-  private readonly entitled = new Map<string, number>();
-  private readonly wronglyRefused = new Map<string, number>();
+  private readonly requestedUnits = new Map<string, number>();
+  private readonly entitledUnits = new Map<string, number>();
+  private readonly wronglyRefusedUnits = new Map<string, number>();
   private readonly buckets = new Map<string, LimitBucket>();
 
   constructor(
@@ -152,10 +152,10 @@
     const runs = this.runs.get(name) ?? [];
     const quota = this.tenants.find((tenant) => tenant.name === name)?.quota;
     return {
-      asked: this.asked.get(name) ?? 0,
+      asked: this.requestedUnits.get(name) ?? 0,
       ran: runs.reduce((sum, { units }) => sum + units, 0),
-      entitled: this.entitled.get(name) ?? 0,
-      wronglyRefused: this.wronglyRefused.get(name) ?? 0,
+      entitled: this.entitledUnits.get(name) ?? 0,
+      wronglyRefused: this.wronglyRefusedUnits.get(name) ?? 0,
       peakUsage:
         quota === undefined
           ? 0
@@ -206,9 +206,9 @@
     if (daemon?.node.process.alive !== true) return;
     const units = Math.round(requestUnits(this.random));
     this.requests += 1;
-    this.asked.set(tenant.name, (this.asked.get(tenant.name) ?? 0) + units);
+    this.requestedUnits.set(tenant.name, (this.requestedUnits.get(tenant.name) ?? 0) + units);
     const isEntitled = this.buckets.get(tenant.name)?.admits(units, this.now) === true;
-    if (isEntitled) this.entitled.set(tenant.name, (this.entitled.get(tenant.name) ?? 0) + units);
+    if (isEntitled) this.entitledUnits.set(tenant.name, (this.entitledUnits.get(tenant.name) ?? 0) + units);
     const outcome = await this.acquire(daemon, tenant, units);
     if (outcome.kind === 'granted') {
       // A daemon that is frozen or killed sends nothing; it asks again whether the right still holds when it wakes.
@@ -216,7 +216,7 @@
         if (outcome.ticket.isValid()) this.runs.get(tenant.name)?.push({ at: this.now, units });
       });
     } else if (isEntitled) {
-      this.wronglyRefused.set(tenant.name, (this.wronglyRefused.get(tenant.name) ?? 0) + units);
+      this.wronglyRefusedUnits.set(tenant.name, (this.wronglyRefusedUnits.get(tenant.name) ?? 0) + units);
     }
   }
 
