--- a/packages/quarantine/test/crash-batch-records.test.ts
+++ b/packages/quarantine/test/crash-batch-records.test.ts
@@ -1,16 +1,18 @@
 /*
- * What was seen: a request that ends each worker was never found out where all daemons were killed after each single end; one play of such a day
- * had seven workers ended and four sends more than allowed. A first end was held in memory alone, so each life of the daemons began at
- * nought. Records of ends are read by a daemon before it serves.
+ * Guards against losing the first crash of a content when all daemons are killed after each crash, so
+ * that its crashes never add up to a verdict.
  */
 import { expect } from 'chai';
 import type { CrashBatchRecord, RequestQuarantine } from '../src/index.js';
 import { QuarantineDeployment } from './quarantine-deployment.js';
 
-/** Time from an answer that breaks off until its end stands in the store, in milliseconds: two questions, the longest pause, the write. */
+/**
+ * Maximum time from a broken response until its crash is stored, in milliseconds: two probes, the
+ * write delay and the store call.
+ */
 const RECORDED_WITHIN_MS = 120 + 500 + 20;
 
-describe('EndsRecords', () => {
+describe('CrashBatchRecords', () => {
   let deployment: QuarantineDeployment;
   let daemons: readonly RequestQuarantine[];
 
@@ -23,7 +25,7 @@
     return [...deployment.entries.values()].filter((entry): entry is CrashBatchRecord => 'ends' in entry);
   }
 
-  /** One process ends under many contents, by way of all daemons. */
+  /** Ends one process while it runs many contents, spread over all daemons. */
   function crashUnderMany(processId: string, count: number): string[] {
     const contents = Array.from({ length: count }, (_, index) => `content-${String(index)}`);
     deployment.ended.add(processId);
@@ -38,16 +40,16 @@
     return contents;
   }
 
-  it('keep the ends of sixty requests of one process in a few calls, over twelve daemons', async () => {
+  it('store the crashes of sixty requests on one process in a few writes by twelve daemons', async () => {
     const contents = crashUnderMany('w1', 60);
     await deployment.advance(RECORDED_WITHIN_MS);
     const kept = new Set(records().flatMap(({ ends }) => ends.map(({ suspect }) => suspect)));
     expect([...kept]).to.have.members(contents);
-    // A record for each content would be sixty calls, one for each daemon that saw an end twelve.
+    // One record per content would be sixty writes, and one per daemon twelve.
     expect(deployment.entries.size).to.be.at.most(8);
   });
 
-  it('lose no end that was found out so long before all daemons were killed', async () => {
+  it('lose no crash if all daemons are killed after it has been stored', async () => {
     for (const processId of ['w1', 'w2', 'w3']) {
       const [daemon] = deployment.daemons as [RequestQuarantine];
       deployment.ended.add(processId);
@@ -59,7 +61,7 @@
     expect(deployment.daemons[0]?.verdictOf('crashes')).to.include({ ends: 3 });
   });
 
-  it('lose one end at most for each time that all daemons are killed sooner', async () => {
+  it('lose at most one crash each time all daemons are killed before it is stored', async () => {
     const killedAfterMs = [100, RECORDED_WITHIN_MS, 200, RECORDED_WITHIN_MS, 50, RECORDED_WITHIN_MS];
     for (const [index, afterMs] of killedAfterMs.entries()) {
       const [daemon] = deployment.daemons as [RequestQuarantine];
@@ -73,7 +75,7 @@
     expect(deployment.daemons[0]?.verdictOf('crashes')).to.include({ ends: 3 });
   });
 
-  it('are written once the store is back, with all that came meanwhile', async () => {
+  it('are written with all crashes so far once the store is available again', async () => {
     deployment.isStoreDown = true;
     const contents = crashUnderMany('w1', 24);
     await deployment.advance(3000);
@@ -84,7 +86,7 @@
     expect([...kept]).to.have.members(contents);
   });
 
-  it('are removed once every content in them has run well', async () => {
+  it('are removed once every content in them has been served', async () => {
     const contents = crashUnderMany('w1', 12);
     await deployment.advance(RECORDED_WITHIN_MS);
     for (const content of contents) daemons[0]?.noteServed(content);
@@ -92,7 +94,7 @@
     expect(deployment.entries.size).to.equal(0);
   });
 
-  it('lead to a record of the verdict though no daemon that saw an end is left', async () => {
+  it('lead to a stored verdict after every daemon that observed a crash has gone', async () => {
     const [heir, seer] = daemons as [RequestQuarantine, RequestQuarantine];
     deployment.isStoreDown = true;
     for (const processId of ['w1', 'w2', 'w3']) await deployment.crashUnder(seer, 'crashes', processId);
--- a/packages/quarantine/test/crash-marks.test.ts
+++ b/packages/quarantine/test/crash-marks.test.ts
@@ -15,7 +15,7 @@
     return { marks, search: new CulpritSearch(marks, clock), world };
   }
 
-  it('agree on all copies, in whatever order and how often they are merged', () => {
+  it('converge on all replicas, in whatever order and however often they are merged', () => {
     const anyMark = fc.record({
       content: fc.constantFrom('a', 'b', 'c'),
       processId: fc.constantFrom('w1', 'w2', 'w3', 'w4'),
@@ -42,7 +42,7 @@
     );
   });
 
-  it('go with their time, and leave no digest behind', async () => {
+  it('expire after their lifetime and no longer affect the digest', async () => {
     const { marks, world } = create();
     marks.add(mark('a', 'w1', 0));
     expect(marks.digest).to.not.equal(0);
@@ -51,7 +51,7 @@
     expect(marks.totals).to.deep.equal({ marks: 0, suspects: 0 });
   });
 
-  it('are bounded: the oldest go first', () => {
+  it('drop the oldest marks beyond the maximum', () => {
     const { marks } = create();
     for (let index = 0; index < MAX_MARKS + 10; index += 1)
       marks.add(mark(`c${String(index)}`, 'w', index - 100_000));
--- a/packages/quarantine/test/culprit-search.test.ts
+++ b/packages/quarantine/test/culprit-search.test.ts
@@ -3,9 +3,9 @@
 import { CrashMarks, CulpritSearch, EVIDENCE_SETTLE_MS } from '../src/index.js';
 import { NeighboursSimulation, type NeighboursResult } from './neighbours-simulation.js';
 
-/** Sends of a culprit that the users allow later than 3 s after its third end. */
+/** Maximum number of times that a culprit may be sent once its third crash is known everywhere. */
 const MAX_LATE_SENDS = 3;
-/** Ends of one culprit at most: as many as a verdict needs, and those of its trials. */
+/** Maximum number of crashes by one culprit: those for a verdict and those of its trials. */
 const MAX_CRASHES_PER_CULPRIT = 6;
 
 describe('CulpritSearch', () => {
@@ -22,7 +22,10 @@
     crashes = 0;
   });
 
-  /** A process ends under contents that began after the one before had ended; of a trial, the first of them was tried. */
+  /**
+   * Ends a process under contents that started after the previous crash. In a trial, the first content
+   * is the one tried.
+   */
   async function crashUnder(contents: readonly string[], isTrial = false): Promise<void> {
     crashes += 1;
     const endedAt = world.now;
@@ -40,13 +43,13 @@
     await world.run(world.now + EVIDENCE_SETTLE_MS);
   }
 
-  it('proves what ended three processes beside requests that had not run on another', async () => {
+  it('proves a content that crashed three processes beside contents that ran on no other one', async () => {
     for (const neighbour of ['a', 'b', 'c']) await crashUnder(['culprit', neighbour]);
     expect(search.isProven('culprit')).to.equal(true);
     expect(search.isProven('a')).to.equal(false);
   });
 
-  it('accuses all that ran beside each other three times, and proves none of them', async () => {
+  it('requires trials of all contents that ran together on three crashed processes, and proves none', async () => {
     for (let end = 0; end < 3; end += 1) await crashUnder(['culprit', 'neighbour']);
     for (const content of ['culprit', 'neighbour']) {
       expect(search.requiresTrial(content)).to.equal(true);
@@ -54,18 +57,18 @@
     }
   });
 
-  it('proves the one whose trial ends a process, and holds nothing against the others from then on', async () => {
+  it('proves a content that crashes a process in its trial, and no longer counts its crashes against others', async () => {
     for (let end = 0; end < 3; end += 1) await crashUnder(['culprit', 'neighbour']);
     await crashUnder(['culprit', 'bystander'], true);
     expect(search.isProven('culprit')).to.equal(true);
-    // It runs once by itself before its callers are let in together: it may be a second culprit.
+    // It still needs a trial, because it may be a second culprit.
     expect(search.requiresTrial('neighbour')).to.equal(true);
     expect(search.mustWaitForRivals('neighbour')).to.equal(false);
     expect(search.unexplainedCrashes('neighbour')).to.have.length(0);
     expect(search.unexplainedCrashes('bystander')).to.have.length(0);
   });
 
-  it('finds out a second culprit that ran beside the first each time by one more end', async () => {
+  it('proves a second culprit that always ran beside the first by one more crash', async () => {
     for (let end = 0; end < 3; end += 1) await crashUnder(['first', 'second']);
     await crashUnder(['first'], true);
     expect(search.isProven('first')).to.equal(true);
@@ -74,7 +77,7 @@
     expect(search.isProven('second')).to.equal(true);
   });
 
-  it('proves the one that is left when all its neighbours have run well', async () => {
+  it('proves the only remaining content after all others on its processes have been served', async () => {
     for (let end = 0; end < 3; end += 1) await crashUnder(['culprit', 'a', 'b']);
     marks.clear('a');
     expect(search.isProven('culprit')).to.equal(false);
@@ -82,7 +85,7 @@
     expect(search.isProven('culprit')).to.equal(true);
   });
 
-  it('does not put two culprits down to one request that ran beside both', async () => {
+  it('does not attribute the crashes of two culprits to one content that ran beside both', async () => {
     await crashUnder(['first', 'neighbour']);
     await crashUnder(['first', 'neighbour']);
     await crashUnder(['second', 'neighbour']);
@@ -90,7 +93,7 @@
     expect(search.requiresTrial('neighbour')).to.equal(true);
   });
 
-  it('lets the one with the most ends wait until the others have run well, and proves it without a trial', async () => {
+  it('makes the content with the most crashes wait until its rivals have been served, and proves it without a trial', async () => {
     for (const neighbour of ['a', 'b']) await crashUnder(['culprit', neighbour]);
     await crashUnder(['culprit', 'a', 'b']);
     expect(search.requiresTrial('culprit')).to.equal(true);
@@ -101,7 +104,7 @@
     expect(search.isProven('culprit')).to.equal(true);
   });
 
-  it('lets the one with the most ends wait for two minutes at most', async () => {
+  it('makes the content with the most crashes wait for at most two minutes', async () => {
     for (const other of ['a', 'b']) await crashUnder(['neighbour', other]);
     await crashUnder(['neighbour', 'a', 'b']);
     expect(search.mustWaitForRivals('neighbour')).to.equal(true);
@@ -110,7 +113,7 @@
     expect(search.requiresTrial('neighbour')).to.equal(true);
   });
 
-  it('proves what ended four processes, whatever ran beside it each time', async () => {
+  it('proves a content that crashed four processes, whatever ran beside it', async () => {
     for (let end = 0; end < 3; end += 1) await crashUnder(['culprit', 'neighbour', 'third']);
     expect(search.isProven('culprit')).to.equal(false);
     await crashUnder(['culprit', 'another']);
@@ -118,7 +121,7 @@
     expect(search.isProven('neighbour')).to.equal(false);
   });
 
-  it('counts an end only when all have had time to tell what ran there', async () => {
+  it('counts a crash only once all daemons have had time to report the contents of the process', async () => {
     for (let end = 0; end < 2; end += 1) await crashUnder(['culprit']);
     const told = { c: 'neighbour', p: 'w2', b: 10, e: 5 };
     await crashUnder(['culprit']);
@@ -128,10 +131,10 @@
   });
 
   /*
-   * Callers that come back at once meet the culprit again where few workers hold a model. Three ends as the only proof refused 0.3 harmless contents
-   * for an hour with three workers and one culprit, 3.1 with four and two, 0.3 with nine and two (means of 40 seeds); 9 at most.
+   * Guards against verdicts on harmless contents whose callers retry at once and so run beside the
+   * culprit again.
    */
-  describe('among callers that come back at once', () => {
+  describe('with callers that retry at once', () => {
     async function play(workers: number, culprits: number): Promise<NeighboursResult[]> {
       const results: NeighboursResult[] = [];
       for (let seed = 1; seed <= 6; seed += 1)
@@ -144,7 +147,7 @@
       [4, 2],
       [9, 2],
     ] as const) {
-      it(`refuses ${String(culprits)} of ${String(workers)} workers' requests for an hour, and the others not`, async () => {
+      it(`refuses the ${String(culprits)} culprits among requests on ${String(workers)} workers, and no others`, async () => {
         for (const result of await play(workers, culprits)) {
           expect(result).to.include({ innocentsRefused: 0, culpritsRefused: culprits });
           expect(result.workersEnded).to.be.at.most(MAX_CRASHES_PER_CULPRIT * culprits);
--- a/packages/quarantine/test/load-quarantine.test.ts
+++ b/packages/quarantine/test/load-quarantine.test.ts
@@ -7,11 +7,11 @@
 
 const MODEL = { model: 'm1' };
 const ADAPTER = { model: 'm1', adapter: 'a1', adapterVersion: 2 };
-/** Service of the scene's back ends. */
+/** Service of the simulated back ends. */
 const SERVICE = backEndOf('any').service;
-/** Of a demand that has time left. */
+/** Signal of a demand whose deadline has not passed. */
 const neverAborted = new AbortController().signal;
-/** Time in which the fate of a process is found out, in milliseconds. */
+/** Time in which the state of a process is determined, in milliseconds. */
 const PROCESS_CHECK_MS = 300;
 
 describe('LoadQuarantine', () => {
@@ -42,7 +42,7 @@
     await deployment.advance(PROCESS_CHECK_MS);
   }
 
-  it('finds out a load under which three processes have ended, and names it in the record', async () => {
+  it('refuses a load that crashed three processes, and names it in the record', async () => {
     for (const id of ['w1', 'w2']) await crashUnder(id);
     expect(loads.verdictOf(SERVICE, MODEL)).to.equal(undefined);
     await crashUnder('w3');
@@ -54,14 +54,14 @@
     expect(directory.all()).to.deep.equal([]);
   });
 
-  it('counts an adapter apart from its model and from its other versions', async () => {
+  it('counts the crashes of an adapter apart from its model and its other versions', async () => {
     for (const id of ['w1', 'w2', 'w3']) await crashUnder(id, ADAPTER);
     expect(loads.verdictOf(SERVICE, ADAPTER)).not.to.equal(undefined);
     expect(loads.verdictOf(SERVICE, MODEL)).to.equal(undefined);
     expect(loads.verdictOf(SERVICE, { ...ADAPTER, adapterVersion: 3 })).to.equal(undefined);
   });
 
-  it('holds nothing against a load whose worker was silent, refused it or went without ending', async () => {
+  it('records no crash for a worker that is unresponsive, refuses a load or is removed while its process runs', async () => {
     order('w1');
     loads.unanswered('w1');
     order('w2');
@@ -79,7 +79,7 @@
     expect(contents.totals.marks).to.equal(1);
   });
 
-  it('learns from another daemon that the process of a load has ended', async () => {
+  it('observes the crash of a process that another daemon reported', async () => {
     const other = deployment.addDaemon();
     order('w1');
     await deployment.crashUnder(other, 'a request', 'w1');
@@ -87,7 +87,7 @@
     expect(loads.isUnderWay(SERVICE, MODEL)).to.equal(false);
   });
 
-  it('lets a suspect be loaded again only when it is known what came of the last load', async () => {
+  it('lets a suspect be loaded again only once the outcome of its last load is known', async () => {
     await crashUnder('w1', ADAPTER);
     const first = await loads.takeTurn(SERVICE, ADAPTER, neverAborted);
     order('w2', ADAPTER);
--- a/packages/quarantine/test/neighbours-simulation.ts
+++ b/packages/quarantine/test/neighbours-simulation.ts
@@ -1,26 +1,26 @@
 /**
- * Requests that end workers among others that do no harm, on virtual time: several daemons, few workers with many requests each, callers that come
- * back at once. Who ran beside a culprit comes back beside it.
+ * Simulates crashing requests among harmless ones: several daemons, and few workers that each run many
+ * requests, so that callers who retry at once run beside a culprit again.
  */
 import { Random, SimulatedProcess, sleep } from '@woodbarrow/runtime';
 import type { RequestQuarantine } from '../src/index.js';
 import { QuarantineDeployment } from './quarantine-deployment.js';
 
 const DAEMONS = 8;
-/** Time after which another process runs in the place of one that has ended, in milliseconds. */
+/** Time until an ended process is replaced, in milliseconds. */
 const RESTART_MS = 3000;
-/** Time after which a culprit ends its process, in milliseconds. */
+/** Time from the start of a culprit until its process crashes, in milliseconds. */
 const CRASH_AFTER_MS = 50;
-/** A caller comes back so often at most, and never later than so many milliseconds after it was told. */
+/** Maximum number of retries of a caller, and the longest retry delay in milliseconds that it accepts. */
 const MAX_RETRIES = 6;
 const MAX_RETRY_AFTER_MS = 10_000;
-/** Time for which new requests come, and until all have ended, in milliseconds. */
+/** Time in which requests arrive, and total time of the simulation, in milliseconds. */
 const TRAFFIC_MS = 24_000;
 const SIMULATION_MS = 60_000;
-/** Time from the third end until all daemons in touch know, in milliseconds. */
+/** Time in which all connected daemons must observe a crash, in milliseconds. */
 export const PROPAGATION_MS = 3000;
 
-/** What is varied. */
+/** Options of {@link NeighboursSimulation}. */
 export interface NeighboursOptions {
   readonly seed: number;
   readonly workers: number;
@@ -28,16 +28,22 @@
   readonly innocents: number;
 }
 
-/** What callers and workers saw. */
+/** Results as observed by callers and workers. */
 export interface NeighboursResult {
-  /** Innocent contents that are refused for an hour, that were run to a good end, and the longest time to it in milliseconds. */
+  /**
+   * Innocent contents with a verdict, innocent contents that were served, and the longest time until
+   * one was served in milliseconds.
+   */
   readonly innocentsRefused: number;
   readonly innocentsServed: number;
   readonly longestMs: number;
   readonly workersEnded: number;
-  /** Most sends of one culprit later than {@link PROPAGATION_MS} after its third end. */
+  /**
+   * Maximum number of times that one culprit was sent later than {@link PROPAGATION_MS} after its
+   * third crash.
+   */
   readonly lateSends: number;
-  /** Culprits that are refused in the end, and those of them that are for an hour. */
+  /** Culprits whose last attempt was refused, and culprits with a verdict. */
   readonly culpritsRefused: number;
   readonly culpritsProven: number;
 }
@@ -49,11 +55,10 @@
 interface CulpritHistory {
   readonly sends: number[];
   readonly crashes: number[];
-  /** Whether its last attempt was refused. */
   isRefused: boolean;
 }
 
-/** One play. */
+/** Runs one simulation. */
 export class NeighboursSimulation {
   private readonly deployment = new QuarantineDeployment();
   private readonly clock = new SimulatedProcess(this.deployment.world, {
@@ -89,7 +94,7 @@
     this.runs.set(`w${String(this.started)}`, new Set());
   }
 
-  /** Its callers come again and again, at any daemon. */
+  /** Resends a culprit to random daemons. */
   private async callCulprit(content: string): Promise<void> {
     const history: CulpritHistory = { sends: [], crashes: [], isRefused: false };
     this.culprits.set(content, history);
@@ -101,7 +106,7 @@
     }
   }
 
-  /** Its caller comes back as it is told, and at once after an answer that broke off. */
+  /** Sends an innocent content, retrying after the reported delay, and soon after a broken response. */
   private async callInnocent(content: string): Promise<void> {
     await this.pause(this.random.between(0, TRAFFIC_MS));
     const startedAt = this.clock.monotonic();
@@ -193,7 +198,7 @@
   }
 }
 
-/** What a caller saw. */
+/** Outcome of one attempt as observed by the caller. */
 type Outcome =
   { readonly kind: 'served' | 'broken' } | { readonly kind: 'refused'; readonly retryAfterMs: number };
 
--- a/packages/quarantine/test/quarantine-deployment.ts
+++ b/packages/quarantine/test/quarantine-deployment.ts
@@ -1,4 +1,4 @@
-/** Quarantines of several daemons on virtual time, the processes that they ask after, and the store. */
+/** Simulates the quarantines of several daemons, the processes that they probe, and the store. */
 import { NO_NEARBY_COPIES, type BackEnd } from '@woodbarrow/backends';
 import { silentLog } from '@woodbarrow/observability';
 import { Random, SimulatedProcess, SimulatedWorld } from '@woodbarrow/runtime';
@@ -10,30 +10,30 @@
   type QuarantineRecord,
 } from '../src/index.js';
 
-/** Time that word takes from one daemon to the others, in milliseconds. */
+/** Delay until published marks reach other daemons, in milliseconds. */
 const PUBLISH_LATENCY_MS = 300;
 
-/** A deployment reduced to what the quarantine sees of it. */
+/** Simulates a deployment as the quarantine observes it. */
 export class QuarantineDeployment {
   readonly world = new SimulatedWorld();
   readonly daemons: RequestQuarantine[] = [];
-  /** All that the store holds, evidence included. */
+  /** All stored records. */
   readonly entries = new Map<string, QuarantineEntry>();
-  /** Processes that have ended; all others answer. */
+  /** Processes that have ended. All others answer probes. */
   readonly ended = new Set<string>();
-  /** Daemons that hear nothing of others, and tell nothing. */
+  /** Daemons that exchange no marks with others. */
   readonly partitioned = new Set<RequestQuarantine>();
   isStoreDown = false;
   private readonly clock = new SimulatedProcess(this.world, { name: 'scene', zone: 'a', region: 'r' });
   private started = 0;
 
-  /** Verdicts that the store holds. */
+  /** Stored verdicts. */
   get records(): ReadonlyMap<string, QuarantineRecord> {
     const verdicts = [...this.entries.values()].filter(isVerdict);
     return new Map(verdicts.map((record) => [record.content, record]));
   }
 
-  /** Starts a daemon; it reads the store's records before it serves. */
+  /** Starts a daemon with the stored records. */
   addDaemon(): RequestQuarantine {
     this.started += 1;
     const process = new SimulatedProcess(this.world, {
@@ -80,7 +80,7 @@
     return daemon;
   }
 
-  /** Sends what a daemon knows to all that it reaches. */
+  /** Sends the marks of a daemon to all connected daemons. */
   publishFrom(daemon: RequestQuarantine): void {
     if (this.partitioned.has(daemon) || !this.daemons.includes(daemon)) return;
     for (const other of this.daemons) {
@@ -88,25 +88,25 @@
     }
   }
 
-  /** The store becomes what it was, and all daemons list its records. */
+  /** Restores the store from a backup; all daemons list its records. */
   restore(copy: ReadonlyMap<string, QuarantineEntry>): void {
     this.entries.clear();
     for (const [name, entry] of copy) this.entries.set(name, entry);
     for (const daemon of this.daemons) daemon.recordsRestored([...copy.values()]);
   }
 
-  /** An operator lifts a verdict. */
+  /** Lifts a verdict as an operator does. */
   lift(content: string): void {
     this.entries.delete(content);
     for (const daemon of this.daemons) daemon.recordGone(content);
   }
 
-  /** All daemons are killed: what they knew is lost, but for the store. */
+  /** Kills all daemons. Only the store survives. */
   killAll(): void {
     for (const daemon of this.daemons.splice(0)) daemon.abort();
   }
 
-  /** A run of a content by way of a daemon, under which the process ends. */
+  /** Runs a content through a daemon and ends its process. */
   async crashUnder(daemon: RequestQuarantine, content: string, processId: string, ranMs = 50): Promise<void> {
     const sentAt = this.world.now;
     await this.advance(ranMs);
@@ -115,7 +115,7 @@
     await this.advance(1000);
   }
 
-  /** An answer breaks off. */
+  /** Breaks off a response. */
   breakOff(daemon: RequestQuarantine, content: string, processId: string, sentAt: number): void {
     const backEnd = backEndOf(processId);
     daemon.noteBroken({ content, requestId: 'r', route: 'route', backEnd, wasLeaving: false, sentAt });
--- a/packages/quarantine/test/request-quarantine.test.ts
+++ b/packages/quarantine/test/request-quarantine.test.ts
@@ -3,7 +3,7 @@
 import { backEndOf, QuarantineDeployment } from './quarantine-deployment.js';
 
 const CONTENT = 'crashes';
-/** Of a request that has time left. */
+/** Signal of a request whose deadline has not passed. */
 const neverAborted = new AbortController().signal;
 
 function isRefused(daemon: RequestQuarantine, content = CONTENT): boolean {
@@ -16,7 +16,7 @@
   let second: RequestQuarantine;
   let third: RequestQuarantine;
 
-  /** Content and process of each end that stands in a record of ends. */
+  /** Returns the content and process of each crash in batch records. */
   function recordedCrashes(): string[] {
     const records = [...deployment.entries.values()].flatMap((entry) => ('ends' in entry ? entry.ends : []));
     return records.map(({ suspect, processId }) => `${suspect} ${processId}`);
@@ -29,7 +29,7 @@
     third = deployment.addDaemon();
   });
 
-  it('refuses at one daemon what one client sent again until three processes had ended', async () => {
+  it('refuses a content at the daemon that resent it until three processes crashed', async () => {
     await deployment.crashUnder(first, CONTENT, 'w1');
     await deployment.crashUnder(first, CONTENT, 'w2');
     expect(isRefused(first)).to.equal(false);
@@ -39,7 +39,7 @@
     expect(isRefused(first, 'another')).to.equal(false);
   });
 
-  it('refuses it at every daemon within a second, whichever of them saw the ends', async () => {
+  it('refuses a content at every daemon within a second, whichever daemons observed its crashes', async () => {
     await deployment.crashUnder(first, CONTENT, 'w1');
     await deployment.crashUnder(second, CONTENT, 'w2');
     await deployment.crashUnder(third, CONTENT, 'w3');
@@ -47,7 +47,7 @@
     expect(deployment.records.get(CONTENT)?.processes).to.have.members(['w1', 'w2', 'w3']);
   });
 
-  it('finds out a content that was sent by three daemons at once to three processes, at its next end', async () => {
+  it('refuses a content that crashed three processes concurrently through three daemons after its next crash', async () => {
     await Promise.all([
       deployment.crashUnder(first, CONTENT, 'w1'),
       deployment.crashUnder(second, CONTENT, 'w2'),
@@ -58,12 +58,12 @@
     expect(deployment.daemons.every((daemon) => isRefused(daemon))).to.equal(true);
   });
 
-  it('is known to a daemon that starts after the verdict, before it serves', async () => {
+  it('applies a stored verdict at a daemon that starts later, before it serves', async () => {
     for (const id of ['w1', 'w2', 'w3']) await deployment.crashUnder(first, CONTENT, id);
     expect(isRefused(deployment.addDaemon())).to.equal(true);
   });
 
-  it('is known after all daemons were killed right after the third end was found out', async () => {
+  it('retains a verdict when all daemons are killed right after the third crash was confirmed', async () => {
     for (const id of ['w1', 'w2']) await deployment.crashUnder(first, CONTENT, id);
     const sentAt = deployment.world.now;
     await deployment.advance(50);
@@ -74,11 +74,8 @@
     expect(isRefused(deployment.addDaemon())).to.equal(true);
   });
 
-  /*
-   * What users saw: a request under which ten and twelve workers ended, sent six times more than allowed, while all daemons were
-   * killed every six seconds. Two ends were known each time, and forgotten with all daemons: marks lived in memory until the verdict.
-   */
-  it('is found out though all daemons are killed again and again before the third end', async () => {
+  /* Guards against losing crashes when all daemons are killed before the third one. */
+  it('refuses a content after three crashes even if all daemons are killed before the third', async () => {
     await deployment.crashUnder(first, CONTENT, 'w1');
     await deployment.crashUnder(first, CONTENT, 'w2');
     await deployment.advance(100);
@@ -92,7 +89,7 @@
     expect(isRefused(deployment.addDaemon())).to.equal(true);
   });
 
-  it('is found out though all daemons are killed after each single end', async () => {
+  it('refuses a content after three crashes even if all daemons are killed after each one', async () => {
     let daemon = first;
     for (const id of ['w1', 'w2', 'w3']) {
       await deployment.crashUnder(daemon, CONTENT, id);
@@ -103,7 +100,7 @@
     expect(isRefused(daemon)).to.equal(true);
   });
 
-  it('is found out by daemons that were cut from each other, once they hear of each other again', async () => {
+  it('refuses a content once partitioned daemons have exchanged their crashes', async () => {
     deployment.partitioned.add(third);
     deployment.isStoreDown = true;
     await deployment.crashUnder(first, CONTENT, 'w1');
@@ -119,7 +116,7 @@
     expect(deployment.records.has(CONTENT)).to.equal(true);
   });
 
-  it('is found out by a daemon that is cut from the others, by what the store keeps', async () => {
+  it('refuses a content at a partitioned daemon by the crashes in the store', async () => {
     deployment.partitioned.add(third);
     await deployment.crashUnder(first, CONTENT, 'w1');
     await deployment.crashUnder(first, CONTENT, 'w2');
@@ -127,7 +124,7 @@
     expect(isRefused(third)).to.equal(true);
   });
 
-  it('keeps evidence from the first end on, until the content has run well', async () => {
+  it('retains stored evidence from the first crash until the content has been served', async () => {
     await deployment.crashUnder(first, CONTENT, 'w1');
     expect(recordedCrashes()).to.deep.equal([`${CONTENT} w1`]);
     expect(deployment.entries.size).to.equal(1);
@@ -142,7 +139,7 @@
     expect(deployment.daemons.some((daemon) => isRefused(daemon))).to.equal(false);
   });
 
-  it('removes evidence once its marks have run out', async () => {
+  it('removes stored evidence once its marks have expired', async () => {
     await deployment.crashUnder(first, CONTENT, 'w1');
     await deployment.crashUnder(first, CONTENT, 'w2');
     await deployment.advance(100);
@@ -151,7 +148,7 @@
     expect(deployment.entries.size).to.equal(0);
   });
 
-  it('is refused while the store is down, and kept as soon as the store is back', async () => {
+  it('refuses a content while the store is unavailable, and stores the verdict once it is available', async () => {
     deployment.isStoreDown = true;
     for (const id of ['w1', 'w2', 'w3']) await deployment.crashUnder(first, CONTENT, id);
     expect(isRefused(third)).to.equal(true);
@@ -161,7 +158,7 @@
     expect(deployment.records.has(CONTENT)).to.equal(true);
   });
 
-  it('holds nothing against 60 requests that were under way in a rack that failed, nor against those that came again', async () => {
+  it('records no verdict for 60 requests on a failed rack, even if they are resent', async () => {
     const rack = ['w1', 'w2', 'w3', 'w4', 'w5'];
     const contents = Array.from({ length: 60 }, (_, index) => `innocent-${String(index)}`);
     const sentAt = deployment.world.now;
@@ -169,18 +166,18 @@
     for (const id of rack) deployment.ended.add(id);
     contents.forEach((content, index) => {
       deployment.breakOff(first, content, rack[index % rack.length] as string, sentAt);
-      // One that many send at once was on each of them.
+      // A popular content ran on each of the processes.
       deployment.breakOff(second, 'popular', rack[index % rack.length] as string, sentAt);
     });
     await deployment.advance(1000);
-    // Their clients come again, and one more process ends under all of them.
+    // Clients resend the contents, and one more process ends under all of them.
     await Promise.all(
       [...contents, 'popular'].slice(0, 60).map((content) => deployment.crashUnder(third, content, 'w6')),
     );
     for (const content of contents) expect(isRefused(first, content)).to.equal(false);
   });
 
-  it('holds nothing against a content that many send at once, when a rack fails under it', async () => {
+  it('records no verdict for a popular content that ran on all processes of a failed rack', async () => {
     const sentAt = deployment.world.now;
     await deployment.advance(200);
     for (const id of ['w1', 'w2', 'w3', 'w4']) {
@@ -191,7 +188,7 @@
     expect(deployment.daemons.some((daemon) => isRefused(daemon, 'popular'))).to.equal(false);
   });
 
-  it('holds nothing against requests whose connections were reset while the processes live on', async () => {
+  it('records no crash for requests whose connections were reset while the processes run', async () => {
     for (const id of ['w1', 'w2', 'w3', 'w4']) {
       deployment.breakOff(first, CONTENT, id, deployment.world.now);
       await deployment.advance(500);
@@ -199,7 +196,7 @@
     expect(first.totals).to.deep.equal({ marks: 0, suspects: 0, quarantined: 0 });
   });
 
-  it('holds nothing against requests of processes that ended because they were leaving', async () => {
+  it('records no crash for requests on processes that were draining', async () => {
     for (const processId of ['w1', 'w2', 'w3']) {
       deployment.ended.add(processId);
       first.noteBroken({
@@ -215,7 +212,7 @@
     expect(isRefused(first)).to.equal(false);
   });
 
-  it('clears a content at a good run between two ends, at every daemon', async () => {
+  it('clears a content at every daemon when a run between two crashes succeeds', async () => {
     await deployment.crashUnder(first, CONTENT, 'w1');
     await deployment.crashUnder(second, CONTENT, 'w2');
     third.noteServed(CONTENT);
@@ -225,7 +222,7 @@
     expect(first.totals.suspects).to.equal(1);
   });
 
-  it('lets a content run again once its record is lifted, until it has ended three more', async () => {
+  it('lets a content run after its verdict is lifted, until it has crashed three more processes', async () => {
     for (const id of ['w1', 'w2', 'w3']) await deployment.crashUnder(first, CONTENT, id);
     deployment.entries.delete(CONTENT);
     for (const daemon of deployment.daemons) daemon.recordGone(CONTENT);
@@ -234,7 +231,7 @@
     expect(deployment.daemons.every((daemon) => isRefused(daemon))).to.equal(true);
   });
 
-  it('forgets a verdict that no store has taken once its marks have run out', async () => {
+  it('drops a verdict that was never stored once its marks have expired', async () => {
     deployment.isStoreDown = true;
     for (const id of ['w1', 'w2', 'w3']) await deployment.crashUnder(first, CONTENT, id);
     expect(isRefused(first)).to.equal(true);
@@ -243,14 +240,14 @@
     expect(deployment.daemons.some((daemon) => isRefused(daemon))).to.equal(false);
   });
 
-  it('removes a record whose time is over', async () => {
+  it('removes an expired record', async () => {
     for (const id of ['w1', 'w2', 'w3']) await deployment.crashUnder(first, CONTENT, id);
     await deployment.advance(QUARANTINE_MS + 61_000);
     expect(deployment.records.size).to.equal(0);
     expect(isRefused(second)).to.equal(false);
   });
 
-  it('lets one attempt of a suspect run at a time, and the next one only when the fate of the last is known', async () => {
+  it('runs one attempt of a suspect at a time, and the next one only once the process of the last has been checked', async () => {
     await deployment.crashUnder(first, CONTENT, 'w1');
     const turn = await first.takeTurn(CONTENT, neverAborted);
     let hasNext = false;
@@ -266,7 +263,7 @@
     expect(hasNext).to.equal(true);
   });
 
-  it('lets nobody wait for a turn beyond its time', async () => {
+  it('stops waiting for a slot when the request is aborted', async () => {
     await deployment.crashUnder(first, CONTENT, 'w1');
     await first.takeTurn(CONTENT, neverAborted);
     const expired = new AbortController();
@@ -279,7 +276,7 @@
     expect(hasEnded).to.equal(true);
   });
 
-  it('lets all that wait for a turn go on once the content has run well', async () => {
+  it('admits all attempts that wait for a slot once the content has been served', async () => {
     await deployment.crashUnder(first, CONTENT, 'w1');
     const turn = await first.takeTurn(CONTENT, neverAborted);
     let going = 0;
@@ -293,7 +290,7 @@
     expect(going).to.equal(5);
   });
 
-  it('keeps two contents that have ended several processes each off the same one', async () => {
+  it('keeps two contents that have each crashed several processes off the same process', async () => {
     for (const content of ['a', 'b']) {
       for (const id of ['w1', 'w2']) await deployment.crashUnder(first, content, `${content}-${id}`);
     }
--- a/packages/quarantine/test/restored-records.test.ts
+++ b/packages/quarantine/test/restored-records.test.ts
@@ -5,10 +5,10 @@
 const CONTENT = 'crashes';
 
 /**
- * A store that is restored from a copy lacks verdicts and evidence written since, and shows verdicts again that an operator has lifted. A listing without a
- * verdict was taken for its lifting: the content ran again, and ended three more processes.
+ * Guards against taking a record that is missing from a restored store for a lifted verdict, and
+ * against restoring lifted verdicts.
  */
-describe('RequestQuarantine and a store that is restored from a copy', () => {
+describe('RequestQuarantine after its store is restored from a backup', () => {
   let deployment: QuarantineDeployment;
   let first: RequestQuarantine;
   let copy: ReadonlyMap<string, QuarantineEntry>;
@@ -32,7 +32,7 @@
     takeCopy();
   });
 
-  it('goes on refusing what the copy does not know, and writes the verdict again', async () => {
+  it('keeps refusing a content whose verdict the backup lacks, and writes the verdict again', async () => {
     await prove();
     deployment.restore(copy);
     expect(isRefusedEverywhere()).to.equal(true);
@@ -42,7 +42,7 @@
     expect(deployment.addDaemon().verdictOf(CONTENT)).not.to.equal(undefined);
   });
 
-  it('keeps a verdict while it is being written again, also when the records are listed meanwhile', async () => {
+  it('retains a verdict that is being rewritten, even if a listing lacks it', async () => {
     await prove();
     deployment.isStoreDown = true;
     deployment.restore(copy);
@@ -53,7 +53,7 @@
     expect([...deployment.records.keys()]).to.deep.equal([CONTENT]);
   });
 
-  it('writes evidence again that the copy lacks', async () => {
+  it('writes evidence again that the backup lacks', async () => {
     await deployment.crashUnder(first, CONTENT, 'w1');
     await deployment.crashUnder(first, CONTENT, 'w2');
     const names = [...deployment.entries.keys()].sort();
@@ -63,7 +63,7 @@
     expect([...deployment.entries.keys()].sort()).to.deep.equal(names);
   });
 
-  it('does not take up again what an operator lifted, and removes it from the store', async () => {
+  it('does not apply a verdict that an operator had lifted, and removes it from the store', async () => {
     await prove();
     takeCopy();
     deployment.lift(CONTENT);
--- a/packages/quota/test/quota-world.ts
+++ b/packages/quota/test/quota-world.ts
@@ -1,4 +1,4 @@
-/** Daemons, granters and callers on virtual time; judges what reaches the workers as the users do. */
+/** Simulates daemons, allocators and callers, and measures the units that reach the workers. */
 import { CoordinatorDirectory } from '@woodbarrow/exchange';
 import type { QuotaOutcome, RequestQuota, TenantQuota } from '@woodbarrow/forwarding';
 import { CallFailures, silentLog } from '@woodbarrow/observability';
@@ -11,41 +11,40 @@
 export const ALLOWANCE: UnitAllowance = { windowMs: 8000, overshoot: 0.1, slack: 110_000 };
 /** Time from the start of the daemons to the first requests, in milliseconds. */
 const WARM_UP_MS = 12_000;
-/** Pause between two words of claims, in milliseconds. */
+/** Interval between publications of lease claims, in milliseconds. */
 const CLAIM_INTERVAL_MS = 300;
 
-/** A run of a request at a worker. */
+/** A request that reached a worker. */
 interface Run {
   readonly at: number;
   readonly units: number;
 }
 
-/** A tenant, and what its callers ask for. */
+/** A tenant and its load. */
 export interface TenantLoad {
   readonly name: string;
   quota: TenantQuota;
-  /** Units asked for a second, over all its callers. */
+  /** Units requested per second by all callers. */
   unitsPerSecond: number;
-  /** Daemons that its callers are connected to. */
+  /** Indices of the daemons that the callers are connected to. */
   readonly daemons: readonly number[];
 }
 
-/** What one tenant's callers got. */
+/** Units of one tenant, in total. */
 export interface TenantResult {
   readonly asked: number;
   readonly ran: number;
-  /** Asked for while the limit, as one bucket for all, had room. */
+  /** Units that a single bucket of the limit would have granted. */
   readonly entitled: number;
-  /** Of that, refused. */
+  /** Entitled units that were refused. */
   readonly wronglyRefused: number;
-  /** Largest use of any window, as a part of what is allowed. */
+  /** Largest use in any window, as a fraction of the allowed use. */
   readonly peakUsage: number;
 }
 
-/** How limits are kept on a daemon. */
+/** Creates the quota implementation of a daemon. */
 export type QuotaFactory = (daemon: WorldDaemon, world: QuotaWorld) => RequestQuota;
 
-/** One daemon. */
 export interface WorldDaemon {
   readonly index: number;
   readonly name: string;
@@ -55,7 +54,7 @@
   quota: RequestQuota;
 }
 
-/** Sizes of requests as the users' callers send them: a few large ones carry most of the units. */
+/** Draws the size of a request. A few large requests carry most of the units. */
 function requestUnits(random: Random): number {
   const kind = random.next();
   if (kind < 0.45) return Math.min(60_000, 4000 + random.exponential(5200));
@@ -64,7 +63,7 @@
 
 const MEAN_UNITS = 0.45 * 9200 + 0.25 * 1100 + 0.3 * 200;
 
-/** The bucket that the limit describes, one for all daemons. */
+/** Reference bucket of a limit, shared by all daemons. */
 class LimitBucket {
   private level: number;
   private at = 0;
@@ -88,12 +87,12 @@
   }
 }
 
-/** The world. */
+/** Simulates a deployment that enforces tenants' limits. */
 export class QuotaWorld {
   readonly cluster: SimulatedCluster;
   readonly daemons: WorldDaemon[] = [];
   readonly random: Random;
-  /** Questions to granters, and requests, so far. */
+  /** Calls to allocators, and requests, since the start. */
   allocatorCalls = 0;
   requests = 0;
   private readonly leases: ZoneLeases;
@@ -130,7 +129,7 @@
     for (const tenant of this.tenants) for (const daemon of tenant.daemons) this.sendNext(tenant, daemon);
   }
 
-  /** Ends a daemon's process and starts it again after a while; a zone that it held gets another granter. */
+  /** Kills a daemon and restarts it after a delay. Its zones get another allocator. */
   async restart(index: number, downMs: number): Promise<void> {
     const daemon = this.daemons[index];
     if (daemon === undefined) return;
@@ -140,7 +139,7 @@
     Object.assign(daemon, await this.startDaemon(index, daemon.zone));
   }
 
-  /** Changes a tenant's limit everywhere. */
+  /** Changes a tenant's limit on all daemons. */
   changeQuota(name: string, quota: TenantQuota): void {
     const tenant = this.tenants.find((candidate) => candidate.name === name);
     if (tenant === undefined) return;
@@ -211,7 +210,7 @@
     if (isEntitled) this.entitledUnits.set(tenant.name, (this.entitledUnits.get(tenant.name) ?? 0) + units);
     const outcome = await this.acquire(daemon, tenant, units);
     if (outcome.kind === 'granted') {
-      // A daemon that is frozen or killed sends nothing; it asks again whether the right still holds when it wakes.
+      // A paused or killed daemon sends nothing. A resumed one checks again that its units are valid.
       daemon.node.process.deliver(() => {
         if (outcome.ticket.isValid()) this.runs.get(tenant.name)?.push({ at: this.now, units });
       });
@@ -241,7 +240,7 @@
   return ((ratePerSecond * windowMs) / 1000 + burst) * (1 + overshoot) + slack;
 }
 
-/** Largest sum over any window. */
+/** Returns the largest sum of units in any window. */
 function peakWindowUnits(runs: readonly Run[]): number {
   let peak = 0;
   let sum = 0;
@@ -257,7 +256,7 @@
   return peak;
 }
 
-/** Units that granters hand out ahead. */
+/** Creates gates that share the limit through allocators. */
 export const sharedUnits: QuotaFactory = (daemon, world) =>
   new QuotaGate({
     daemon: daemon.name,
@@ -279,7 +278,7 @@
   };
 }
 
-/** The baseline: each daemon has an equal part of the limit and of what is allowed beyond it. */
+/** Baseline that gives each daemon an equal share of the limit and of the tolerated overshoot. */
 export function fixedShares(daemons: number): QuotaFactory {
   return ({ node }) => {
     const levels = new Map<string, { level: number; at: number }>();
--- a/packages/quota/test/quota.test.ts
+++ b/packages/quota/test/quota.test.ts
@@ -4,7 +4,7 @@
 import { QuotaWorld, fixedShares, sharedUnits, type QuotaFactory, type TenantLoad } from './quota-world.js';
 
 const DAEMONS = 40;
-/** Limits leave tenants this many times what they ask for on average, as the users' do. */
+/** Ratio of a tenant's limit to its average load. */
 const LIMIT_HEADROOM = 1.8;
 const TENANTS = [
   { name: 'large', unitsPerSecond: 320_000, callers: 20 },
@@ -12,7 +12,7 @@
   { name: 'small', unitsPerSecond: 16_000, callers: 3 },
 ];
 const SEEDS = [1, 2, 3, 4, 5];
-/** One tenant sends this many times its usual. */
+/** Factor by which an overloading tenant exceeds its usual load. */
 const OVERLOAD_FACTOR = 6;
 
 function loads(seed: number): TenantLoad[] {
@@ -36,7 +36,7 @@
   return world;
 }
 
-/** A quiet time, one in which the largest tenant sends many times its usual, and a quiet one. */
+/** Multiplies the load of the largest tenant for some time between two normal periods. */
 async function overloadLargestTenant({ cluster, tenants: [largest] }: QuotaWorld): Promise<void> {
   await cluster.advance(10_000);
   if (largest !== undefined) largest.unitsPerSecond *= OVERLOAD_FACTOR;
@@ -45,12 +45,12 @@
   await cluster.advance(5000);
 }
 
-/** All tenants ask for more than they may, while daemons and granters are killed, frozen, and cut off. */
+/** Overloads all tenants while daemons and allocators are killed, paused and partitioned. */
 async function injectFaults(world: QuotaWorld): Promise<void> {
   const { cluster, random, tenants } = world;
   for (const tenant of tenants) tenant.unitsPerSecond *= OVERLOAD_FACTOR;
   for (let round = 0; round < 10; round += 1) {
-    // The first four daemons are granters.
+    // The first four daemons run the allocators.
     const target = random.next() < 0.4 ? random.integer(4) : random.integer(DAEMONS);
     const fault = random.next();
     const daemon = world.daemons[target];
@@ -65,14 +65,14 @@
   }
 }
 
-/** Refused although owed, as a part of what was owed. */
+/** Returns the refused fraction of the units to which a tenant is entitled. */
 function wronglyRefused(world: QuotaWorld, name: string): number {
   const result = world.resultOf(name);
   return result.wronglyRefused / result.entitled;
 }
 
-describe('limits of tenants over all daemons', () => {
-  it('let tenants below their limit through', async () => {
+describe('deployment-wide tenant limits', () => {
+  it('admit tenants below their limit', async () => {
     for (const seed of SEEDS) {
       const world = await simulate(sharedUnits, seed, (each) => each.cluster.advance(20_000));
       for (const { name } of TENANTS) {
@@ -82,7 +82,7 @@
     }
   });
 
-  it('give a tenant that asks for far more what it may have, and take nothing from others', async () => {
+  it('grant an overloading tenant its limit without refusing other tenants', async () => {
     for (const seed of SEEDS) {
       const world = await simulate(sharedUnits, seed, overloadLargestTenant);
       const { ran, entitled, peakUsage } = world.resultOf('large');
@@ -95,7 +95,7 @@
   for (const firstSeed of [1, 6, 11, 16]) {
     const lastSeed = firstSeed + 4;
     const seeds = `seeds ${String(firstSeed)} to ${String(lastSeed)}`;
-    it(`are kept in every window while daemons and granters are killed, frozen and cut off, ${seeds}`, async () => {
+    it(`hold in every window while daemons and allocators are killed, paused and partitioned, ${seeds}`, async () => {
       for (let seed = firstSeed; seed <= lastSeed; seed += 1) {
         const world = await simulate(sharedUnits, seed, injectFaults);
         for (const { name } of TENANTS) {
@@ -107,7 +107,7 @@
     });
   }
 
-  it('follow a limit that is lowered far below what is asked for', async () => {
+  it('take effect when lowered far below the load', async () => {
     const world = await simulate(sharedUnits, 7, async (each) => {
       await each.cluster.advance(6000);
       const [largest] = each.tenants;
@@ -121,11 +121,10 @@
   });
 
   /**
-   * Against fixed shares, on the same seeds: of what a tenant near its limit is owed, an equal share for each daemon refuses half, and nearly
-   * all of a small tenant, whose share is less than one request. Granted units refuse none of the small one and give the large one what it
-   * is owed to the hundredth, with other requests than a single bucket would take.
+   * Compares with fixed shares on the same seeds. These refuse much of a tenant near its limit, and
+   * almost all of a small one whose share is less than one request.
    */
-  it('refuse far less than an equal share for each daemon does', async () => {
+  it('refuse far less than fixed equal shares per daemon', async () => {
     for (const seed of SEEDS) {
       const world = await simulate(sharedUnits, seed, overloadLargestTenant);
       const shared = await simulate(fixedShares(DAEMONS), seed, overloadLargestTenant);
@@ -138,13 +137,13 @@
     }
   });
 
-  it('need no question for most requests of a tenant far below its limit', async () => {
+  it('need no allocator call for most requests of a tenant far below its limit', async () => {
     const world = await simulate(sharedUnits, 1, (each) => each.cluster.advance(20_000));
     expect(world.allocatorCalls / world.requests).to.be.below(0.6);
   });
 });
 
-describe('a gate', () => {
+describe('QuotaGate', () => {
   const quota = { unit: 'tokens' as const, ratePerSecond: 10_000, burst: 10_000, plainTokens: 200 };
 
   interface QuietWorld {
@@ -166,7 +165,7 @@
     return { world, ask };
   }
 
-  it('says when to come back, and grants then', async () => {
+  it('reports a retry delay, and grants the request after it', async () => {
     const { world, ask } = await worldWithoutRequests();
     let units = 0;
     let outcome = await ask(9000);
@@ -179,12 +178,12 @@
     expect(outcome.retryAfterMs).to.be.within(1, 4000);
     const before = world.allocatorCalls;
     expect((await ask(9000)).kind).to.equal('over_limit');
-    expect(world.allocatorCalls, 'known without a question').to.equal(before);
+    expect(world.allocatorCalls, 'refused without an allocator call').to.equal(before);
     await world.cluster.advance(outcome.retryAfterMs);
     expect((await ask(9000)).kind).to.equal('granted');
   });
 
-  it('lets units that were not used run another request, until they lapse', async () => {
+  it('lets unused units serve another request until they expire', async () => {
     const { world, ask } = await worldWithoutRequests();
     const first = await ask(9000);
     if (first.kind !== 'granted') throw new Error(first.kind);
@@ -199,7 +198,7 @@
     expect(second.ticket.isValid()).to.equal(false);
   });
 
-  it('waits for a granter for a while, and then says that none answers', async () => {
+  it('waits a limited time for an allocator, then reports that none is available', async () => {
     const { world, ask } = await worldWithoutRequests();
     for (let index = 0; index < 4; index += 1) world.daemons[index]?.node.process.kill();
     const askedAt = world.now;
--- a/packages/quota/test/rate-limit-world.ts
+++ b/packages/quota/test/rate-limit-world.ts
@@ -1,4 +1,7 @@
-/** Daemons, the granter of a zone, and one back end that limits its rate, on virtual time; judges what reaches the back end. */
+/**
+ * Simulates daemons, the allocator of a zone and one rate-limited back end, and measures the requests
+ * that reach it.
+ */
 import { NO_NEARBY_COPIES, type BackEnd } from '@woodbarrow/backends';
 import { CoordinatorDirectory } from '@woodbarrow/exchange';
 import {
@@ -16,23 +19,23 @@
 import { ZoneLeases } from './zone-leases.js';
 
 const ZONES = ['alpha', 'beta', 'gamma'];
-/** What may reach a back end beyond its limit. */
+/** Tolerated requests beyond the limit. */
 export const RATE_LIMIT_ALLOWANCE: UnitAllowance = { windowMs: 4000, overshoot: 0.5, slack: 5 };
-/** Time from the first word of a limit until all daemons must keep it, in milliseconds. */
+/** Time after which all daemons must apply a new limit, in milliseconds. */
 const SETTLE_MS = 3000;
-/** Time for which a daemon must have known of a limit before what it sends counts, in milliseconds. */
+/** Time for which a daemon must have observed the limit before its requests count, in milliseconds. */
 const NOTIFIED_GRACE_MS = 500;
-/** Pause between two words of claims, in milliseconds. */
+/** Interval between publications of lease claims, in milliseconds. */
 const CLAIM_INTERVAL_MS = 300;
-/** Longest time until news have come to another daemon, in milliseconds. */
+/** Maximum delay until a report reaches another daemon, in milliseconds. */
 const MAX_GOSSIP_DELAY_MS = 400;
-/** Part of the daemons that news do not come to. */
+/** Fraction of reports that are lost. */
 const LOST_GOSSIP_FRACTION = 0.2;
-/** Longest time for which the next request of a daemon is drawn ahead, in milliseconds. */
+/** Maximum time ahead for which the next request of a daemon is drawn, in milliseconds. */
 const MAX_DRAW_INTERVAL_MS = 500;
-/** Longest way of a request to the back end, with a new connection, in milliseconds. */
+/** Maximum delay of a request over a new connection, in milliseconds. */
 const MAX_NEW_CONNECTION_DELAY_MS = 400;
-/** Part of the requests that need a new connection. */
+/** Fraction of requests that need a new connection. */
 const NEW_CONNECTION_FRACTION = 0.1;
 const MAX_DELAY_MS = 3;
 const RESPONSE_MS = 30;
@@ -54,7 +57,6 @@
   readonly isCounted: boolean;
 }
 
-/** One daemon. */
 export interface RateLimitDaemon {
   readonly index: number;
   readonly name: string;
@@ -63,21 +65,21 @@
   notices: BackendNotices;
   coordinators: CoordinatorDirectory;
   permits: SendPermits;
-  /** Virtual time at which it was first told of the limit in this run. */
+  /** Virtual time at which the daemon first received the limit in this run of its process. */
   notifiedAt: number | undefined;
 }
 
-/** How permits are had on a daemon. */
+/** Creates the permit implementation of a daemon. */
 export type PermitFactory = (daemon: RateLimitDaemon, world: RateLimitWorld) => SendPermits;
 
-/** The world. */
+/** Simulates a deployment with one rate-limited back end. */
 export class RateLimitWorld {
   readonly cluster: SimulatedCluster;
   readonly daemons: RateLimitDaemon[] = [];
   readonly random: Random;
-  /** What the back end names now; undefined when nothing. */
+  /** Limit that the back end announces now; undefined for none. */
   requestsPerSecond: number | undefined;
-  /** Requests a second that its callers bring to each daemon, by index. */
+  /** Returns the requests per second that arrive at a daemon, by its index. */
   demand: (daemon: number) => number = () => 0;
   allocatorCalls = 0;
   requests = 0;
@@ -102,7 +104,6 @@
     await this.cluster.advance(1000);
   }
 
-  /** A daemon joins. */
   async addDaemon(): Promise<void> {
     const index = this.daemons.length;
     const daemon = await this.startDaemon(index, ZONES[index % ZONES.length] ?? '');
@@ -110,7 +111,7 @@
     this.sendNext(index);
   }
 
-  /** Ends a daemon's process and starts it again after a while; a zone that it held gets another granter. */
+  /** Kills a daemon and restarts it after a delay. Its zones get another allocator. */
   async restart(index: number, downMs: number): Promise<void> {
     const daemon = this.daemons[index];
     if (daemon === undefined) return;
@@ -120,19 +121,22 @@
     Object.assign(daemon, await this.startDaemon(index, daemon.zone));
   }
 
-  /** Names a limit, lets it settle, and forgets what arrived before. */
+  /** Sets the announced limit, waits until it is applied, and resets the arrivals. */
   async setLimit(requestsPerSecond: number): Promise<void> {
     this.requestsPerSecond = requestsPerSecond;
     await this.cluster.advance(SETTLE_MS);
     this.arrivals.length = 0;
   }
 
-  /** Requests that have reached the back end since the limit had settled. */
+  /** Requests that have reached the back end since {@link setLimit}. */
   get arrived(): number {
     return this.arrivals.length;
   }
 
-  /** Most requests in a window, from daemons that had been told, as a part of what is allowed. */
+  /**
+   * Returns the most requests in any window, from daemons that had received the limit, as a fraction
+   * of the allowed number.
+   */
   peakUsage(requestsPerSecond: number): number {
     const { windowMs, overshoot, slack } = RATE_LIMIT_ALLOWANCE;
     const counted = this.arrivals.filter(({ isCounted }) => isCounted);
@@ -195,7 +199,7 @@
   private sendNext(index: number): void {
     const perSecond = this.demand(index);
     const dueInMs = perSecond <= 0 ? Infinity : this.random.exponential(1000 / perSecond);
-    // Drawn anew after a while, so that a change of the demand shows soon.
+    // Redrawn regularly, so that a change of demand takes effect soon.
     this.cluster.world.schedule(Math.min(dueInMs, MAX_DRAW_INTERVAL_MS), () => {
       const daemon = this.daemons[index];
       if (dueInMs <= MAX_DRAW_INTERVAL_MS && daemon?.node.process.alive === true) {
@@ -210,7 +214,7 @@
     if (daemon.permits.waitMs(BACK_END.id) > 0) return;
     const permit = await daemon.permits.acquire(BACK_END, new AbortController().signal);
     if (permit === undefined) return;
-    // A frozen daemon sends nothing; when it wakes it asks whether the permit still holds.
+    // A paused daemon sends nothing. A resumed one checks again that its permit is valid.
     daemon.node.process.deliver(() => {
       if (permit.isValid()) this.reachBackEnd(daemon);
     });
@@ -241,7 +245,7 @@
   }
 }
 
-/** Permits of the coordinator of the back end's zone. */
+/** Creates gates that get permits from the coordinator of the back end's zone. */
 export const sharedPermits: PermitFactory = ({ node, notices, coordinators }, world) =>
   new RateLimitGate({
     allowance: RATE_LIMIT_ALLOWANCE,
@@ -258,7 +262,7 @@
     clock: node.process,
   });
 
-/** The baseline: each daemon lets an equal part of the limit through, with one request at once. */
+/** Baseline that gives each daemon an equal share of the limit, with one request at once. */
 export function equalShares(daemons: number): PermitFactory {
   return ({ node, notices }) => {
     let nextAt = 0;
--- a/packages/quota/test/rate-limit.test.ts
+++ b/packages/quota/test/rate-limit.test.ts
@@ -11,14 +11,14 @@
 const SEEDS = Array.from({ length: 12 }, (_, index) => index + 1);
 const LIMITS = [0.5, 1, 5, 40];
 const SIMULATION_MS = 20_000;
-/** Requests a second at all daemons together, for each that the back end takes. */
+/** Ratio of the total demand to the limit. */
 const OVERLOAD_FACTOR = 6;
 
 interface Scenario {
   readonly limit: number;
   readonly seed: number;
   readonly daemons?: number;
-  /** Part of the demand that is at the first daemon. */
+  /** Fraction of the demand that arrives at the first daemon. */
   readonly uneven?: number;
   readonly createPermits?: PermitFactory;
 }
@@ -41,13 +41,13 @@
   return world;
 }
 
-/** Nearly all that the limit lets through has reached the back end, and no more but for a burst at first. */
+/** Expects that requests used nearly all of the limit, exceeding it by no more than an initial burst. */
 function expectLimitUsed({ arrived }: RateLimitWorld, limit: number, name?: string): void {
   const whole = (limit * SIMULATION_MS) / 1000;
   expect(arrived, name).to.be.within(0.85 * whole, whole * 1.1 + RATE_LIMIT_ALLOWANCE.slack);
 }
 
-/** Daemons, the granter among them, are killed, frozen, cut off and added. */
+/** Kills, pauses, partitions and adds daemons, including the one that runs the allocator. */
 async function injectFaults(world: RateLimitWorld): Promise<void> {
   const { cluster, random } = world;
   for (let round = 0; round < 10; round += 1) {
@@ -65,8 +65,8 @@
   }
 }
 
-describe('rate limits of back ends over all daemons', () => {
-  it('are kept in every window, and used nearly whole, whether all daemons are asked alike or one above all', async () => {
+describe('deployment-wide rate limits of back ends', () => {
+  it('hold in every window and are used almost fully, with even or uneven demand across daemons', async () => {
     for (const limit of LIMITS) {
       for (const uneven of [undefined, 0.9]) {
         const world = await limitedWorld({ limit, seed: 3, ...(uneven === undefined ? {} : { uneven }) });
@@ -78,7 +78,7 @@
     }
   });
 
-  it('are kept in every window while daemons and granters are killed, frozen, cut off and added', async () => {
+  it('hold in every window while daemons and allocators are killed, paused, partitioned and added', async () => {
     for (const seed of SEEDS) {
       for (const limit of LIMITS) {
         const world = await limitedWorld({ limit, seed });
@@ -89,7 +89,7 @@
     }
   });
 
-  it('are followed when they fall, rise, and end', async () => {
+  it('take effect when lowered, raised and withdrawn', async () => {
     const world = await limitedWorld({ limit: 20, seed: 5 });
     await world.setLimit(1);
     await world.cluster.advance(SIMULATION_MS);
@@ -104,7 +104,7 @@
     expect((world.arrived - before) / (world.requests - asked)).to.be.above(0.9);
   });
 
-  it('are used nearly whole by one daemon as soon as the others have no more requests', async () => {
+  it('are available almost fully to one daemon once the others have no more requests', async () => {
     const world = await limitedWorld({ limit: 1, seed: 4, daemons: 40 });
     world.demand = () => 1.5;
     await world.cluster.advance(10_000);
@@ -116,7 +116,7 @@
     expect(world.peakUsage(1)).to.be.at.most(1);
   });
 
-  it('are kept by many daemons of which each seldom has a request', async () => {
+  it('hold with many daemons that each rarely have a request', async () => {
     const world = await limitedWorld({ limit: 1, seed: 2, daemons: 120 });
     await world.cluster.advance(SIMULATION_MS);
     expect(world.peakUsage(1)).to.be.at.most(1);
@@ -124,10 +124,10 @@
   });
 
   /**
-   * Equal shares are safe only while there are few daemons: each must be let through one request at once, or a small limit could not be
-   * used at all. And where one daemon has most of the demand, its share is all that it may use.
+   * Compares with equal shares. Each daemon must be allowed one request at once, which exceeds a small
+   * limit if there are many daemons; and a daemon with most of the demand is limited to its share.
    */
-  it('are kept by more daemons, and used more fully, than with an equal share for each', async () => {
+  it('are used more fully than with equal shares if one daemon has most of the demand', async () => {
     const shared = await limitedWorld({ limit: 1, seed: 2, daemons: 40, createPermits: equalShares(40) });
     await shared.cluster.advance(SIMULATION_MS);
     const few = await limitedWorld({ limit: 1, seed: 2, uneven: 0.9, createPermits: equalShares(DAEMONS) });
--- a/packages/quota/test/zone-leases.ts
+++ b/packages/quota/test/zone-leases.ts
@@ -1,13 +1,13 @@
-/** Leases of zones in a simulated cluster: who may grant for which zone, and what the daemons are told of it. */
+/** Simulates zone leases: which daemon may allocate for which zone, and the claims that daemons receive. */
 import type { SimulatedNode } from '@woodbarrow/peering';
 import type { SimulatedWorld } from '@woodbarrow/runtime';
 import type { RelayedClaim } from '@woodbarrow/protocol';
 import type { ZoneAuthority } from '../src/index.js';
 
-/** Time after which a lost granter's zone has another one that may act, in milliseconds. */
+/** Time until another daemon may act for a zone whose holder has ended, in milliseconds. */
 const TAKEOVER_DELAY_MS = 5000;
 
-/** A daemon that may hold zones. */
+/** A daemon that may hold zone leases. */
 export interface ZoneDaemon {
   readonly index: number;
   readonly name: string;
@@ -16,14 +16,14 @@
 }
 
 interface ZoneLease {
-  /** Daemon that holds the zone's lease, if any. */
+  /** Index of the daemon that holds the lease; undefined if there is none. */
   holder: number | undefined;
   fence: number;
   /** Virtual time from which the holder may act. */
   actsAt: number;
 }
 
-/** Leases of some zones; at first the daemon of a zone's index holds it. */
+/** Simulates the leases of some zones. Initially, the daemon with a zone's index holds its lease. */
 export class ZoneLeases {
   private readonly leases = new Map<string, ZoneLease>();
 
@@ -37,14 +37,14 @@
     });
   }
 
-  /** A daemon has ended: other daemons take its zones, once it has certainly stopped. */
+  /** Transfers the zones of an ended daemon to other daemons once it has certainly stopped. */
   takeOverFrom(index: number): void {
     for (const [zone, granting] of this.leases) {
       if (granting.holder === index) this.takeOver(zone, granting, index);
     }
   }
 
-  /** The authority of a daemon over a zone. */
+  /** Returns the authority of a daemon over a zone. */
   authorityOf(zone: string, index: number): ZoneAuthority | undefined {
     const granting = this.leases.get(zone);
     if (granting?.holder !== index) return undefined;
@@ -56,7 +56,7 @@
     };
   }
 
-  /** Claims as a daemon hears of them. */
+  /** Returns the lease claims as daemons receive them. */
   claims(): RelayedClaim[] {
     const claims: RelayedClaim[] = [];
     for (const [zone, { holder, fence }] of this.leases) {
