--- a/packages/quarantine/src/crash-marks.ts
+++ b/packages/quarantine/src/crash-marks.ts
@@ -1,87 +1,95 @@
 /**
- * Evidence against contents: which processes ended while they ran which content. Every daemon holds a copy. Marks are
- * only added, and only go from counting to cleared, so copies are merged in any order and as often as wanted, and agree
- * once they have told each other, whatever was cut in between.
+ * Crash evidence: which processes ended while they ran which content. Every daemon holds a replica.
+ * Marks are only added or changed from active to cleared, so replicas merge in any order, any number
+ * of times, and converge.
  */
 import type { CrashMarkEntry } from '@woodbarrow/protocol';
 import { hashText, type Clock } from '@woodbarrow/runtime';
 
-/** A process that ended under a content. Times are monotonic, of this daemon. */
+/** A process that ended while it ran a content. Times are monotonic times of this daemon, in milliseconds. */
 export interface CrashMark {
   readonly content: string;
-  /** Id of the back end; each start of it has another. */
+  /** Id of the back end, which is unique for each start of its process. */
   readonly processId: string;
-  /** When the request, or the order to load, was sent to it. */
+  /** Time at which the request or load order was sent to the process. */
   readonly begunAt: number;
-  /** When the process was seen to have ended. */
+  /** Time at which the process was observed to have ended. */
   readonly endedAt: number;
-  /** A later run of the content ended well. */
+  /** Whether a later run of the content has succeeded. A cleared mark is not evidence. */
   readonly isCleared: boolean;
-  /** It ran the content in a trial: apart from all others that had ended as many processes as a verdict needs. */
+  /**
+   * Whether the process ran the content in a trial, isolated from other contents with enough crashes
+   * for a verdict.
+   */
   readonly isTrial?: boolean;
 }
 
 /**
- * Processes that must have ended under a content before it can count as what ended them. Neighbours of such a request end
- * with it as well; most have come back once and been answered by then. For the others see {@link CulpritSearch}.
+ * Number of crashes required before a content can receive a verdict. Contents that ran beside a
+ * culprit collect marks as well, but most succeed on a retry before they reach this number.
+ * {@link CulpritSearch} separates the others.
  */
 export const ENDS_FOR_VERDICT = 3;
-/** Time for which a mark is kept, in milliseconds: clients send the same request again within a few deadlines of 15 s. */
+/** Lifetime of a mark in milliseconds. Covers several client retries. */
 export const MARK_LIFETIME_MS = 600_000;
-/** Marks kept at most, the newest: some 200 KB. A rack of 13 processes with 64 requests each leaves 832. */
-export const MOST_MARKS = 4096;
+/**
+ * Maximum number of marks; the oldest are dropped first. Exceeds the number of requests that a whole
+ * rack runs at a time.
+ */
+export const MAX_MARKS = 4096;
 
-/** Marks of one daemon, those of others included. */
+/** Marks of one daemon, including those received from other daemons. */
 export class CrashMarks {
   private readonly byContent = new Map<string, Map<string, CrashMark>>();
-  /** Contents with a mark at each process. */
+  /** Contents with a mark, by process. */
   private readonly byProcess = new Map<string, Set<string>>();
-  private count = 0;
-  private combined = 0;
+  private markCount = 0;
+  private combinedDigest = 0;
 
   constructor(private readonly clock: Clock) {}
 
-  /** Digest of all marks, equal on daemons that know the same ones; 0 when there are none. */
+  /** Digest of all marks; equal on daemons with the same marks, and 0 if there are none. */
   get digest(): number {
     this.dropExpired();
-    return this.combined;
+    return this.combinedDigest;
   }
 
-  /** Number of marks, and of contents that have some which count. */
+  /** Number of marks, and of contents with active marks. */
   get totals(): { readonly marks: number; readonly suspects: number } {
     const suspects = this.suspects.length;
-    return { marks: this.count, suspects };
+    return { marks: this.markCount, suspects };
   }
 
-  /** Whether there are no marks at all. */
+  /** Whether there are no marks, active or cleared. */
   get isEmpty(): boolean {
-    return this.count === 0;
+    return this.markCount === 0;
   }
 
-  /** Contents with marks that count. */
+  /** Contents with active marks. */
   get suspects(): string[] {
     this.dropExpired();
     return [...this.byContent.keys()].filter((content) => this.endsOf(content) > 0);
   }
 
-  /** Enters a mark. Returns whether it changed anything. */
+  /** Adds a mark. Returns whether this changed the set of marks or cleared one. */
   add(mark: CrashMark): boolean {
     if (this.clock.monotonic() - mark.endedAt > MARK_LIFETIME_MS) return false;
     const marks = this.byContent.get(mark.content) ?? new Map<string, CrashMark>();
     this.byContent.set(mark.content, marks);
-    const known = marks.get(mark.processId);
-    const merged = known === undefined ? mark : mergedOf(known, mark);
-    if (known !== undefined && merged.isCleared === known.isCleared) {
+    const existing = marks.get(mark.processId);
+    const merged = existing === undefined ? mark : mergeMarks(existing, mark);
+    if (existing !== undefined && merged.isCleared === existing.isCleared) {
       marks.set(mark.processId, merged);
       return false;
     }
-    this.put(marks, known, merged);
+    this.put(marks, existing, merged);
     this.dropOldest();
-    // One that is older than all that are kept is no news, or daemons with full sets would tell each other without end.
+    // A mark that was dropped at once must not count as a change, or daemons with full sets would
+    // exchange it forever.
     return this.byContent.get(mark.content)?.get(mark.processId) === merged;
   }
 
-  /** A run of a content ended well: what is known against it counts no more. Returns whether that changed anything. */
+  /** Clears the marks of a content after a successful run. Returns whether any mark changed. */
   clear(content: string): boolean {
     const marks = this.byContent.get(content);
     if (marks === undefined) return false;
@@ -94,43 +102,41 @@
     return isChanged;
   }
 
-  /** Processes that ended under a content, as far as they count. */
+  /** Returns the number of active marks of a content. */
   endsOf(content: string): number {
-    return this.counting(content).length;
+    return this.findActiveMarks(content).length;
   }
 
-  /** Marks against a content, as far as they count. */
-  marksOf(content: string): readonly CrashMark[] {
-    return this.counting(content);
+  /** Returns the active marks of a content. */
+  activeMarksOf(content: string): readonly CrashMark[] {
+    return this.findActiveMarks(content);
   }
 
-  /** Contents under which a process ended, as far as these marks count. */
+  /** Returns the contents with an active mark at a process. */
   contentsOf(processId: string): readonly string[] {
     const contents = [...(this.byProcess.get(processId) ?? [])];
-    return contents.filter((content) => this.counts(content, processId));
+    return contents.filter((content) => this.hasActiveMark(content, processId));
   }
 
-  /** All marks that count. */
-  allCounting(): readonly CrashMark[] {
-    return [...this.byContent.keys()].flatMap((content) => this.counting(content));
+  allActiveMarks(): readonly CrashMark[] {
+    return [...this.byContent.keys()].flatMap((content) => this.findActiveMarks(content));
   }
 
-  /** Whether a mark counts. */
-  counts(content: string, processId: string): boolean {
+  hasActiveMark(content: string, processId: string): boolean {
     const mark = this.byContent.get(content)?.get(processId);
-    return mark !== undefined && this.isCounting(mark);
+    return mark !== undefined && this.isActiveMark(mark);
   }
 
-  /** Ids of the processes that ended under a content, as far as they count. */
+  /** Returns the ids of the processes with an active mark of a content. */
   processesOf(content: string): string[] {
-    return this.counting(content).map(({ processId }) => processId);
+    return this.findActiveMarks(content).map(({ processId }) => processId);
   }
 
-  /** All marks, in the form of messages. */
+  /** Returns all marks as message entries with relative times. */
   entries(): CrashMarkEntry[] {
     this.dropExpired();
     const now = this.clock.monotonic();
-    return this.all().map(({ content, processId, begunAt, endedAt, isCleared, isTrial }) => ({
+    return this.allMarks().map(({ content, processId, begunAt, endedAt, isCleared, isTrial }) => ({
       c: content,
       p: processId,
       b: Math.round(now - begunAt),
@@ -140,7 +146,7 @@
     }));
   }
 
-  /** Takes what another daemon knows. Returns the marks that were news here. */
+  /** Merges the marks of another daemon. Returns those that changed the set. */
   merge(entries: readonly CrashMarkEntry[]): CrashMark[] {
     const now = this.clock.monotonic();
     const marks = entries.map(({ c, p, b, e, x, t }) => ({
@@ -154,23 +160,23 @@
     return marks.filter((mark) => this.add(mark));
   }
 
-  private all(): CrashMark[] {
+  private allMarks(): CrashMark[] {
     return [...this.byContent.values()].flatMap((marks) => [...marks.values()]);
   }
 
-  private counting(content: string): CrashMark[] {
+  private findActiveMarks(content: string): CrashMark[] {
     const marks = [...(this.byContent.get(content)?.values() ?? [])];
-    return marks.filter((mark) => this.isCounting(mark));
+    return marks.filter((mark) => this.isActiveMark(mark));
   }
 
-  private isCounting({ isCleared, endedAt }: CrashMark): boolean {
+  private isActiveMark({ isCleared, endedAt }: CrashMark): boolean {
     return !isCleared && endedAt >= this.clock.monotonic() - MARK_LIFETIME_MS;
   }
 
-  private put(marks: Map<string, CrashMark>, known: CrashMark | undefined, mark: CrashMark): void {
-    if (known === undefined) this.count += 1;
-    else this.combined ^= digestOf(known);
-    this.combined ^= digestOf(mark);
+  private put(marks: Map<string, CrashMark>, existing: CrashMark | undefined, mark: CrashMark): void {
+    if (existing === undefined) this.markCount += 1;
+    else this.combinedDigest ^= digestOfMark(existing);
+    this.combinedDigest ^= digestOfMark(mark);
     marks.set(mark.processId, mark);
     const contents = this.byProcess.get(mark.processId) ?? new Set();
     this.byProcess.set(mark.processId, contents.add(mark.content));
@@ -178,41 +184,41 @@
 
   private drop({ content, processId }: CrashMark): void {
     const marks = this.byContent.get(content);
-    const known = marks?.get(processId);
-    if (marks === undefined || known === undefined) return;
+    const existing = marks?.get(processId);
+    if (marks === undefined || existing === undefined) return;
     marks.delete(processId);
     if (marks.size === 0) this.byContent.delete(content);
     const contents = this.byProcess.get(processId);
     contents?.delete(content);
     if (contents?.size === 0) this.byProcess.delete(processId);
-    this.count -= 1;
-    this.combined ^= digestOf(known);
+    this.markCount -= 1;
+    this.combinedDigest ^= digestOfMark(existing);
   }
 
   private dropExpired(): void {
-    if (this.count === 0) return;
+    if (this.markCount === 0) return;
     const oldest = this.clock.monotonic() - MARK_LIFETIME_MS;
-    for (const mark of this.all()) if (mark.endedAt < oldest) this.drop(mark);
+    for (const mark of this.allMarks()) if (mark.endedAt < oldest) this.drop(mark);
   }
 
   private dropOldest(): void {
-    if (this.count <= MOST_MARKS) return;
-    const byAge = this.all().sort((left, right) => left.endedAt - right.endedAt);
-    for (const mark of byAge.slice(0, this.count - MOST_MARKS)) this.drop(mark);
+    if (this.markCount <= MAX_MARKS) return;
+    const byAge = this.allMarks().sort((left, right) => left.endedAt - right.endedAt);
+    for (const mark of byAge.slice(0, this.markCount - MAX_MARKS)) this.drop(mark);
   }
 }
 
-/** Two daemons may have seen the same end, each under an attempt of its own. */
-function mergedOf(known: CrashMark, other: CrashMark): CrashMark {
+/** Merges two observations of the same crash by different daemons. */
+function mergeMarks(existing: CrashMark, other: CrashMark): CrashMark {
   return {
-    ...known,
-    begunAt: Math.min(known.begunAt, other.begunAt),
-    endedAt: Math.min(known.endedAt, other.endedAt),
-    isCleared: known.isCleared || other.isCleared,
-    isTrial: known.isTrial === true || other.isTrial === true,
+    ...existing,
+    begunAt: Math.min(existing.begunAt, other.begunAt),
+    endedAt: Math.min(existing.endedAt, other.endedAt),
+    isCleared: existing.isCleared || other.isCleared,
+    isTrial: existing.isTrial === true || other.isTrial === true,
   };
 }
 
-function digestOf({ content, processId, isCleared }: CrashMark): number {
+function digestOfMark({ content, processId, isCleared }: CrashMark): number {
   return hashText(`${content} ${processId}${isCleared ? ' cleared' : ''}`) | 0;
 }
--- a/packages/quarantine/src/kept-marks.ts
+++ b/packages/quarantine/src/stored-marks.ts
@@ -1,25 +1,25 @@
-/** Marks as records keep them: monotonic times of one daemon become times of day, and those ages for another. */
+/** Converts crash marks between local monotonic times, stored wall-clock times, and ages in messages. */
 import type { CrashMarkEntry } from '@woodbarrow/protocol';
 import type { Clock } from '@woodbarrow/runtime';
 import type { CrashMark } from './crash-marks.js';
 import type { KeptEnd } from './quarantine-record.js';
 
-/** A mark for a record. */
-export function toKeptEnd(
+/** Converts a mark for storage. */
+export function toStoredCrash(
   { content, processId, begunAt, endedAt, isTrial }: CrashMark,
   clock: Clock,
 ): KeptEnd {
-  const lead = clock.wall() - clock.monotonic();
+  const wallOffsetMs = clock.wall() - clock.monotonic();
   return {
     suspect: content,
     processId,
-    begunAt: Math.round(lead + begunAt),
-    endedAt: Math.round(lead + endedAt),
+    begunAt: Math.round(wallOffsetMs + begunAt),
+    endedAt: Math.round(wallOffsetMs + endedAt),
     ...(isTrial === true ? { isTrial } : {}),
   };
 }
 
-/** A mark of a record, as other daemons tell them. Clocks of daemons differ: what lies ahead of this one has just been. */
+/** Converts a stored mark to a message entry. A time ahead of this daemon's clock gets the age 0. */
 export function toMarkEntry(
   { suspect, processId, begunAt, endedAt, isTrial }: KeptEnd,
   clock: Clock,
--- a/packages/quarantine/test/crash-marks.test.ts
+++ b/packages/quarantine/test/crash-marks.test.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai';
 import fc from 'fast-check';
 import { SimulatedProcess, SimulatedWorld } from '@woodbarrow/runtime';
-import { CrashMarks, CulpritSearch, MARK_LIFETIME_MS, MOST_MARKS, type CrashMark } from '../src/index.js';
+import { CrashMarks, CulpritSearch, MARK_LIFETIME_MS, MAX_MARKS, type CrashMark } from '../src/index.js';
 
 function mark(content: string, processId: string, endedAt: number, isCleared = false): CrashMark {
   return { content, processId, begunAt: endedAt - 50, endedAt, isCleared };
@@ -15,7 +15,7 @@
     return { marks, search: new CulpritSearch(marks, clock), world };
   }
 
-  it('agree on all copies, in whatever order and how often they are merged', () => {
+  it('converge on all replicas, in whatever order and however often they are merged', () => {
     const anyMark = fc.record({
       content: fc.constantFrom('a', 'b', 'c'),
       processId: fc.constantFrom('w1', 'w2', 'w3', 'w4'),
@@ -42,7 +42,7 @@
     );
   });
 
-  it('go with their time, and leave no digest behind', async () => {
+  it('expire after their lifetime and no longer affect the digest', async () => {
     const { marks, world } = create();
     marks.add(mark('a', 'w1', 0));
     expect(marks.digest).to.not.equal(0);
@@ -51,11 +51,11 @@
     expect(marks.totals).to.deep.equal({ marks: 0, suspects: 0 });
   });
 
-  it('are bounded: the oldest go first', () => {
+  it('drop the oldest marks beyond the maximum', () => {
     const { marks } = create();
-    for (let index = 0; index < MOST_MARKS + 10; index += 1)
+    for (let index = 0; index < MAX_MARKS + 10; index += 1)
       marks.add(mark(`c${String(index)}`, 'w', index - 100_000));
-    expect(marks.totals.marks).to.equal(MOST_MARKS);
+    expect(marks.totals.marks).to.equal(MAX_MARKS);
     expect(marks.endsOf('c9')).to.equal(0);
     expect(marks.endsOf('c10')).to.equal(1);
     const told = { c: 'older', p: 'w', b: 200_050, e: 200_000 };
--- a/packages/quarantine/test/culprit-search.test.ts
+++ b/packages/quarantine/test/culprit-search.test.ts
@@ -3,31 +3,34 @@
 import { CrashMarks, CulpritSearch, EVIDENCE_SETTLE_MS } from '../src/index.js';
 import { NeighboursSimulation, type NeighboursResult } from './neighbours-simulation.js';
 
-/** Sends of a culprit that the users allow later than 3 s after its third end. */
-const LATE_SENDS_ALLOWED = 3;
-/** Ends of one culprit at most: as many as a verdict needs, and those of its trials. */
-const MOST_ENDS_EACH = 6;
+/** Maximum number of times that a culprit may be sent once its third crash is known everywhere. */
+const MAX_LATE_SENDS = 3;
+/** Maximum number of crashes by one culprit: those for a verdict and those of its trials. */
+const MAX_CRASHES_PER_CULPRIT = 6;
 
 describe('CulpritSearch', () => {
   let world: SimulatedWorld;
   let marks: CrashMarks;
   let search: CulpritSearch;
-  let ends = 0;
+  let crashes = 0;
 
   beforeEach(() => {
     world = new SimulatedWorld();
     const clock = new SimulatedProcess(world, { name: 'd', zone: 'a', region: 'r' });
     marks = new CrashMarks(clock);
     search = new CulpritSearch(marks, clock);
-    ends = 0;
+    crashes = 0;
   });
 
-  /** A process ends under contents that began after the one before had ended; of a trial, the first of them was tried. */
-  async function endUnder(contents: readonly string[], isTrial = false): Promise<void> {
-    ends += 1;
+  /**
+   * Ends a process under contents that started after the previous crash. In a trial, the first content
+   * is the one tried.
+   */
+  async function crashUnder(contents: readonly string[], isTrial = false): Promise<void> {
+    crashes += 1;
     const endedAt = world.now;
     contents.forEach((content, index) => {
-      const processId = `w${String(ends)}`;
+      const processId = `w${String(crashes)}`;
       marks.add({
         content,
         processId,
@@ -40,102 +43,102 @@
     await world.run(world.now + EVIDENCE_SETTLE_MS);
   }
 
-  it('proves what ended three processes beside requests that had not run on another', async () => {
-    for (const neighbour of ['a', 'b', 'c']) await endUnder(['culprit', neighbour]);
+  it('proves a content that crashed three processes beside contents that ran on no other one', async () => {
+    for (const neighbour of ['a', 'b', 'c']) await crashUnder(['culprit', neighbour]);
     expect(search.isProven('culprit')).to.equal(true);
     expect(search.isProven('a')).to.equal(false);
   });
 
-  it('accuses all that ran beside each other three times, and proves none of them', async () => {
-    for (let end = 0; end < 3; end += 1) await endUnder(['culprit', 'neighbour']);
+  it('requires trials of all contents that ran together on three crashed processes, and proves none', async () => {
+    for (let end = 0; end < 3; end += 1) await crashUnder(['culprit', 'neighbour']);
     for (const content of ['culprit', 'neighbour']) {
-      expect(search.isAccused(content)).to.equal(true);
+      expect(search.requiresTrial(content)).to.equal(true);
       expect(search.isProven(content)).to.equal(false);
     }
   });
 
-  it('proves the one whose trial ends a process, and holds nothing against the others from then on', async () => {
-    for (let end = 0; end < 3; end += 1) await endUnder(['culprit', 'neighbour']);
-    await endUnder(['culprit', 'bystander'], true);
+  it('proves a content that crashes a process in its trial, and no longer counts its crashes against others', async () => {
+    for (let end = 0; end < 3; end += 1) await crashUnder(['culprit', 'neighbour']);
+    await crashUnder(['culprit', 'bystander'], true);
     expect(search.isProven('culprit')).to.equal(true);
-    // It runs once by itself before its callers are let in together: it may be a second culprit.
-    expect(search.isAccused('neighbour')).to.equal(true);
-    expect(search.waitsForOthers('neighbour')).to.equal(false);
-    expect(search.unexplainedEnds('neighbour')).to.have.length(0);
-    expect(search.unexplainedEnds('bystander')).to.have.length(0);
+    // It still needs a trial, because it may be a second culprit.
+    expect(search.requiresTrial('neighbour')).to.equal(true);
+    expect(search.mustWaitForRivals('neighbour')).to.equal(false);
+    expect(search.unexplainedCrashes('neighbour')).to.have.length(0);
+    expect(search.unexplainedCrashes('bystander')).to.have.length(0);
   });
 
-  it('finds out a second culprit that ran beside the first each time by one more end', async () => {
-    for (let end = 0; end < 3; end += 1) await endUnder(['first', 'second']);
-    await endUnder(['first'], true);
+  it('proves a second culprit that always ran beside the first by one more crash', async () => {
+    for (let end = 0; end < 3; end += 1) await crashUnder(['first', 'second']);
+    await crashUnder(['first'], true);
     expect(search.isProven('first')).to.equal(true);
-    expect(search.isAccused('second')).to.equal(true);
-    await endUnder(['second', 'bystander'], true);
+    expect(search.requiresTrial('second')).to.equal(true);
+    await crashUnder(['second', 'bystander'], true);
     expect(search.isProven('second')).to.equal(true);
   });
 
-  it('proves the one that is left when all its neighbours have run well', async () => {
-    for (let end = 0; end < 3; end += 1) await endUnder(['culprit', 'a', 'b']);
+  it('proves the only remaining content after all others on its processes have been served', async () => {
+    for (let end = 0; end < 3; end += 1) await crashUnder(['culprit', 'a', 'b']);
     marks.clear('a');
     expect(search.isProven('culprit')).to.equal(false);
     marks.clear('b');
     expect(search.isProven('culprit')).to.equal(true);
   });
 
-  it('does not put two culprits down to one request that ran beside both', async () => {
-    await endUnder(['first', 'neighbour']);
-    await endUnder(['first', 'neighbour']);
-    await endUnder(['second', 'neighbour']);
+  it('does not attribute the crashes of two culprits to one content that ran beside both', async () => {
+    await crashUnder(['first', 'neighbour']);
+    await crashUnder(['first', 'neighbour']);
+    await crashUnder(['second', 'neighbour']);
     expect(search.isProven('neighbour')).to.equal(false);
-    expect(search.isAccused('neighbour')).to.equal(true);
+    expect(search.requiresTrial('neighbour')).to.equal(true);
   });
 
-  it('lets the one with the most ends wait until the others have run well, and proves it without a trial', async () => {
-    for (const neighbour of ['a', 'b']) await endUnder(['culprit', neighbour]);
-    await endUnder(['culprit', 'a', 'b']);
-    expect(search.isAccused('culprit')).to.equal(true);
-    expect(search.waitsForOthers('culprit')).to.equal(true);
+  it('makes the content with the most crashes wait until its rivals have been served, and proves it without a trial', async () => {
+    for (const neighbour of ['a', 'b']) await crashUnder(['culprit', neighbour]);
+    await crashUnder(['culprit', 'a', 'b']);
+    expect(search.requiresTrial('culprit')).to.equal(true);
+    expect(search.mustWaitForRivals('culprit')).to.equal(true);
     marks.clear('a');
     expect(search.isProven('culprit')).to.equal(false);
     marks.clear('b');
     expect(search.isProven('culprit')).to.equal(true);
   });
 
-  it('lets the one with the most ends wait for two minutes at most', async () => {
-    for (const other of ['a', 'b']) await endUnder(['neighbour', other]);
-    await endUnder(['neighbour', 'a', 'b']);
-    expect(search.waitsForOthers('neighbour')).to.equal(true);
+  it('makes the content with the most crashes wait for at most two minutes', async () => {
+    for (const other of ['a', 'b']) await crashUnder(['neighbour', other]);
+    await crashUnder(['neighbour', 'a', 'b']);
+    expect(search.mustWaitForRivals('neighbour')).to.equal(true);
     await world.run(world.now + 121_000);
-    expect(search.waitsForOthers('neighbour')).to.equal(false);
-    expect(search.isAccused('neighbour')).to.equal(true);
+    expect(search.mustWaitForRivals('neighbour')).to.equal(false);
+    expect(search.requiresTrial('neighbour')).to.equal(true);
   });
 
-  it('proves what ended four processes, whatever ran beside it each time', async () => {
-    for (let end = 0; end < 3; end += 1) await endUnder(['culprit', 'neighbour', 'third']);
+  it('proves a content that crashed four processes, whatever ran beside it', async () => {
+    for (let end = 0; end < 3; end += 1) await crashUnder(['culprit', 'neighbour', 'third']);
     expect(search.isProven('culprit')).to.equal(false);
-    await endUnder(['culprit', 'another']);
+    await crashUnder(['culprit', 'another']);
     expect(search.isProven('culprit')).to.equal(true);
     expect(search.isProven('neighbour')).to.equal(false);
   });
 
-  it('counts an end only when all have had time to tell what ran there', async () => {
-    for (let end = 0; end < 2; end += 1) await endUnder(['culprit']);
+  it('counts a crash only once all daemons have had time to report the contents of the process', async () => {
+    for (let end = 0; end < 2; end += 1) await crashUnder(['culprit']);
     const told = { c: 'neighbour', p: 'w2', b: 10, e: 5 };
-    await endUnder(['culprit']);
+    await crashUnder(['culprit']);
     expect(search.isProven('culprit')).to.equal(true);
     marks.merge([told]);
     expect(search.isProven('neighbour')).to.equal(false);
   });
 
   /*
-   * Callers that come back at once meet the culprit again where few workers hold a model. Three ends as the only proof refused 0.3 harmless contents
-   * for an hour with three workers and one culprit, 3.1 with four and two, 0.3 with nine and two (means of 40 seeds); 9 at most.
+   * Guards against verdicts on harmless contents whose callers retry at once and so run beside the
+   * culprit again.
    */
-  describe('among callers that come back at once', () => {
+  describe('with callers that retry at once', () => {
     async function play(workers: number, culprits: number): Promise<NeighboursResult[]> {
       const results: NeighboursResult[] = [];
       for (let seed = 1; seed <= 6; seed += 1)
-        results.push(await new NeighboursSimulation({ seed, workers, culprits, innocents: 300 }).play());
+        results.push(await new NeighboursSimulation({ seed, workers, culprits, innocents: 300 }).simulate());
       return results;
     }
 
@@ -144,11 +147,11 @@
       [4, 2],
       [9, 2],
     ] as const) {
-      it(`refuses ${String(culprits)} of ${String(workers)} workers' requests for an hour, and the others not`, async () => {
+      it(`refuses the ${String(culprits)} culprits among requests on ${String(workers)} workers, and no others`, async () => {
         for (const result of await play(workers, culprits)) {
           expect(result).to.include({ innocentsRefused: 0, culpritsRefused: culprits });
-          expect(result.workersEnded).to.be.at.most(MOST_ENDS_EACH * culprits);
-          expect(result.lateSends).to.be.at.most(LATE_SENDS_ALLOWED);
+          expect(result.workersEnded).to.be.at.most(MAX_CRASHES_PER_CULPRIT * culprits);
+          expect(result.lateSends).to.be.at.most(MAX_LATE_SENDS);
         }
       });
     }
--- a/packages/quarantine/test/load-quarantine.test.ts
+++ b/packages/quarantine/test/load-quarantine.test.ts
@@ -3,27 +3,27 @@
 import { silentLog } from '@woodbarrow/observability';
 import { SimulatedProcess } from '@woodbarrow/runtime';
 import { ENDS_FOR_VERDICT, LoadQuarantine, loadContent, type RequestQuarantine } from '../src/index.js';
-import { QuarantineScene, backEndOf } from './quarantine-scene.js';
+import { QuarantineDeployment, backEndOf } from './quarantine-deployment.js';
 
 const MODEL = { model: 'm1' };
 const ADAPTER = { model: 'm1', adapter: 'a1', adapterVersion: 2 };
-/** Service of the scene's back ends. */
+/** Service of the simulated back ends. */
 const SERVICE = backEndOf('any').service;
-/** Of a demand that has time left. */
-const open = new AbortController().signal;
-/** Time in which the fate of a process is found out, in milliseconds. */
-const FOUND_OUT_MS = 300;
+/** Signal of a demand whose deadline has not passed. */
+const neverAborted = new AbortController().signal;
+/** Time in which the state of a process is determined, in milliseconds. */
+const PROCESS_CHECK_MS = 300;
 
 describe('LoadQuarantine', () => {
-  let scene: QuarantineScene;
+  let deployment: QuarantineDeployment;
   let contents: RequestQuarantine;
   let directory: BackendDirectory;
   let loads: LoadQuarantine;
 
   beforeEach(() => {
-    scene = new QuarantineScene();
-    contents = scene.addDaemon();
-    const clock = new SimulatedProcess(scene.world, { name: 'coordinator', zone: 'a', region: 'r' });
+    deployment = new QuarantineDeployment();
+    contents = deployment.addDaemon();
+    const clock = new SimulatedProcess(deployment.world, { name: 'coordinator', zone: 'a', region: 'r' });
     directory = new BackendDirectory(clock);
     loads = new LoadQuarantine({ contents, directory, clock, log: silentLog });
   });
@@ -31,81 +31,81 @@
   function order(id: string, target = MODEL): void {
     const backEnd = backEndOf(id);
     directory.put(backEnd);
-    loads.ordered(backEnd, target, scene.world.now);
+    loads.ordered(backEnd, target, deployment.world.now);
   }
 
-  async function endUnder(id: string, target = MODEL): Promise<void> {
+  async function crashUnder(id: string, target = MODEL): Promise<void> {
     order(id, target);
-    await scene.pass(50);
-    scene.ended.add(id);
+    await deployment.advance(50);
+    deployment.ended.add(id);
     loads.unanswered(id);
-    await scene.pass(FOUND_OUT_MS);
+    await deployment.advance(PROCESS_CHECK_MS);
   }
 
-  it('finds out a load under which three processes have ended, and names it in the record', async () => {
-    for (const id of ['w1', 'w2']) await endUnder(id);
+  it('refuses a load that crashed three processes, and names it in the record', async () => {
+    for (const id of ['w1', 'w2']) await crashUnder(id);
     expect(loads.verdictOf(SERVICE, MODEL)).to.equal(undefined);
-    await endUnder('w3');
+    await crashUnder('w3');
     expect(loads.verdictOf(SERVICE, MODEL)).to.include({ ends: ENDS_FOR_VERDICT });
-    const record = scene.records.get(loadContent(SERVICE, MODEL));
+    const record = deployment.records.get(loadContent(SERVICE, MODEL));
     expect(record).to.include({ load: `${SERVICE} m1`, route: '', requestId: '' });
     expect(record?.processes).to.deep.equal(['w1', 'w2', 'w3']);
     expect(loads.totals).to.deep.equal({ suspects: 1, quarantined: 1, refused: 0 });
     expect(directory.all()).to.deep.equal([]);
   });
 
-  it('counts an adapter apart from its model and from its other versions', async () => {
-    for (const id of ['w1', 'w2', 'w3']) await endUnder(id, ADAPTER);
+  it('counts the crashes of an adapter apart from its model and its other versions', async () => {
+    for (const id of ['w1', 'w2', 'w3']) await crashUnder(id, ADAPTER);
     expect(loads.verdictOf(SERVICE, ADAPTER)).not.to.equal(undefined);
     expect(loads.verdictOf(SERVICE, MODEL)).to.equal(undefined);
     expect(loads.verdictOf(SERVICE, { ...ADAPTER, adapterVersion: 3 })).to.equal(undefined);
   });
 
-  it('holds nothing against a load whose worker was silent, refused it or went without ending', async () => {
+  it('records no crash for a worker that is unresponsive, refuses a load or is removed while its process runs', async () => {
     order('w1');
     loads.unanswered('w1');
     order('w2');
     loads.failed(backEndOf('w2'), MODEL);
     order('w3');
     directory.recordVanished('w3');
-    await scene.pass(5000);
-    for (const id of ['w1', 'w2', 'w3']) scene.ended.add(id);
+    await deployment.advance(5000);
+    for (const id of ['w1', 'w2', 'w3']) deployment.ended.add(id);
     loads.failed(backEndOf('w2'), MODEL);
-    await scene.pass(FOUND_OUT_MS);
+    await deployment.advance(PROCESS_CHECK_MS);
     expect(contents.totals.marks).to.equal(0);
     expect(loads.isUnderWay(SERVICE, MODEL)).to.equal(true);
     loads.unanswered('w1');
-    await scene.pass(FOUND_OUT_MS);
+    await deployment.advance(PROCESS_CHECK_MS);
     expect(contents.totals.marks).to.equal(1);
   });
 
-  it('learns from another daemon that the process of a load has ended', async () => {
-    const other = scene.addDaemon();
+  it('observes the crash of a process that another daemon reported', async () => {
+    const other = deployment.addDaemon();
     order('w1');
-    await scene.endUnder(other, 'a request', 'w1');
+    await deployment.crashUnder(other, 'a request', 'w1');
     expect(loads.lastEndOf(SERVICE, MODEL)).to.be.a('number');
     expect(loads.isUnderWay(SERVICE, MODEL)).to.equal(false);
   });
 
-  it('lets a suspect be loaded again only when it is known what came of the last load', async () => {
-    await endUnder('w1', ADAPTER);
-    const first = await loads.takeTurn(SERVICE, ADAPTER, open);
+  it('lets a suspect be loaded again only once the outcome of its last load is known', async () => {
+    await crashUnder('w1', ADAPTER);
+    const first = await loads.takeTurn(SERVICE, ADAPTER, neverAborted);
     order('w2', ADAPTER);
     let isNext = false;
-    void loads.takeTurn(SERVICE, ADAPTER, open).then((turn) => {
+    void loads.takeTurn(SERVICE, ADAPTER, neverAborted).then((turn) => {
       isNext = true;
       turn.release();
     });
-    await scene.pass(1000);
+    await deployment.advance(1000);
     expect(isNext).to.equal(false);
-    scene.ended.add('w2');
+    deployment.ended.add('w2');
     loads.failed(backEndOf('w2'), ADAPTER);
     first.release();
-    await scene.pass(50);
+    await deployment.advance(50);
     expect(isNext).to.equal(false);
-    await scene.pass(FOUND_OUT_MS);
+    await deployment.advance(PROCESS_CHECK_MS);
     expect(isNext).to.equal(true);
-    const aside = await loads.takeTurn(SERVICE, MODEL, open);
+    const aside = await loads.takeTurn(SERVICE, MODEL, neverAborted);
     aside.release();
   });
 });
--- a/packages/quota/src/index.ts
+++ b/packages/quota/src/index.ts
@@ -1,4 +1,4 @@
-/** Limits over all daemons, in units that the coordinators of zones hand out. */
+/** Deployment-wide limits, enforced with units that the coordinators of zones allocate to daemons. */
 export * from './quota-gate.js';
 export * from './quota-service.js';
 export * from './rate-limit-gate.js';
@@ -6,8 +6,8 @@
 export * from './rate-limit-report.js';
 export * from './unit-bucket.js';
 export * from './unit-gate.js';
-export * from './unit-granter.js';
-export * from './unit-purse.js';
+export * from './unit-allocator.js';
+export * from './local-allowance.js';
 export * from './unit-share.js';
-export * from './use-rate.js';
-export * from './zone-granters.js';
+export * from './usage-rate.js';
+export * from './zone-allocators.js';
--- a/packages/quota/src/quota-service.ts
+++ b/packages/quota/src/quota-service.ts
@@ -1,38 +1,38 @@
-/** A daemon's granters of tenants' limits: one for each zone whose lease it holds. */
+/** Runs the allocators of tenants' limits: one for each zone whose lease this daemon holds. */
 import type { TenantQuota } from '@woodbarrow/forwarding';
 import { WoodbarrowError } from '@woodbarrow/errors';
 import type { EventLog } from '@woodbarrow/observability';
 import type { PeerNetwork } from '@woodbarrow/peering';
 import { quotaGrantMethod, type GrantAnswer, type QuotaGrantMessage } from '@woodbarrow/protocol';
 import type { Clock } from '@woodbarrow/runtime';
-import { UnitGranter, type GranterUse } from './unit-granter.js';
+import { UnitAllocator, type GranterUse } from './unit-allocator.js';
 import type { UnitAllowance } from './unit-share.js';
-import { ZoneGranters, type ZoneAuthority } from './zone-granters.js';
+import { ZoneAllocators, type ZoneAuthority } from './zone-allocators.js';
 
 /** Options of {@link QuotaService}. */
 export interface QuotaServiceOptions {
-  /** Zones of the deployment: each has a granter. */
+  /** Zones of the deployment. Each has one allocator. */
   readonly zones: readonly string[];
   readonly allowance: UnitAllowance;
-  /** The limit of a tenant now; undefined when it has none, or is not known. */
+  /** Returns the current limit of a tenant; undefined if it has none or is unknown. */
   readonly quotaOf: (tenant: string) => TenantQuota | undefined;
-  /** The lease of a zone, while it is held here. */
+  /** Returns the lease of a zone while this daemon holds it. */
   readonly authorityOf: (zone: string) => ZoneAuthority | undefined;
   readonly peers: PeerNetwork;
   readonly clock: Clock;
   readonly log: EventLog;
 }
 
-/** Granting side of one daemon. */
+/** Serves the quota allocation calls of other daemons. */
 export class QuotaService {
-  private readonly granters: ZoneGranters<UnitGranter>;
+  private readonly allocators: ZoneAllocators<UnitAllocator>;
 
   constructor(private readonly options: QuotaServiceOptions) {
     const { zones, allowance, quotaOf, authorityOf, clock, log } = options;
-    this.granters = new ZoneGranters({
+    this.allocators = new ZoneAllocators({
       authorityOf: (zone) => (zones.includes(zone) ? authorityOf(zone) : undefined),
       create: (startsAt) =>
-        new UnitGranter({ allowance, granters: zones.length, limitOf: quotaOf, startsAt, clock }),
+        new UnitAllocator({ allowance, allocatorCount: zones.length, limitOf: quotaOf, startsAt, clock }),
       onCreated: (zone, fence, startsInMs) => {
         log.changed('quota_granter_started', { zone, fence, startsInMs: Math.round(startsInMs) });
       },
@@ -40,21 +40,24 @@
     });
   }
 
-  /** Starts answering. The peer network must be listening. */
+  /** Registers the call handler. The peer network must be listening. */
   start(): void {
     this.options.peers.handle(quotaGrantMethod, (message) => this.grant(message));
   }
 
-  /** Zones have been gained or given back: a granter begins to fill its buckets as soon as it may. */
+  /**
+   * Creates and drops allocators after a change of the held zones, so that their buckets begin to fill
+   * at once.
+   */
   noteZones(): void {
-    for (const zone of this.options.zones) this.granters.of(zone);
+    for (const zone of this.options.zones) this.allocators.of(zone);
   }
 
-  /** Units handed out and turned down here, by tenant, over all zones held now. */
+  /** Returns the units granted and refused by this daemon, by tenant, summed over the zones held now. */
   use(): ReadonlyMap<string, GranterUse> {
     const sums = new Map<string, GranterUse>();
-    for (const granter of this.granters.all()) {
-      for (const [tenant, { granted, turnedDown }] of granter.use()) {
+    for (const allocator of this.allocators.all()) {
+      for (const [tenant, { granted, turnedDown }] of allocator.usage()) {
         const sum = sums.get(tenant) ?? { granted: 0, turnedDown: 0 };
         sums.set(tenant, { granted: sum.granted + granted, turnedDown: sum.turnedDown + turnedDown });
       }
@@ -63,8 +66,9 @@
   }
 
   private grant({ zone, tenant, ...wish }: QuotaGrantMessage): GrantAnswer {
-    const granter = this.granters.acting(zone);
-    if (granter === undefined) throw new WoodbarrowError('not_leader', `no granter for ${zone} here`);
-    return granter.grant(tenant, wish);
+    const allocator = this.allocators.activeOf(zone);
+    if (allocator === undefined)
+      throw new WoodbarrowError('not_leader', `this daemon has no active allocator for zone ${zone}`);
+    return allocator.grant(tenant, wish);
   }
 }
--- a/packages/quota/src/rate-limit-gate.ts
+++ b/packages/quota/src/rate-limit-gate.ts
@@ -1,46 +1,50 @@
 /**
- * A daemon's side of back ends' rate limits. Each send to a back end that names one needs a permit of the granter that all daemons
- * ask for it: the coordinator of its zone. Where none answers nothing is sent there, since others may be sending all that it takes.
+ * Enforces the rate limits that back ends announce. Each request to a limited back end needs a permit
+ * from the allocator in its zone's coordinator. If the allocator does not respond, nothing is sent,
+ * because other daemons may be using the whole limit.
  */
 import type { BackEnd } from '@woodbarrow/backends';
 import { FREE_PERMIT, type BackendNotices, type SendPermit, type SendPermits } from '@woodbarrow/forwarding';
 import { rateLimitGrantMethod, type GrantAnswer, type GrantWish } from '@woodbarrow/protocol';
 import type { Clock } from '@woodbarrow/runtime';
-import { askGranter, type GranterAccess } from './ask-granter.js';
+import { callAllocator, type AllocatorAccess } from './call-allocator.js';
 import { fromReport, toReport } from './rate-limit-report.js';
 import { UnitGate } from './unit-gate.js';
 import type { UnitAllowance } from './unit-share.js';
 
 /** Options of {@link RateLimitGate}. */
-export interface RateLimitGateOptions extends GranterAccess {
+export interface RateLimitGateOptions extends AllocatorAccess {
   readonly allowance: UnitAllowance;
   readonly notices: BackendNotices;
-  /** Zone of a back end; undefined where it is gone. */
+  /** Returns the zone of a back end; undefined if the back end is gone. */
   readonly zoneOf: (backEndId: string) => string | undefined;
   readonly clock: Clock;
 }
 
-/** Numbers since the start. */
+/** Permit counts since the start. */
 export interface PermitTotals {
   readonly granted: number;
   readonly turnedDown: number;
-  /** Turned down as no granter answered. */
+  /** Permits refused because no allocator responded. */
   readonly withoutGranter: number;
 }
 
-/** One permit. */
+/** Units that one request needs. */
 const ONE_UNIT = 1;
-/** Shortest time for which a back end is left alone once a request was turned down, in milliseconds. */
-const LEAST_TURN_DOWN_MS = 20;
-/** Longest such time: less than what fills a granter's bucket, so that nothing is lost while all daemons wait. */
-const LONGEST_TURN_DOWN_MS = 800;
-/** Time for which no permit is asked for where no granter answered, in milliseconds. */
-const NO_GRANTER_PAUSE_MS = 200;
+/** Minimum time without further requests to a back end after a refusal, in milliseconds. */
+const MIN_BACKOFF_MS = 20;
+/**
+ * Maximum time without further requests after a refusal, in milliseconds. It is shorter than the time
+ * in which an allocator's bucket fills, so that no units are lost while all daemons wait.
+ */
+const MAX_BACKOFF_MS = 800;
+/** Time without further requests after an allocator did not respond, in milliseconds. */
+const NO_ALLOCATOR_BACKOFF_MS = 200;
 
-/** Gate of one daemon. */
+/** Acquires permits to send requests to rate-limited back ends. */
 export class RateLimitGate implements SendPermits {
   private readonly gate: UnitGate;
-  /** Monotonic time until which a back end takes nothing more. */
+  /** Monotonic time until which no permit is requested, by back end. */
   private readonly closedUntil = new Map<string, number>();
   private granted = 0;
   private turnedDown = 0;
@@ -50,13 +54,13 @@
     const { allowance, zoneOf, clock } = options;
     this.gate = new UnitGate({
       allowance,
-      granters: 1,
+      allocatorCount: 1,
       zonesFor: (backEndId) => {
         const zone = zoneOf(backEndId);
         return zone === undefined ? [] : [zone];
       },
-      ask: (zone, backEndId, wish) => this.ask(zone, backEndId, wish),
-      longestTurnDownMs: LONGEST_TURN_DOWN_MS,
+      requestUnits: (zone, backEndId, wish) => this.requestUnits(zone, backEndId, wish),
+      maxBackoffMs: MAX_BACKOFF_MS,
       clock,
     });
   }
@@ -77,7 +81,7 @@
     if (ratePerSecond === undefined) return FREE_PERMIT;
     if (this.waitMs(id) > 0) return undefined;
     const outcome = await this.gate.acquire(id, { ratePerSecond, burst: 0 }, ONE_UNIT, 0, signal);
-    // The limit may have ended while the granter was asked.
+    // The back end may have withdrawn its limit during the call.
     if (notices.requestsPerSecond(id) === undefined) return FREE_PERMIT;
     switch (outcome.kind) {
       case 'granted':
@@ -85,16 +89,16 @@
         return { ...outcome.ticket, end: () => undefined };
       case 'over_limit':
         this.turnedDown += 1;
-        this.close(id, Math.max(LEAST_TURN_DOWN_MS, outcome.retryAfterMs));
+        this.backOff(id, Math.max(MIN_BACKOFF_MS, outcome.retryAfterMs));
         return undefined;
       case 'unavailable':
         this.withoutGranter += 1;
-        this.close(id, NO_GRANTER_PAUSE_MS);
+        this.backOff(id, NO_ALLOCATOR_BACKOFF_MS);
         return undefined;
     }
   }
 
-  /** Forgets an incarnation that has ended. */
+  /** Drops the state of a back-end process that has ended. */
   forget(backEndId: string): void {
     this.closedUntil.delete(backEndId);
     this.gate.forget(backEndId);
@@ -105,16 +109,20 @@
     return { granted, turnedDown, withoutGranter };
   }
 
-  private close(backEndId: string, forMs: number): void {
-    this.closedUntil.set(backEndId, this.options.clock.monotonic() + forMs);
+  private backOff(backEndId: string, durationMs: number): void {
+    this.closedUntil.set(backEndId, this.options.clock.monotonic() + durationMs);
   }
 
-  private async ask(zone: string, backEndId: string, wish: GrantWish): Promise<GrantAnswer | undefined> {
+  private async requestUnits(
+    zone: string,
+    backEndId: string,
+    wish: GrantWish,
+  ): Promise<GrantAnswer | undefined> {
     const { notices, clock } = this.options;
-    const heard = notices.lastHeard(backEndId);
-    if (heard === undefined) return undefined;
-    const message = { zone, backEndId, report: toReport(heard, clock), ...wish };
-    const answer = await askGranter(this.options, zone, rateLimitGrantMethod, message);
+    const observed = notices.lastHeard(backEndId);
+    if (observed === undefined) return undefined;
+    const message = { zone, backEndId, report: toReport(observed, clock), ...wish };
+    const answer = await callAllocator(this.options, zone, rateLimitGrantMethod, message);
     if (answer !== undefined) notices.hearFromPeer(backEndId, fromReport(answer.report, clock));
     return answer;
   }
--- a/packages/quota/src/rate-limit-service.ts
+++ b/packages/quota/src/rate-limit-service.ts
@@ -1,4 +1,7 @@
-/** A daemon's granters of back ends' rate limits: the coordinator of a zone grants for all back ends of that zone. */
+/**
+ * Runs the allocators of back ends' rate limits: the coordinator of a zone allocates for all back ends
+ * in that zone.
+ */
 import { WoodbarrowError } from '@woodbarrow/errors';
 import type { BackendNotices } from '@woodbarrow/forwarding';
 import type { EventLog } from '@woodbarrow/observability';
@@ -10,31 +13,31 @@
 } from '@woodbarrow/protocol';
 import type { Clock } from '@woodbarrow/runtime';
 import { fromReport, toReport } from './rate-limit-report.js';
-import { UnitGranter } from './unit-granter.js';
+import { UnitAllocator } from './unit-allocator.js';
 import type { UnitAllowance, UnitLimit } from './unit-share.js';
-import { ZoneGranters, type ZoneAuthority } from './zone-granters.js';
+import { ZoneAllocators, type ZoneAuthority } from './zone-allocators.js';
 
 /** Options of {@link RateLimitService}. */
 export interface RateLimitServiceOptions {
   readonly allowance: UnitAllowance;
   readonly notices: BackendNotices;
-  /** The lease of a zone, while it is held here. */
+  /** Returns the lease of a zone while this daemon holds it. */
   readonly authorityOf: (zone: string) => ZoneAuthority | undefined;
   readonly peers: PeerNetwork;
   readonly clock: Clock;
   readonly log: EventLog;
 }
 
-/** Granting side of one daemon. */
+/** Serves the rate-limit allocation calls of other daemons. */
 export class RateLimitService {
-  private readonly granters: ZoneGranters<UnitGranter>;
+  private readonly allocators: ZoneAllocators<UnitAllocator>;
 
   constructor(private readonly options: RateLimitServiceOptions) {
     const { allowance, authorityOf, clock, log } = options;
     const limitOf = (backEndId: string): UnitLimit | undefined => this.limitOf(backEndId);
-    this.granters = new ZoneGranters({
+    this.allocators = new ZoneAllocators({
       authorityOf,
-      create: (startsAt) => new UnitGranter({ allowance, granters: 1, limitOf, startsAt, clock }),
+      create: (startsAt) => new UnitAllocator({ allowance, allocatorCount: 1, limitOf, startsAt, clock }),
       onCreated: (zone, fence, startsInMs) => {
         log.changed('rate_limit_granter_started', { zone, fence, startsInMs: Math.round(startsInMs) });
       },
@@ -42,24 +45,25 @@
     });
   }
 
-  /** Starts answering. The peer network must be listening. */
+  /** Registers the call handler. The peer network must be listening. */
   start(): void {
     this.options.peers.handle(rateLimitGrantMethod, (message) => this.grant(message));
   }
 
-  /** Forgets an incarnation that has ended. */
+  /** Drops the state of a back-end process that has ended. */
   forget(backEndId: string): void {
-    for (const granter of this.granters.all()) granter.forget(backEndId);
+    for (const allocator of this.allocators.all()) allocator.forget(backEndId);
   }
 
   private grant({ zone, backEndId, report, ...wish }: RateLimitGrantMessage): RateLimitGrantAnswer {
     const { notices, clock } = this.options;
-    const granter = this.granters.acting(zone);
-    if (granter === undefined) throw new WoodbarrowError('not_leader', `no granter for ${zone} here`);
+    const allocator = this.allocators.activeOf(zone);
+    if (allocator === undefined)
+      throw new WoodbarrowError('not_leader', `this daemon has no active allocator for zone ${zone}`);
     notices.hearFromPeer(backEndId, fromReport(report, clock));
-    const answer = granter.grant(backEndId, wish);
-    const heard = notices.lastHeard(backEndId);
-    return { ...answer, report: heard === undefined ? report : toReport(heard, clock) };
+    const answer = allocator.grant(backEndId, wish);
+    const observed = notices.lastHeard(backEndId);
+    return { ...answer, report: observed === undefined ? report : toReport(observed, clock) };
   }
 
   private limitOf(backEndId: string): UnitLimit | undefined {
--- a/packages/quota/src/unit-gate.ts
+++ b/packages/quota/src/unit-gate.ts
@@ -1,201 +1,218 @@
 /**
- * A daemon's side of limits over all daemons: what is limited uses units that were asked of a granter before. Most are found in the
- * daemon's purse; others wait for granters, asked one after the other where one has too little.
+ * Enforces deployment-wide limits on one daemon. Requests use units that allocators granted
+ * beforehand; if the local allowance is too small, they wait while the allocators are called one after
+ * the other.
  */
 import type { QuotaOutcome, QuotaTicket } from '@woodbarrow/forwarding';
 import type { GrantAnswer, GrantWish } from '@woodbarrow/protocol';
 import { sleep, type Clock } from '@woodbarrow/runtime';
-import { UnitPurse } from './unit-purse.js';
+import { LocalAllowance } from './local-allowance.js';
 import { shareOf, type UnitAllowance, type UnitLimit } from './unit-share.js';
-import { UseRate } from './use-rate.js';
+import { UsageRate } from './usage-rate.js';
 
 /** Options of {@link UnitGate}. */
 export interface UnitGateOptions {
   readonly allowance: UnitAllowance;
-  /** Number of granters that share each limit. */
-  readonly granters: number;
-  /** Zones whose granters are asked for a subject, in this order. */
+  /** Number of allocators that share each limit. */
+  readonly allocatorCount: number;
+  /** Returns the zones whose allocators are called for a subject, in order. */
   readonly zonesFor: (subject: string) => readonly string[];
-  /** Asks one granter; undefined where there is none, or it does not answer. Never rejects. */
-  readonly ask: (zone: string, subject: string, wish: GrantWish) => Promise<GrantAnswer | undefined>;
+  /** Calls one allocator. Returns undefined if there is none or it does not respond. Never rejects. */
+  readonly requestUnits: (zone: string, subject: string, wish: GrantWish) => Promise<GrantAnswer | undefined>;
   /**
-   * Longest time for which no units are asked for once some were turned down, in milliseconds: what others were promised before may not be
-   * used by them.
+   * Maximum time without further calls after a refusal, in milliseconds. Bounds the wait for refill
+   * that is reserved for other requests, which may not use it.
    * @default unbounded
    */
-  readonly longestTurnDownMs?: number;
+  readonly maxBackoffMs?: number;
   readonly clock: Clock;
 }
 
-/** Units that a daemon has used and refused for a subject. */
+/** Units that a daemon has used and refused for one subject. */
 export interface GateUse {
   readonly used: number;
   readonly refused: number;
 }
 
-/** Pause before granters are asked again where none answered, in milliseconds. */
-const NO_GRANTER_PAUSE_MS = 100;
-/** Longest wait for a granter, in milliseconds: a lost coordinator is replaced in about five seconds, a restarted one in one or two. */
-const LONGEST_WAIT_MS = 2500;
-/** Time after which to come back where no granter answers, in milliseconds. */
-export const NO_GRANTER_RETRY_MS = 1000;
+/** Delay before the allocators are called again after none responded, in milliseconds. */
+const ALLOCATOR_RETRY_INTERVAL_MS = 100;
 /**
- * Units that come in within this time are waited for, in milliseconds: a caller would be back no sooner, and buckets that have just been
- * taken over are empty without a subject being over its limit.
+ * Maximum wait for an allocator to respond, in milliseconds. Covers the restart of a coordinator, but
+ * not its replacement.
  */
-const SHORT_WAIT_MS = 150;
+const MAX_ALLOCATOR_WAIT_MS = 2500;
+/** Retry delay reported to a caller if no allocator responds, in milliseconds. */
+export const RETRY_AFTER_NO_ALLOCATOR_MS = 1000;
+/**
+ * Maximum wait for a refill, in milliseconds. A client's retry would take as long, and the buckets of
+ * a new allocator are empty although the subject is below its limit.
+ */
+const MAX_REFILL_WAIT_MS = 150;
 const MS_PER_SECOND = 1000;
-/** Part of a lifetime for which units are asked for ahead of need: asking takes some milliseconds. */
-const AHEAD_PART = 0.8;
+/** Fraction of the unit lifetime for which units are prefetched. The rest covers the duration of the call. */
+const PREFETCH_FRACTION = 0.8;
 
-/** Part of a full bucket from which on a request is worth a second round of questions, in which it is put together. */
-const LARGE_PART = 0.25;
+/**
+ * Fraction of a bucket above which a request is combined from the units of several allocators in a
+ * second round.
+ */
+const LARGE_REQUEST_FRACTION = 0.25;
 
 /** A request that waits for units. */
 interface WaitingRequest {
   readonly units: number;
-  /** Monotonic time after which it is of no use to wait for a granter. */
-  readonly waitUntil: number;
+  /** Monotonic time after which the request stops waiting for an allocator. */
+  readonly giveUpAt: number;
   readonly signal: AbortSignal;
-  readonly settle: (outcome: QuotaOutcome) => void;
-  /** It has waited for units that were to come in a moment. */
-  hasWaited: boolean;
+  readonly resolve: (outcome: QuotaOutcome) => void;
+  /** Whether the request has already waited once for a refill. */
+  hasWaitedForRefill: boolean;
 }
 
-/** What granters said to one round of questions. */
+/** Combined result of one call to each allocator. */
 interface RoundResult {
-  readonly anyAnswered: boolean;
-  /** Units that they have and did not hand out, together. */
-  readonly left: number;
+  readonly hasAnswer: boolean;
+  /** Units left in the buckets of the allocators, in total. */
+  readonly remaining: number;
   readonly retryAfterMs: number;
 }
 
 interface SubjectState {
-  readonly purse: UnitPurse;
-  readonly rate: UseRate;
+  readonly localAllowance: LocalAllowance;
+  readonly rate: UsageRate;
   readonly waiting: WaitingRequest[];
-  isAsking: boolean;
-  /** What all granters turned down last, and the monotonic time until which it is not asked for again. */
-  turnedDown: { readonly units: number; readonly until: number } | undefined;
-  /** Of the limit when units were last asked for. */
+  isServing: boolean;
+  /**
+   * Size of the last refused request, and the monotonic time until which requests of that size are
+   * refused without a call.
+   */
+  lastRejection: { readonly units: number; readonly until: number } | undefined;
+  /** Rate of the limit when units were last requested. */
   ratePerSecond: number;
   lifetimeMs: number;
   used: number;
   refused: number;
 }
 
-/** Gate of one daemon. A subject is what has a limit: a tenant, or a back end. */
+/** Acquires units for the requests of one daemon. A subject is a tenant or a back end that has a limit. */
 export class UnitGate {
   private readonly subjects = new Map<string, SubjectState>();
 
   constructor(private readonly options: UnitGateOptions) {}
 
   /**
-   * Asks for units.
+   * Acquires units for one request.
    *
-   * @param withinMs Milliseconds for which it is of use to wait where no granter answers.
+   * @param maxWaitMs Maximum wait in milliseconds if no allocator responds.
    */
   acquire(
     subject: string,
     limit: UnitLimit,
     units: number,
-    withinMs: number,
+    maxWaitMs: number,
     signal: AbortSignal,
   ): Promise<QuotaOutcome> {
     const { clock } = this.options;
     const state = this.stateOf(subject);
-    // Units of a higher limit would be used beside those of the lower one.
-    if (limit.ratePerSecond < state.ratePerSecond) state.purse.clear();
+    // Units of the previous, higher limit would be used in addition to those of the lower one.
+    if (limit.ratePerSecond < state.ratePerSecond) state.localAllowance.clear();
     state.ratePerSecond = limit.ratePerSecond;
-    state.rate.note(units);
+    state.rate.add(units);
     const now = clock.monotonic();
     const ticket = state.waiting.length === 0 ? this.take(state, units) : undefined;
     if (ticket !== undefined) return Promise.resolve({ kind: 'granted', ticket });
-    const { turnedDown } = state;
-    if (turnedDown !== undefined && units >= turnedDown.units && now < turnedDown.until) {
+    const { lastRejection } = state;
+    if (lastRejection !== undefined && units >= lastRejection.units && now < lastRejection.until) {
       state.refused += units;
-      return Promise.resolve({ kind: 'over_limit', retryAfterMs: turnedDown.until - now });
+      return Promise.resolve({ kind: 'over_limit', retryAfterMs: lastRejection.until - now });
     }
     return new Promise((resolve) => {
-      const waitUntil = now + Math.min(LONGEST_WAIT_MS, withinMs);
-      state.waiting.push({ units, waitUntil, signal, settle: resolve, hasWaited: false });
-      if (!state.isAsking) void this.serve(subject, limit, state);
+      const giveUpAt = now + Math.min(MAX_ALLOCATOR_WAIT_MS, maxWaitMs);
+      state.waiting.push({ units, giveUpAt, signal, resolve, hasWaitedForRefill: false });
+      if (!state.isServing) void this.serveWaiting(subject, limit, state);
     });
   }
 
-  /** Units used and refused since the start, by subject. */
-  use(): ReadonlyMap<string, GateUse> {
+  /** Returns the units used and refused since the start, by subject. */
+  usage(): ReadonlyMap<string, GateUse> {
     return new Map([...this.subjects].map(([name, { used, refused }]) => [name, { used, refused }]));
   }
 
-  /** Drops what is held for a subject that is gone. */
+  /** Drops the state of a removed subject. */
   forget(subject: string): void {
-    if (this.subjects.get(subject)?.isAsking === false) this.subjects.delete(subject);
+    if (this.subjects.get(subject)?.isServing === false) this.subjects.delete(subject);
   }
 
-  /** Asks for what waits until nothing does. Never rejects. */
-  private async serve(subject: string, limit: UnitLimit, state: SubjectState): Promise<void> {
-    state.isAsking = true;
+  /** Requests units until no request waits. Never rejects. */
+  private async serveWaiting(subject: string, limit: UnitLimit, state: SubjectState): Promise<void> {
+    state.isServing = true;
     try {
-      while (this.dropGone(state)) {
-        const round = await this.askGranters(subject, limit, state);
-        if (this.settleServed(state)) continue;
-        if (round.anyAnswered) await this.settleOverLimit(state, limit, round.retryAfterMs);
-        else await this.awaitGranter(state);
+      while (this.dropAborted(state)) {
+        const round = await this.requestRound(subject, limit, state);
+        if (this.grantFromAllowance(state)) continue;
+        if (round.hasAnswer) await this.handleOverLimit(state, limit, round.retryAfterMs);
+        else await this.waitForAllocator(state);
       }
     } finally {
-      state.isAsking = false;
+      state.isServing = false;
     }
   }
 
-  /** Forgets requests whose clients have gone. Returns whether any waits. */
-  private dropGone(state: SubjectState): boolean {
-    const gone = state.waiting.filter(({ signal }) => signal.aborted);
-    for (const request of gone) this.settle(state, request, { kind: 'unavailable', retryAfterMs: 0 });
+  /** Removes aborted requests. Returns whether any request still waits. */
+  private dropAborted(state: SubjectState): boolean {
+    const aborted = state.waiting.filter(({ signal }) => signal.aborted);
+    for (const request of aborted) this.settle(state, request, { kind: 'unavailable', retryAfterMs: 0 });
     return state.waiting.length > 0;
   }
 
   /**
-   * Asks the granters one after the other until the first request has what it needs. Where none has all of it, but several together have, it
-   * is put together from their parts: a large request under a small limit is more than one granter often has.
+   * Calls the allocators in turn until the first waiting request has its units. If no single allocator
+   * has enough, but all together do, a large request is combined from partial grants in a second
+   * round.
    */
-  private async askGranters(subject: string, limit: UnitLimit, state: SubjectState): Promise<RoundResult> {
-    const { allowance, granters } = this.options;
-    const { depth } = shareOf(limit, allowance, granters);
+  private async requestRound(subject: string, limit: UnitLimit, state: SubjectState): Promise<RoundResult> {
+    const { allowance, allocatorCount } = this.options;
+    const { depth } = shareOf(limit, allowance, allocatorCount);
     const [first] = state.waiting;
     const units = first?.units ?? 0;
-    const round = await this.askEach(subject, state, units > depth);
-    const missing = missingUnits(state);
-    const isHelped = missing > 0 && missing <= round.left && units > depth * LARGE_PART;
-    if (units > depth || !isHelped) return round;
-    const parts = await this.askEach(subject, state, true);
-    return { ...parts, anyAnswered: round.anyAnswered || parts.anyAnswered };
+    const round = await this.requestFromEach(subject, state, units > depth);
+    const missing = missingUnitsOf(state);
+    const canCombineParts =
+      missing > 0 && missing <= round.remaining && units > depth * LARGE_REQUEST_FRACTION;
+    if (units > depth || !canCombineParts) return round;
+    const parts = await this.requestFromEach(subject, state, true);
+    return { ...parts, hasAnswer: round.hasAnswer || parts.hasAnswer };
   }
 
-  private async askEach(subject: string, state: SubjectState, mayBePart: boolean): Promise<RoundResult> {
-    const { clock, zonesFor, ask } = this.options;
-    const round = { anyAnswered: false, left: 0, retryAfterMs: 0 };
-    const asked = zonesFor(subject);
-    for (const [index, zone] of asked.entries()) {
-      const needed = missingUnits(state);
+  private async requestFromEach(
+    subject: string,
+    state: SubjectState,
+    mayBePart: boolean,
+  ): Promise<RoundResult> {
+    const { clock, zonesFor, requestUnits } = this.options;
+    const round = { hasAnswer: false, remaining: 0, retryAfterMs: 0 };
+    const zones = zonesFor(subject);
+    for (const [index, zone] of zones.entries()) {
+      const needed = missingUnitsOf(state);
       if (needed <= 0) break;
-      const queued = state.waiting.reduce((sum, { units }) => sum + units, 0) - state.purse.available();
-      const ahead = state.rate.perMs() * state.lifetimeMs * AHEAD_PART;
-      const isLast = index === asked.length - 1;
+      const queued =
+        state.waiting.reduce((sum, { units }) => sum + units, 0) - state.localAllowance.available();
+      const ahead = state.rate.perMs() * state.lifetimeMs * PREFETCH_FRACTION;
+      const isLast = index === zones.length - 1;
       const askedAt = clock.elapsed();
-      const answer = await ask(zone, subject, { needed, queued, ahead, mayBePart, isLast });
+      const answer = await requestUnits(zone, subject, { needed, queued, ahead, mayBePart, isLast });
       if (answer === undefined) continue;
-      round.anyAnswered = true;
-      round.left += answer.left;
+      round.hasAnswer = true;
+      round.remaining += answer.left;
       round.retryAfterMs = Math.max(round.retryAfterMs, answer.retryAfterMs);
       state.lifetimeMs = answer.lifetimeMs;
-      state.purse.add(answer.granted, askedAt + answer.lifetimeMs);
+      state.localAllowance.add(answer.granted, askedAt + answer.lifetimeMs);
     }
     return round;
   }
 
-  /** Gives waiting requests what there is, in the order in which they came. Returns whether any got what it needs. */
-  private settleServed(state: SubjectState): boolean {
+  /** Grants available units to waiting requests in arrival order. Returns whether any request was served. */
+  private grantFromAllowance(state: SubjectState): boolean {
     let anyServed = false;
     for (const request of [...state.waiting]) {
       const ticket = this.take(state, request.units);
@@ -207,53 +224,60 @@
   }
 
   /**
-   * All granters that answered have too little for the first request. Where it will be there in a moment, it waits; else it and all that
-   * are no smaller are turned down.
+   * Handles a round in which the allocators had too few units for the first request. It waits for a
+   * short refill; otherwise it and all requests of at least its size are refused.
    */
-  private async settleOverLimit(state: SubjectState, limit: UnitLimit, toldMs: number): Promise<void> {
+  private async handleOverLimit(
+    state: SubjectState,
+    limit: UnitLimit,
+    reportedRetryMs: number,
+  ): Promise<void> {
     const [first] = state.waiting;
     if (first === undefined) return;
-    // The last granter in the order did not answer: what the request lacks takes at least so long to come in.
-    const { longestTurnDownMs = Infinity } = this.options;
-    const dueMs = toldMs > 0 ? toldMs : (first.units * MS_PER_SECOND) / limit.ratePerSecond;
-    const retryAfterMs = Math.min(longestTurnDownMs, dueMs);
-    if (retryAfterMs <= SHORT_WAIT_MS && !first.hasWaited) {
-      first.hasWaited = true;
+    // The last allocator, which reports the delay, did not respond. The refill takes at least this
+    // long.
+    const { maxBackoffMs = Infinity } = this.options;
+    const dueMs = reportedRetryMs > 0 ? reportedRetryMs : (first.units * MS_PER_SECOND) / limit.ratePerSecond;
+    const retryAfterMs = Math.min(maxBackoffMs, dueMs);
+    if (retryAfterMs <= MAX_REFILL_WAIT_MS && !first.hasWaitedForRefill) {
+      first.hasWaitedForRefill = true;
       await sleep(this.options.clock, retryAfterMs);
       return;
     }
-    state.turnedDown = { units: first.units, until: this.options.clock.monotonic() + retryAfterMs };
+    state.lastRejection = { units: first.units, until: this.options.clock.monotonic() + retryAfterMs };
     for (const request of state.waiting.filter(({ units }) => units >= first.units)) {
       state.refused += request.units;
       this.settle(state, request, { kind: 'over_limit', retryAfterMs });
     }
   }
 
-  private async awaitGranter(state: SubjectState): Promise<void> {
+  private async waitForAllocator(state: SubjectState): Promise<void> {
     const now = this.options.clock.monotonic();
-    for (const request of state.waiting.filter(({ waitUntil }) => waitUntil <= now + NO_GRANTER_PAUSE_MS))
-      this.settle(state, request, { kind: 'unavailable', retryAfterMs: NO_GRANTER_RETRY_MS });
-    if (state.waiting.length > 0) await sleep(this.options.clock, NO_GRANTER_PAUSE_MS);
+    for (const request of state.waiting.filter(
+      ({ giveUpAt }) => giveUpAt <= now + ALLOCATOR_RETRY_INTERVAL_MS,
+    ))
+      this.settle(state, request, { kind: 'unavailable', retryAfterMs: RETRY_AFTER_NO_ALLOCATOR_MS });
+    if (state.waiting.length > 0) await sleep(this.options.clock, ALLOCATOR_RETRY_INTERVAL_MS);
   }
 
   private settle(state: SubjectState, request: WaitingRequest, outcome: QuotaOutcome): void {
     state.waiting.splice(state.waiting.indexOf(request), 1);
-    request.settle(outcome);
+    request.resolve(outcome);
   }
 
   private take(state: SubjectState, units: number): QuotaTicket | undefined {
     const { clock } = this.options;
-    const taken = state.purse.take(units);
+    const taken = state.localAllowance.take(units);
     if (taken === undefined) return undefined;
     state.used += units;
     let isOpen = true;
     return {
-      isValid: () => clock.elapsed() < taken.until,
+      isValid: () => clock.elapsed() < taken.earliestExpiresAt,
       giveBack: () => {
         if (!isOpen) return;
         isOpen = false;
         state.used -= units;
-        state.purse.add(units, taken.until);
+        state.localAllowance.add(units, taken.earliestExpiresAt);
       },
     };
   }
@@ -263,11 +287,11 @@
     if (state === undefined) {
       const { clock } = this.options;
       state = {
-        purse: new UnitPurse(clock),
-        rate: new UseRate(clock),
+        localAllowance: new LocalAllowance(clock),
+        rate: new UsageRate(clock),
         waiting: [],
-        isAsking: false,
-        turnedDown: undefined,
+        isServing: false,
+        lastRejection: undefined,
         ratePerSecond: 0,
         lifetimeMs: 0,
         used: 0,
@@ -279,8 +303,8 @@
   }
 }
 
-/** Units that the first waiting request lacks; 0 when none waits. */
-function missingUnits({ waiting, purse }: SubjectState): number {
+/** Returns the units that the first waiting request lacks; 0 if none waits. */
+function missingUnitsOf({ waiting, localAllowance }: SubjectState): number {
   const [first] = waiting;
-  return first === undefined ? 0 : first.units - purse.available();
+  return first === undefined ? 0 : first.units - localAllowance.available();
 }
--- a/packages/quota/test/granting-zones.ts
+++ b/packages/quota/test/zone-leases.ts
@@ -1,13 +1,13 @@
-/** Leases of zones in a simulated cluster: who may grant for which zone, and what the daemons are told of it. */
+/** Simulates zone leases: which daemon may allocate for which zone, and the claims that daemons receive. */
 import type { SimulatedNode } from '@woodbarrow/peering';
 import type { SimulatedWorld } from '@woodbarrow/runtime';
 import type { RelayedClaim } from '@woodbarrow/protocol';
 import type { ZoneAuthority } from '../src/index.js';
 
-/** Time after which a lost granter's zone has another one that may act, in milliseconds. */
-const TAKEOVER_MS = 5000;
+/** Time until another daemon may act for a zone whose holder has ended, in milliseconds. */
+const TAKEOVER_DELAY_MS = 5000;
 
-/** A daemon that may hold zones. */
+/** A daemon that may hold zone leases. */
 export interface ZoneDaemon {
   readonly index: number;
   readonly name: string;
@@ -15,17 +15,17 @@
   readonly node: SimulatedNode;
 }
 
-interface Granting {
-  /** Daemon that holds the zone's lease, if any. */
+interface ZoneLease {
+  /** Index of the daemon that holds the lease; undefined if there is none. */
   holder: number | undefined;
   fence: number;
   /** Virtual time from which the holder may act. */
   actsAt: number;
 }
 
-/** Leases of some zones; at first the daemon of a zone's index holds it. */
-export class GrantingZones {
-  private readonly granting = new Map<string, Granting>();
+/** Simulates the leases of some zones. Initially, the daemon with a zone's index holds its lease. */
+export class ZoneLeases {
+  private readonly leases = new Map<string, ZoneLease>();
 
   constructor(
     private readonly world: SimulatedWorld,
@@ -33,20 +33,20 @@
     private readonly daemons: readonly ZoneDaemon[],
   ) {
     zones.forEach((zone, index) => {
-      this.granting.set(zone, { holder: index, fence: 1, actsAt: 0 });
+      this.leases.set(zone, { holder: index, fence: 1, actsAt: 0 });
     });
   }
 
-  /** A daemon has ended: other daemons take its zones, once it has certainly stopped. */
+  /** Transfers the zones of an ended daemon to other daemons once it has certainly stopped. */
   takeOverFrom(index: number): void {
-    for (const [zone, granting] of this.granting) {
+    for (const [zone, granting] of this.leases) {
       if (granting.holder === index) this.takeOver(zone, granting, index);
     }
   }
 
-  /** The authority of a daemon over a zone. */
+  /** Returns the authority of a daemon over a zone. */
   authorityOf(zone: string, index: number): ZoneAuthority | undefined {
-    const granting = this.granting.get(zone);
+    const granting = this.leases.get(zone);
     if (granting?.holder !== index) return undefined;
     const { fence, actsAt } = granting;
     return {
@@ -56,10 +56,10 @@
     };
   }
 
-  /** Claims as a daemon hears of them. */
+  /** Returns the lease claims as daemons receive them. */
   claims(): RelayedClaim[] {
     const claims: RelayedClaim[] = [];
-    for (const [zone, { holder, fence }] of this.granting) {
+    for (const [zone, { holder, fence }] of this.leases) {
       const daemon = holder === undefined ? undefined : this.daemons[holder];
       if (daemon === undefined) continue;
       const common = { storeLoads: 0, loading: [], leaseRevision: 1, confirmedAgoMs: 0 };
@@ -69,9 +69,9 @@
     return claims;
   }
 
-  private takeOver(zone: string, granting: Granting, from: number): void {
+  private takeOver(zone: string, granting: ZoneLease, from: number): void {
     granting.holder = undefined;
-    this.world.schedule(TAKEOVER_MS, () => {
+    this.world.schedule(TAKEOVER_DELAY_MS, () => {
       const next = this.daemons.find((daemon) => daemon.zone === zone && daemon.index !== from);
       granting.holder = next?.index;
       granting.fence += 1;
