--- a/packages/coordination/src/claim-ledger.ts
+++ b/packages/coordination/src/claim-ledger.ts
@@ -39,7 +39,7 @@
 const DEFAULT_MAXIMUM_ANSWER_BYTES = 16 * 1024 * 1024;
 const EXPIRY_INTERVAL_MS = 10_000;
 const WRITE_RETRY_MS = 200;
-const EXPIRY_BATCH = 500;
+const EXPIRY_BATCH_SIZE = 500;
 /** Margin for wall clocks that differ between machines. */
 const WALL_CLOCK_MARGIN_MS = 5000;
 /** Record that says since when the ledger has forgotten nothing. */
@@ -56,7 +56,7 @@
   private knownSince = Infinity;
   private readonly claims = new Map<string, Claim>();
   /** Keys whose claim is being written; a second claimant waits for the outcome. */
-  private readonly writing = new Map<string, Promise<void>>();
+  private readonly pendingWrites = new Map<string, Promise<void>>();
   private readonly answers = new Map<string, Uint8Array>();
   private answerBytes = 0;
 
@@ -74,7 +74,7 @@
     const { candidate, peers } = this.options;
     candidate.events.on('acquired', (lease) => this.takeOver(lease));
     candidate.events.on('lost', () => {
-      this.forgetAll();
+      this.reset();
     });
     peers.handle(claimMethod, (request) => this.claim(request));
     peers.handle(settleClaimMethod, async (request) => {
@@ -89,14 +89,14 @@
   }
 
   private async takeOver(lease: Lease): Promise<void> {
-    this.forgetAll();
+    this.reset();
     const wall = this.options.clock.wall();
     const values = lease.values();
     const origin = values.get(ORIGIN_KEY) as LedgerOrigin | undefined;
     for (const [key, value] of values) {
       if (key !== ORIGIN_KEY) this.claims.set(key, value as Claim);
     }
-    this.knownSince = knownSinceOf(lease, origin, wall);
+    this.knownSince = completeSince(lease, origin, wall);
     if (await this.recordOrigin(lease)) this.lease = lease;
   }
 
@@ -113,21 +113,21 @@
     return lease.isValid;
   }
 
-  private forgetAll(): void {
+  private reset(): void {
     this.lease = undefined;
     this.claims.clear();
-    this.writing.clear();
+    this.pendingWrites.clear();
     this.answers.clear();
     this.answerBytes = 0;
   }
 
   private async claim(request: ClaimRequest): Promise<ClaimResponse> {
     const lease = this.currentLease();
-    await this.writing.get(request.key)?.catch(() => undefined);
+    await this.pendingWrites.get(request.key)?.catch(() => undefined);
     if (lease !== this.lease) throw new WoodbarrowError('not_leader', 'the ledger moved');
-    const known = this.claims.get(request.key);
-    if (known !== undefined) return this.answerKnown(lease, request, known);
-    if (!this.canTell(request)) return { outcome: 'unknown' };
+    const existing = this.claims.get(request.key);
+    if (existing !== undefined) return this.respondToExisting(lease, request, existing);
+    if (!this.isCertainlyUnclaimed(request)) return { outcome: 'unknown' };
     if (this.claims.size >= (this.options.maximumKeys ?? DEFAULT_MAXIMUM_KEYS)) {
       throw new WoodbarrowError('queue_full', 'the ledger of claims is full');
     }
@@ -142,34 +142,38 @@
     return { outcome: 'granted' };
   }
 
-  private async answerKnown(lease: Lease, request: ClaimRequest, known: Claim): Promise<ClaimResponse> {
-    if (known.fingerprint !== request.fingerprint) return { outcome: 'mismatch' };
-    if (known.claimant === request.claimant && !known.finished) {
+  private async respondToExisting(
+    lease: Lease,
+    request: ClaimRequest,
+    existing: Claim,
+  ): Promise<ClaimResponse> {
+    if (existing.fingerprint !== request.fingerprint) return { outcome: 'mismatch' };
+    if (existing.claimant === request.claimant && !existing.finished) {
       // The earlier write may have reached a minority only, which the next leader need not hear of.
-      await this.record(lease, request.key, known);
+      await this.record(lease, request.key, existing);
       return { outcome: 'granted' };
     }
-    if (!known.finished) return { outcome: 'running' };
+    if (!existing.finished) return { outcome: 'running' };
     const answer = this.answers.get(request.key);
     return answer === undefined ? { outcome: 'finished' } : { outcome: 'finished', answer };
   }
 
   /** Whether an unknown key is certainly unused: it is younger than the ledger's memory. */
-  private canTell(request: ClaimRequest): boolean {
+  private isCertainlyUnclaimed(request: ClaimRequest): boolean {
     const age = request.ageMs ?? this.options.maximumLifetimeMs;
     return this.options.clock.wall() - age >= this.knownSince;
   }
 
   private async settle(request: SettleClaimRequest): Promise<void> {
     const lease = this.currentLease();
-    const known = this.claims.get(request.key);
-    if (known === undefined || known.claimant !== request.claimant) return;
+    const existing = this.claims.get(request.key);
+    if (existing === undefined || existing.claimant !== request.claimant) return;
     if (request.result === 'released') {
-      await this.erase(lease, [request.key]);
+      await this.deleteClaims(lease, [request.key]);
       return;
     }
-    if (request.answer !== undefined) this.keepAnswer(request.key, request.answer);
-    await this.record(lease, request.key, { ...known, finished: true });
+    if (request.answer !== undefined) this.cacheAnswer(request.key, request.answer);
+    await this.record(lease, request.key, { ...existing, finished: true });
   }
 
   private currentLease(): Lease {
@@ -182,16 +186,16 @@
   private async record(lease: Lease, key: string, claim: Claim): Promise<void> {
     this.claims.set(key, claim);
     const write = lease.write(new Map([[key, claim]]));
-    this.writing.set(key, write);
+    this.pendingWrites.set(key, write);
     try {
       await write;
     } finally {
-      if (this.writing.get(key) === write) this.writing.delete(key);
+      if (this.pendingWrites.get(key) === write) this.pendingWrites.delete(key);
     }
     lease.assertValid();
   }
 
-  private async erase(lease: Lease, keys: readonly string[]): Promise<void> {
+  private async deleteClaims(lease: Lease, keys: readonly string[]): Promise<void> {
     await lease.write(new Map(keys.map((key) => [key, null])));
     for (const key of keys) {
       this.claims.delete(key);
@@ -199,7 +203,7 @@
     }
   }
 
-  private keepAnswer(key: string, answer: Uint8Array): void {
+  private cacheAnswer(key: string, answer: Uint8Array): void {
     const limit = this.options.maximumAnswerBytes ?? DEFAULT_MAXIMUM_ANSWER_BYTES;
     if (answer.byteLength > limit) return;
     this.answers.set(key, answer);
@@ -222,14 +226,14 @@
     const expired: string[] = [];
     for (const [key, claim] of this.claims) {
       if (claim.expiresAt < now) expired.push(key);
-      if (expired.length >= EXPIRY_BATCH) break;
+      if (expired.length >= EXPIRY_BATCH_SIZE) break;
     }
-    if (expired.length > 0) await this.erase(lease, expired);
+    if (expired.length > 0) await this.deleteClaims(lease, expired);
   }
 }
 
 /** Wall time since which every claim is known. The first epoch has nothing before it that could be forgotten. */
-function knownSinceOf(lease: Lease, origin: LedgerOrigin | undefined, wall: number): number {
+function completeSince(lease: Lease, origin: LedgerOrigin | undefined, wall: number): number {
   if (lease.isComplete && origin !== undefined) return origin.knownSince;
   return lease.set.epoch === 1 ? 0 : wall + WALL_CLOCK_MARGIN_MS;
 }
--- a/packages/coordination/src/claims-client.ts
+++ b/packages/coordination/src/claims-client.ts
@@ -13,7 +13,7 @@
 
 const RETRY_PAUSE_MS = 100;
 const CALL_TIMEOUT_MS = 1000;
-const SETTLE_LIMIT_MS = 5000;
+const SETTLE_TIMEOUT_MS = 5000;
 
 /** Client side of the ledger. */
 export class ClaimsClient {
@@ -52,7 +52,7 @@
 
   /** Settles a claim. When that fails the claim stays open, and repeats of its key are refused. */
   async settle(request: SettleClaimRequest): Promise<void> {
-    const until = this.clock.monotonic() + SETTLE_LIMIT_MS;
+    const until = this.clock.monotonic() + SETTLE_TIMEOUT_MS;
     while (this.clock.monotonic() < until) {
       const holder = await this.locator.find(this.group);
       if (holder !== undefined) {
--- a/packages/coordination/src/index.ts
+++ b/packages/coordination/src/index.ts
@@ -6,7 +6,7 @@
 export * from './lease-voter.js';
 export * from './lease.js';
 export * from './rendezvous.js';
-export * from './voters.js';
+export * from './voter-calls.js';
 export * from './store-lease.js';
 export * from './lease-record.js';
 export * from './lease-witness.js';
--- a/packages/coordination/src/lease-candidate.ts
+++ b/packages/coordination/src/lease-candidate.ts
@@ -14,7 +14,7 @@
 import { TaskGroup, sleep, type Clock, type Random } from '@woodbarrow/runtime';
 import { Lease } from './lease.js';
 import { isNewer } from './lease-voter.js';
-import { callVoters, isMajority } from './voters.js';
+import { callVoters, isMajority } from './voter-calls.js';
 
 /** Voters of a group now, and of the epoch before. */
 export interface VoterSets {
@@ -69,7 +69,7 @@
   private highestTerm = 0;
   private highestTermEpoch = 0;
   /** Epoch by voter id for which the voter is known to have the set. */
-  private readonly informed = new Map<string, number>();
+  private readonly informedEpochs = new Map<string, number>();
 
   constructor(private readonly options: LeaseCandidateOptions) {
     this.timings = { ...DEFAULT_LEASE_TIMINGS, ...options.timings };
@@ -108,30 +108,30 @@
   private async step(): Promise<number> {
     const sets = this.options.voterSets();
     if (sets === undefined || sets.current.voters.length === 0) return IDLE_PAUSE_MS;
-    if (this.lease !== undefined) return this.keep(this.lease, sets.current);
+    if (this.lease !== undefined) return this.renew(this.lease, sets.current);
     if (!this.options.isWilling()) return IDLE_PAUSE_MS;
-    return this.attempt(sets);
+    return this.acquire(sets);
   }
 
-  private async keep(lease: Lease, current: VoterSet): Promise<number> {
+  private async renew(lease: Lease, current: VoterSet): Promise<number> {
     if (!this.options.isWilling()) {
       await this.handOver();
       return IDLE_PAUSE_MS;
     }
     if (current.epoch > lease.set.epoch || !lease.isValid) {
       // The next epoch's voters decide from now on, or this daemon was stopped for longer than its lease.
-      this.drop(lease);
+      this.dropLease(lease);
       return 0;
     }
     const startedAt = this.options.clock.elapsed();
-    const answers = await this.askVoters(lease.set, lease.term, true, true);
+    const answers = await this.requestLease(lease.set, lease.term, true, true);
     const granted = answers.filter((answer) => answer.outcome === 'granted').length;
     if (isMajority(granted, lease.set)) lease.extend(this.validUntil(startedAt));
-    if (!lease.isValid) this.drop(lease);
+    if (!lease.isValid) this.dropLease(lease);
     return this.timings.durationMs / RENEWALS_PER_DURATION;
   }
 
-  private async attempt(sets: VoterSets): Promise<number> {
+  private async acquire(sets: VoterSets): Promise<number> {
     const { current } = sets;
     if (current.epoch !== this.highestTermEpoch) {
       this.highestTermEpoch = current.epoch;
@@ -139,7 +139,7 @@
     }
     const term = this.highestTerm + 1;
     const startedAt = this.options.clock.elapsed();
-    const answers = await this.askVoters(current, term, false, false);
+    const answers = await this.requestLease(current, term, false, false);
     for (const answer of answers) this.highestTerm = Math.max(this.highestTerm, answer.term);
     const granted = answers.filter((answer) => answer.outcome === 'granted');
     if (!isMajority(granted.length, current)) {
@@ -151,7 +151,7 @@
     const carried = await this.carryOver(lease, sets.previous);
     if (!carried.isValid) {
       await this.release(current, term);
-      return this.jitter();
+      return this.randomPauseMs();
     }
     this.lease = carried;
     void this.events.emit('acquired', carried);
@@ -196,7 +196,7 @@
     return lease;
   }
 
-  private async askVoters(
+  private async requestLease(
     set: VoterSet,
     term: number,
     renewal: boolean,
@@ -211,21 +211,21 @@
       durationMs: this.timings.durationMs,
       renewal,
     });
-    const known = set.voters.every((voter) => this.informed.get(voter.id) === set.epoch);
+    const allInformed = set.voters.every((voter) => this.informedEpochs.get(voter.id) === set.epoch);
     const isEnough = (answers: readonly AcquireResponse[]): boolean =>
       stopAtMajority && isMajority(answers.filter((answer) => answer.outcome === 'granted').length, set);
     const answers = await callVoters(
       this.options.peers,
       set,
       acquireMethod,
-      (seat) => request(seat, !known),
+      (seat) => request(seat, !allInformed),
       this.timings.callTimeoutMs,
       isEnough,
     );
-    const everyoneKnows = answers.length > 0 && answers.every((answer) => answer.outcome !== 'unknown_epoch');
+    const allKnowEpoch = answers.length > 0 && answers.every((answer) => answer.outcome !== 'unknown_epoch');
     for (const voter of set.voters) {
-      if (everyoneKnows) this.informed.set(voter.id, set.epoch);
-      else this.informed.delete(voter.id);
+      if (allKnowEpoch) this.informedEpochs.set(voter.id, set.epoch);
+      else this.informedEpochs.delete(voter.id);
     }
     return answers;
   }
@@ -233,10 +233,10 @@
   private pauseAfterRefusal(answers: readonly AcquireResponse[]): number {
     const remaining = answers.map((answer) => answer.remainingMs);
     const longest = Math.max(0, ...remaining);
-    return longest + this.jitter();
+    return longest + this.randomPauseMs();
   }
 
-  private jitter(): number {
+  private randomPauseMs(): number {
     return this.options.random.between(0.05, 0.3) * this.timings.durationMs;
   }
 
@@ -248,11 +248,11 @@
   private async handOver(): Promise<void> {
     const lease = this.lease;
     if (lease === undefined) return;
-    this.drop(lease);
+    this.dropLease(lease);
     await this.release(lease.set, lease.term);
   }
 
-  private drop(lease: Lease): void {
+  private dropLease(lease: Lease): void {
     lease.end();
     this.lease = undefined;
     void this.events.emit('lost', lease);
--- a/packages/coordination/src/lease-locator.ts
+++ b/packages/coordination/src/lease-locator.ts
@@ -3,7 +3,7 @@
 import type { PeerNetwork } from '@woodbarrow/peering';
 import type { Clock } from '@woodbarrow/runtime';
 import type { VoterSets } from './lease-candidate.js';
-import { callVoters } from './voters.js';
+import { callVoters } from './voter-calls.js';
 
 /** Who holds a lease. */
 export interface LeaseHolder {
@@ -40,9 +40,9 @@
       describeLeaseMethod,
       () => ({ group }),
       LOOKUP_TIMEOUT_MS,
-      (received) => received.some((answer) => namedByMajority(received, answer, set.voters.length)),
+      (received) => received.some((answer) => isNamedByMajority(received, answer, set.voters.length)),
     );
-    const named = answers.find((answer) => namedByMajority(answers, answer, set.voters.length));
+    const named = answers.find((answer) => isNamedByMajority(answers, answer, set.voters.length));
     if (named?.holder === undefined || named.holderAddress === undefined) return undefined;
     const holder = { id: named.holder, address: named.holderAddress };
     this.cache.set(group, { holder, until: this.clock.elapsed() + named.remainingMs });
@@ -55,7 +55,7 @@
   }
 }
 
-function namedByMajority(
+function isNamedByMajority(
   answers: readonly DescribeLeaseResponse[],
   candidate: DescribeLeaseResponse,
   voterCount: number,
--- a/packages/coordination/src/lease-record.ts
+++ b/packages/coordination/src/lease-record.ts
@@ -50,10 +50,10 @@
  * Fences that can be given in one era of the store: a change of holder each minute for a year. Those of a later era are higher, whatever the
  * copy has lost from which the store was restored.
  */
-const FENCES_PER_ERA = 2 ** 20;
+const MAX_FENCES_PER_ERA = 2 ** 20;
 
 /** Whether a record is from before the store was restored. */
-export function isLeftover({ record, era }: StoredLease): boolean {
+export function isFromEarlierEra({ record, era }: StoredLease): boolean {
   return record.era !== undefined && record.era < era;
 }
 
@@ -64,7 +64,7 @@
 
 /** Lowest fence that may be given in an era. */
 export function firstFenceOf(era: number): number {
-  return era * FENCES_PER_ERA + 1;
+  return era * MAX_FENCES_PER_ERA + 1;
 }
 
 /** Fence of the next holder after the one of a record. */
--- a/packages/coordination/src/lease-voter.ts
+++ b/packages/coordination/src/lease-voter.ts
@@ -21,7 +21,7 @@
 import type { Clock } from '@woodbarrow/runtime';
 
 /** What a voter keeps of one group in one epoch. It is lost when the process ends, and the seat with it. */
-interface GroupState {
+interface VoterGroupState {
   readonly set: VoterSet;
   term: number;
   holder: string | undefined;
@@ -31,7 +31,7 @@
   sealed: boolean;
   readonly records: Map<string, LeaseRecord>;
   /** State of the epoch before, ended by this one; kept for the holder that brings its records along. */
-  readonly previous: GroupState | undefined;
+  readonly previous: VoterGroupState | undefined;
 }
 
 /** Options of {@link LeaseVoter}. */
@@ -45,7 +45,7 @@
 
 /** Votes in any group whose voter set names this run of this daemon. */
 export class LeaseVoter {
-  private readonly groups = new Map<string, GroupState>();
+  private readonly groups = new Map<string, VoterGroupState>();
 
   constructor(private readonly options: LeaseVoterOptions) {}
 
@@ -60,32 +60,32 @@
   }
 
   private acquire(request: AcquireRequest): AcquireResponse {
-    if (request.set !== undefined) this.adopt(request.set);
-    const refusal = this.refusalOf(request.seat);
+    if (request.set !== undefined) this.adoptVoterSet(request.set);
+    const refusal = this.seatRefusal(request.seat);
     if (refusal !== undefined) return { outcome: refusal, term: 0, remainingMs: 0 };
-    const state = this.groups.get(request.seat.group) as GroupState;
+    const state = this.groups.get(request.seat.group) as VoterGroupState;
     const now = this.options.clock.monotonic();
     if (request.renewal) return this.renew(state, request, now);
-    if (state.holder !== undefined && state.expiresAt > now) return answerOf(state, 'held', now);
-    if (request.term <= state.term) return answerOf(state, 'old_term', now);
+    if (state.holder !== undefined && state.expiresAt > now) return responseFor(state, 'held', now);
+    if (request.term <= state.term) return responseFor(state, 'old_term', now);
     state.term = request.term;
     state.holder = request.holder;
     state.holderAddress = request.holderAddress;
     state.expiresAt = now + request.durationMs;
-    return { ...answerOf(state, 'granted', now), records: [...state.records.values()] };
+    return { ...responseFor(state, 'granted', now), records: [...state.records.values()] };
   }
 
-  private renew(state: GroupState, request: AcquireRequest, now: number): AcquireResponse {
+  private renew(state: VoterGroupState, request: AcquireRequest, now: number): AcquireResponse {
     const same = state.term === request.term && state.holder === request.holder;
     // A lapsed lease may be renewed while no other was granted: no one else can have held it.
-    if (!same) return answerOf(state, 'held', now);
+    if (!same) return responseFor(state, 'held', now);
     state.expiresAt = now + request.durationMs;
-    return answerOf(state, 'granted', now);
+    return responseFor(state, 'granted', now);
   }
 
   private write(request: WriteRequest): boolean {
-    if (this.refusalOf(request.seat) !== undefined) return false;
-    const state = this.groups.get(request.seat.group) as GroupState;
+    if (this.seatRefusal(request.seat) !== undefined) return false;
+    const state = this.groups.get(request.seat.group) as VoterGroupState;
     if (request.term !== state.term) return false;
     for (const record of request.records) {
       const known = state.records.get(record.key);
@@ -99,8 +99,8 @@
   }
 
   private release(request: ReleaseRequest): Record<string, never> {
-    if (this.refusalOf(request.seat) !== undefined) return {};
-    const state = this.groups.get(request.seat.group) as GroupState;
+    if (this.seatRefusal(request.seat) !== undefined) return {};
+    const state = this.groups.get(request.seat.group) as VoterGroupState;
     if (request.term === state.term) {
       state.holder = undefined;
       state.holderAddress = undefined;
@@ -123,7 +123,7 @@
   private describe(group: string): DescribeLeaseResponse {
     const state = this.groups.get(group);
     if (state === undefined) return { epoch: 0, remainingMs: 0 };
-    const { remainingMs, holder, holderAddress } = answerOf(state, 'held', this.options.clock.monotonic());
+    const { remainingMs, holder, holderAddress } = responseFor(state, 'held', this.options.clock.monotonic());
     return {
       epoch: state.set.epoch,
       remainingMs,
@@ -133,7 +133,7 @@
   }
 
   /** Takes up a seat in a newer epoch. Records do not come along: the new holder brings them. */
-  private adopt(set: VoterSet): void {
+  private adoptVoterSet(set: VoterSet): void {
     const known = this.groups.get(set.group);
     if (known !== undefined && known.set.epoch >= set.epoch) return;
     const seated = set.voters.some(
@@ -153,7 +153,7 @@
     });
   }
 
-  private refusalOf(seat: Seat): VoteOutcome | undefined {
+  private seatRefusal(seat: Seat): VoteOutcome | undefined {
     if (seat.instance !== this.options.instance) return 'not_a_voter';
     const state = this.groups.get(seat.group);
     if (state === undefined || state.set.epoch < seat.epoch) return 'unknown_epoch';
@@ -167,7 +167,7 @@
   return record.term > known.term || (record.term === known.term && record.sequence > known.sequence);
 }
 
-function answerOf(state: GroupState, outcome: VoteOutcome, now: number): AcquireResponse {
+function responseFor(state: VoterGroupState, outcome: VoteOutcome, now: number): AcquireResponse {
   const remainingMs = Math.max(0, state.expiresAt - now);
   const held = remainingMs > 0 && state.holder !== undefined;
   return {
--- a/packages/coordination/src/lease-witness.ts
+++ b/packages/coordination/src/lease-witness.ts
@@ -16,7 +16,7 @@
 /** Milliseconds for which a holder may act after it asked a witness that answered. */
 export const CONTACT_LIFETIME_MS = 1500;
 /** Allowance for clocks that run at different speeds, as a share of that time. */
-const DRIFT_SHARE = 0.02;
+const CLOCK_DRIFT_SHARE = 0.02;
 
 /** Position of a lease's record; the era is absent from daemons that know none. */
 interface LeasePosition {
@@ -57,7 +57,7 @@
 export class LeaseWitness {
   private readonly contactAt = new Map<string, number>();
   /** Latest position of each lease's record under which its holder was refused. */
-  private readonly refused = new Map<string, StorePosition>();
+  private readonly refusedPositions = new Map<string, StorePosition>();
   private readonly startedAt: number;
 
   constructor(private readonly clock: Clock) {
@@ -67,7 +67,7 @@
   /** A holder asks to go on. Returns whether it may. */
   contact(request: ContactRequest): boolean {
     const { lease } = request;
-    const refused = this.refused.get(lease);
+    const refused = this.refusedPositions.get(lease);
     if (refused !== undefined && compareStorePositions(refused, this.positionOf(request)) >= 0) return false;
     this.contactAt.set(lease, this.clock.monotonic());
     return true;
@@ -77,16 +77,16 @@
   refuse(request: RefusalRequest): RefusalAnswer {
     const { lease } = request;
     const lastContactAgoMs = this.clock.monotonic() - (this.contactAt.get(lease) ?? this.startedAt);
-    if (lastContactAgoMs < CONTACT_LIFETIME_MS * (1 + DRIFT_SHARE))
+    if (lastContactAgoMs < CONTACT_LIFETIME_MS * (1 + CLOCK_DRIFT_SHARE))
       return { agreed: false, lastContactAgoMs };
     const position = this.positionOf(request);
-    const refused = this.refused.get(lease);
+    const refused = this.refusedPositions.get(lease);
     if (refused === undefined || compareStorePositions(position, refused) > 0)
-      this.refused.set(lease, position);
+      this.refusedPositions.set(lease, position);
     return { agreed: true, lastContactAgoMs };
   }
 
   private positionOf({ lease, era, revision }: LeasePosition): StorePosition {
-    return { era: era ?? this.refused.get(lease)?.era ?? 0, revision };
+    return { era: era ?? this.refusedPositions.get(lease)?.era ?? 0, revision };
   }
 }
--- a/packages/coordination/src/lease.ts
+++ b/packages/coordination/src/lease.ts
@@ -3,7 +3,7 @@
 import { writeMethod, type LeaseRecord, type VoterSet } from '@woodbarrow/protocol';
 import type { PeerNetwork } from '@woodbarrow/peering';
 import type { Clock } from '@woodbarrow/runtime';
-import { callVoters, isMajority } from './voters.js';
+import { callVoters, isMajority } from './voter-calls.js';
 
 /** Fences are epoch times this plus term, so that they grow with both. */
 export const TERMS_PER_EPOCH = 65_536;
--- a/packages/coordination/src/relay-topology.ts
+++ b/packages/coordination/src/relay-topology.ts
@@ -14,7 +14,7 @@
 }
 
 /** Groups up to this size have no daemons but relays. */
-export const LARGEST_DIRECT_GROUP = 12;
+export const MAX_FULL_MESH_SIZE = 12;
 /**
  * Relays of all zones that follow the store at once, the others learn of changes from them. Each costs calls to the
  * store; with three, one may be silent and one lost while the third tells of a change.
@@ -32,36 +32,41 @@
   /** All relays but this daemon. */
   readonly relays: readonly T[];
   /** Relays that follow the store rather than this daemon, as long as they can. */
-  readonly followersBefore: readonly T[];
+  readonly precedingFollowers: readonly T[];
 }
 
 /** Works out the relays among the members of a group, which need not name this daemon. */
 export function relayTopology<T extends RelayCandidate>(self: T, members: readonly T[]): RelayTopology<T> {
   const others = members.filter((member) => member.id !== self.id);
-  if (others.length < LARGEST_DIRECT_GROUP) {
-    return { isRelay: true, ownRelays: [], relays: others, followersBefore: followersBefore(self, others) };
+  if (others.length < MAX_FULL_MESH_SIZE) {
+    return {
+      isRelay: true,
+      ownRelays: [],
+      relays: others,
+      precedingFollowers: precedingFollowers(self, others),
+    };
   }
-  const byZone = new Map<string, T[]>();
+  const membersByZone = new Map<string, T[]>();
   for (const member of [self, ...others]) {
-    const ofZone = byZone.get(member.zone);
-    if (ofZone === undefined) byZone.set(member.zone, [member]);
-    else ofZone.push(member);
+    const zoneMembers = membersByZone.get(member.zone);
+    if (zoneMembers === undefined) membersByZone.set(member.zone, [member]);
+    else zoneMembers.push(member);
   }
-  const relays = [...byZone].flatMap(([zone, ofZone]) => relaysOf(zone, ofZone));
+  const relays = [...membersByZone].flatMap(([zone, ofZone]) => relaysOf(zone, ofZone));
   const isRelay = relays.some((relay) => relay.id === self.id);
   const otherRelays = relays.filter((relay) => relay.id !== self.id);
-  const ofOwnZone = otherRelays.filter((relay) => relay.zone === self.zone);
+  const sameZoneRelays = otherRelays.filter((relay) => relay.zone === self.zone);
   // Each daemon has an order of its own, so that the relays of a zone share the work.
   return {
     isRelay,
-    ownRelays: rankByRendezvous(`attach ${self.id}`, ofOwnZone),
+    ownRelays: rankByRendezvous(`attach ${self.id}`, sameZoneRelays),
     relays: otherRelays,
-    followersBefore: isRelay ? followersBefore(self, otherRelays) : [],
+    precedingFollowers: isRelay ? precedingFollowers(self, otherRelays) : [],
   };
 }
 
 /** Relays that come before a daemon in the order in which they follow the store. */
-function followersBefore<T extends RelayCandidate>(self: T, otherRelays: readonly T[]): T[] {
+function precedingFollowers<T extends RelayCandidate>(self: T, otherRelays: readonly T[]): T[] {
   const ranked = rankByRendezvous('follow the store', [self, ...otherRelays]);
   return ranked.slice(
     0,
--- a/packages/coordination/src/store-lease.ts
+++ b/packages/coordination/src/store-lease.ts
@@ -15,7 +15,7 @@
 import { HolderContact } from './holder-contact.js';
 import {
   firstFenceOf,
-  isLeftover,
+  isFromEarlierEra,
   isSamePosition,
   nextFence,
   type LeaseRecord,
@@ -84,20 +84,20 @@
  */
 const DEFAULT_LIFETIME_MS = 10_000;
 /** Allowance for clocks that run at different speeds, as a share of the lifetime. */
-const DRIFT_SHARE = 0.02;
+const CLOCK_DRIFT_SHARE = 0.02;
 /**
  * Time for which an era must have been known before everybody is asked to refuse whoever held a lease before it, in milliseconds: longer than a call to the
  * store may take, so that no daemon still waits for the answer that makes it a holder, and enough for a daemon that has just started to hear of all others.
  */
-const SETTLED_ERA_MS = 2000;
+const ERA_SETTLING_MS = 2000;
 /** Pause before a record that changed under us is looked at again, in milliseconds. */
 const CONFLICT_RETRY_MS = 300;
 /** Time for which an act of a holder may be on its way when it is refused, in milliseconds: the limit of an order. */
-const ACT_UNDER_WAY_MS = 500;
+const IN_FLIGHT_ACTION_MS = 500;
 /** A witness that has not answered for this long is replaced at the next renewal, in milliseconds: two rounds. */
-export const SILENT_WITNESS_MS = 900;
+export const WITNESS_UNRESPONSIVE_AFTER_MS = 900;
 /** Pause before it is looked again whether witnesses have answered, in milliseconds. */
-const CONTACT_LOOK_MS = 50;
+const CONTACT_POLL_INTERVAL_MS = 50;
 
 /** One daemon's view of one lease. */
 export class StoreLease {
@@ -105,12 +105,12 @@
   /** Start, in elapsed time, of the last write or read-back that confirmed this daemon as the holder. */
   private confirmedAt = -Infinity;
   /** Monotonic time before which a new holder must not act. */
-  private actFrom = 0;
+  private mayActFrom = 0;
   private isHolder = false;
   /** The record that stands in the way, and since when it has been seen unchanged, in monotonic time. */
   private observed: LeaseConfirmation | undefined;
   /** A write that names other witnesses has been sent and not confirmed: either set may stand in the record. */
-  private witnessesUncertain = false;
+  private hasUnconfirmedWitnesses = false;
   private readonly lifetimeMs: number;
   /** What the witnesses have answered. */
   readonly contact: HolderContact;
@@ -133,21 +133,21 @@
   /** Whether this daemon may act as the holder at this moment. */
   mayAct(): boolean {
     const { clock } = this.options;
-    const isTooEarly = clock.monotonic() < this.actFrom;
-    return this.isHolder && !isTooEarly && clock.elapsed() < this.actUntil() && this.isInContact();
+    const isTooEarly = clock.monotonic() < this.mayActFrom;
+    return this.isHolder && !isTooEarly && clock.elapsed() < this.mayActUntil() && this.isInContact();
   }
 
   /** Milliseconds until this daemon may act; 0 when it may, Infinity when it is not the holder. */
   actsInMs(): number {
     if (!this.isHolder) return Infinity;
     const { clock } = this.options;
-    if (clock.elapsed() >= this.actUntil()) return Infinity;
-    return Math.max(this.isInContact() ? 0 : CONTACT_LOOK_MS, this.actFrom - clock.monotonic());
+    if (clock.elapsed() >= this.mayActUntil()) return Infinity;
+    return Math.max(this.isInContact() ? 0 : CONTACT_POLL_INTERVAL_MS, this.mayActFrom - clock.monotonic());
   }
 
   /** Whether this daemon holds the lease, and its lifetime has not run out. */
   get mayStillAct(): boolean {
-    return this.isHolder && this.options.clock.elapsed() < this.actUntil();
+    return this.isHolder && this.options.clock.elapsed() < this.mayActUntil();
   }
 
   /** Milliseconds since the store last confirmed this daemon as the holder. */
@@ -169,63 +169,67 @@
   /**
    * Takes the lease if that is allowed now.
    *
-   * @param told What the holder told of its last confirmed write: where the record still is as that write left it, its
+   * @param reported What the holder told of its last confirmed write: where the record still is as that write left it, its
    *   lifetime is counted from then on instead of from when it was first read here.
    * @param refused Set when most witnesses of the record have refused its holder.
    * @throws what the store throws.
    */
-  async tryAcquire(told?: LeaseConfirmation, refused?: RefusedHolder): Promise<AcquireResult> {
+  async tryAcquire(reported?: LeaseConfirmation, refused?: RefusedHolder): Promise<AcquireResult> {
     const { store, clock, name } = this.options;
-    const seen = await store.read(name);
+    const current = await store.read(name);
     // What others may still use is waited for by the steady clock, what this daemon may use lapses by the elapsed time.
     const now = clock.monotonic();
     const readAt = clock.elapsed();
-    if (seen === undefined) return this.takeFirst(readAt, refused);
-    if (isLeftover(seen)) return this.takeLeftover(seen, readAt, refused);
-    const { record, revision } = seen;
-    const isOthers = record.holder !== this.options.holder && record.holder !== '';
-    const leftMs = isOthers ? this.unchangedLeftMs(seen, now, told) : 0;
-    const isRefused = refused?.by === 'witnesses' && isSamePosition(refused, seen);
-    if (leftMs > 0 && !isRefused) return this.waitFor(leftMs, seen);
+    if (current === undefined) return this.acquireWithoutRecord(readAt, refused);
+    if (isFromEarlierEra(current)) return this.acquireFromEarlierEra(current, readAt, refused);
+    const { record, revision } = current;
+    const isHeldByOther = record.holder !== this.options.holder && record.holder !== '';
+    const remainingMs = isHeldByOther ? this.remainingLifetimeMs(current, now, reported) : 0;
+    const isRefused = refused?.by === 'witnesses' && isSamePosition(refused, current);
+    if (remainingMs > 0 && !isRefused) return this.waitFor(remainingMs, current);
     // Kept also when the write is not answered: it may be carried out all the same.
-    const pauseMs = leftMs > 0 && isRefused ? this.pauseAfterRefusalMs(refused) : this.pauseAfter(record);
-    this.actFrom = Math.max(this.actFrom, now + pauseMs);
-    const own = this.ownRecord(nextFence(seen), pauseMs, seen.era);
-    return this.becomeHolder(own, await store.replace(name, own, revision), readAt);
+    const pauseMs =
+      remainingMs > 0 && isRefused ? this.pauseAfterRefusalMs(refused) : this.pauseAfterHolderMs(record);
+    this.mayActFrom = Math.max(this.mayActFrom, now + pauseMs);
+    const newRecord = this.createRecord(nextFence(current), pauseMs, current.era);
+    return this.becomeHolder(newRecord, await store.replace(name, newRecord, revision), readAt);
   }
 
   /** Takes a lease without a record. A store that was restored may have lost it while its holder may still act. */
-  private async takeFirst(readAt: number, refused: RefusedHolder | undefined): Promise<AcquireResult> {
+  private async acquireWithoutRecord(
+    readAt: number,
+    refused: RefusedHolder | undefined,
+  ): Promise<AcquireResult> {
     const { store, name } = this.options;
     const { era, knownForMs } = store.currentEra();
     const position = { era, revision: 0 };
-    const leftMs = this.lifetimeMs * (1 + DRIFT_SHARE) - knownForMs;
-    const pauseMs = leftMs > 0 ? this.pauseAfterUnknownMs(position, refused) : 0;
-    if (pauseMs === undefined) return this.waitForUnknown(position, leftMs);
-    this.actFrom = Math.max(this.actFrom, this.options.clock.monotonic() + pauseMs);
-    const own = this.ownRecord(firstFenceOf(era), pauseMs, era);
-    return this.becomeHolder(own, await store.create(name, own), readAt);
+    const remainingMs = this.lifetimeMs * (1 + CLOCK_DRIFT_SHARE) - knownForMs;
+    const pauseMs = remainingMs > 0 ? this.pauseAfterUnknownHolderMs(position, refused) : 0;
+    if (pauseMs === undefined) return this.waitForUnknownHolder(position, remainingMs);
+    this.mayActFrom = Math.max(this.mayActFrom, this.options.clock.monotonic() + pauseMs);
+    const newRecord = this.createRecord(firstFenceOf(era), pauseMs, era);
+    return this.becomeHolder(newRecord, await store.create(name, newRecord), readAt);
   }
 
   /** Takes a lease whose record is from before the store was restored: whoever held it last has stopped after a lifetime in this era. */
-  private async takeLeftover(
-    seen: StoredLease,
+  private async acquireFromEarlierEra(
+    current: StoredLease,
     readAt: number,
     refused: RefusedHolder | undefined,
   ): Promise<AcquireResult> {
     const { store, name, clock } = this.options;
     const now = clock.monotonic();
-    const position = { era: seen.era, revision: seen.revision };
-    const leftMs = this.unchangedLeftMs(seen, now, undefined);
-    const pauseMs = leftMs > 0 ? this.pauseAfterUnknownMs(position, refused) : 0;
-    if (pauseMs === undefined) return this.waitForUnknown(position, leftMs);
-    this.actFrom = Math.max(this.actFrom, now + pauseMs);
-    const own = this.ownRecord(nextFence(seen), pauseMs, seen.era);
-    return this.becomeHolder(own, await store.replace(name, own, seen.revision), readAt);
+    const position = { era: current.era, revision: current.revision };
+    const remainingMs = this.remainingLifetimeMs(current, now, undefined);
+    const pauseMs = remainingMs > 0 ? this.pauseAfterUnknownHolderMs(position, refused) : 0;
+    if (pauseMs === undefined) return this.waitForUnknownHolder(position, remainingMs);
+    this.mayActFrom = Math.max(this.mayActFrom, now + pauseMs);
+    const newRecord = this.createRecord(nextFence(current), pauseMs, current.era);
+    return this.becomeHolder(newRecord, await store.replace(name, newRecord, current.revision), readAt);
   }
 
   /** Time before the first act after everybody has refused whoever held the lease; undefined where they have not. */
-  private pauseAfterUnknownMs(
+  private pauseAfterUnknownHolderMs(
     position: StorePosition,
     refused: RefusedHolder | undefined,
   ): number | undefined {
@@ -233,10 +237,10 @@
     return this.pauseAfterRefusalMs(refused);
   }
 
-  private waitForUnknown(position: StorePosition, leftMs: number): AcquireResult {
-    const settlesInMs = SETTLED_ERA_MS - this.options.store.currentEra().knownForMs;
-    if (settlesInMs > 0) return this.waitFor(Math.min(leftMs, settlesInMs));
-    return { kind: 'waiting', retryAfterMs: leftMs, unknownHolderAt: position };
+  private waitForUnknownHolder(position: StorePosition, remainingMs: number): AcquireResult {
+    const settlesInMs = ERA_SETTLING_MS - this.options.store.currentEra().knownForMs;
+    if (settlesInMs > 0) return this.waitFor(Math.min(remainingMs, settlesInMs));
+    return { kind: 'waiting', retryAfterMs: remainingMs, unknownHolderAt: position };
   }
 
   /**
@@ -249,15 +253,15 @@
   async renew(): Promise<boolean> {
     if (await this.confirmByWrite()) return true;
     if (!this.isHolder) return false;
-    const seen = await this.options.store.read(this.options.name);
-    if (seen === undefined || isLeftover(seen)) return this.goOnAfterRestoration(seen);
-    const isStillOurs =
-      seen.record.holder === this.options.holder && seen.record.instance === this.options.instance;
-    if (!isStillOurs) {
+    const current = await this.options.store.read(this.options.name);
+    if (current === undefined || isFromEarlierEra(current)) return this.rewriteAfterRestore(current);
+    const isStillHeldHere =
+      current.record.holder === this.options.holder && current.record.instance === this.options.instance;
+    if (!isStillHeldHere) {
       this.isHolder = false;
       return false;
     }
-    this.stored = seen;
+    this.stored = current;
     await this.confirmByWrite();
     return true;
   }
@@ -266,20 +270,22 @@
    * Writes the record anew in a store that was restored. While most witnesses answer and the lifetime runs, nobody else can have taken the lease in the
    * era before, and in this one others wait for a lifetime.
    */
-  private async goOnAfterRestoration(seen: StoredLease | undefined): Promise<boolean> {
+  private async rewriteAfterRestore(current: StoredLease | undefined): Promise<boolean> {
     const { store, name, clock } = this.options;
     const startedAt = clock.elapsed();
-    if (this.stored === undefined || startedAt >= this.actUntil()) {
+    if (this.stored === undefined || startedAt >= this.mayActUntil()) {
       this.isHolder = false;
       return false;
     }
     if (!this.isInContact()) return true;
-    const era = seen?.era ?? store.currentEra().era;
+    const era = current?.era ?? store.currentEra().era;
     const { record } = this.stored;
-    const own = { ...record, era, renewal: record.renewal + 1, pauseMs: this.pauseLeft(record) };
-    const written =
-      seen === undefined ? await store.create(name, own) : await store.replace(name, own, seen.revision);
-    if (written?.era === era) this.confirm(written, startedAt);
+    const newRecord = { ...record, era, renewal: record.renewal + 1, pauseMs: this.remainingPauseMs(record) };
+    const stored =
+      current === undefined
+        ? await store.create(name, newRecord)
+        : await store.replace(name, newRecord, current.revision);
+    if (stored?.era === era) this.markConfirmed(stored, startedAt);
     return true;
   }
 
@@ -298,42 +304,48 @@
     const { record, revision, era } = this.stored;
     // The revision may have been given out again for the record of another holder.
     if (era !== store.currentEra().era) return false;
-    const witnesses = this.witnessesToName();
-    this.witnessesUncertain ||= !areSameWitnesses(witnesses, record.witnesses);
-    const own = { ...record, era, renewal: record.renewal + 1, witnesses, pauseMs: this.pauseLeft(record) };
-    const renewed = await store.replace(name, own, revision);
+    const witnesses = this.selectWitnesses();
+    this.hasUnconfirmedWitnesses ||= !areSameWitnesses(witnesses, record.witnesses);
+    const newRecord = {
+      ...record,
+      era,
+      renewal: record.renewal + 1,
+      witnesses,
+      pauseMs: this.remainingPauseMs(record),
+    };
+    const renewed = await store.replace(name, newRecord, revision);
     if (renewed?.era !== era) return false;
-    this.confirm(renewed, startedAt);
+    this.markConfirmed(renewed, startedAt);
     return true;
   }
 
   /** Pause that a restart of this process would have to wait again. */
-  private pauseLeft({ pauseMs }: LeaseRecord): number {
-    return this.options.clock.monotonic() >= this.actFrom ? 0 : pauseMs;
+  private remainingPauseMs({ pauseMs }: LeaseRecord): number {
+    return this.options.clock.monotonic() >= this.mayActFrom ? 0 : pauseMs;
   }
 
-  private confirm(stored: StoredLease, at: number): void {
+  private markConfirmed(stored: StoredLease, at: number): void {
     this.stored = stored;
     this.confirmedAt = at;
-    this.witnessesUncertain = false;
-    this.contact.name(stored.record.witnesses);
+    this.hasUnconfirmedWitnesses = false;
+    this.contact.setWitnesses(stored.record.witnesses);
   }
 
   private isInContact(): boolean {
-    return !this.witnessesUncertain && this.contact.isFresh;
+    return !this.hasUnconfirmedWitnesses && this.contact.isFresh;
   }
 
-  private witnessesToName(): readonly WitnessId[] {
+  private selectWitnesses(): readonly WitnessId[] {
     return (
       this.options.chooseWitnesses?.(
         this.stored?.record.witnesses ?? [],
-        this.contact.silentWitnesses(SILENT_WITNESS_MS),
+        this.contact.unresponsiveWitnesses(WITNESS_UNRESPONSIVE_AFTER_MS),
       ) ?? []
     );
   }
 
   /** Time before the first act after a record without a living holder, or this machine's own from a former run. */
-  private pauseAfter({ holder, pauseMs }: LeaseRecord): number {
+  private pauseAfterHolderMs({ holder, pauseMs }: LeaseRecord): number {
     if (holder === '') return this.options.handoverPauseMs;
     return holder === this.options.holder ? pauseMs : 0;
   }
@@ -341,17 +353,17 @@
   /** The holder before may have acted until its contact lapsed, and that act may be on its way still. */
   private pauseAfterRefusalMs({ lastContactAgoMs }: RefusedHolder): number {
     const lapsedAgoMs = Math.max(0, lastContactAgoMs - CONTACT_LIFETIME_MS);
-    return Math.max(0, this.options.handoverPauseMs + ACT_UNDER_WAY_MS - lapsedAgoMs);
+    return Math.max(0, this.options.handoverPauseMs + IN_FLIGHT_ACTION_MS - lapsedAgoMs);
   }
 
-  /** @param own What was to be written. @param stored What was, if anything: in another era than it was meant for it confirms nothing. */
+  /** @param requested What was to be written. @param stored What was, if anything: in another era than it was meant for it confirms nothing. */
   private becomeHolder(
-    own: LeaseRecord,
+    requested: LeaseRecord,
     stored: StoredLease | undefined,
     confirmedAt: number,
   ): AcquireResult {
-    if (stored === undefined || stored.era !== own.era) return this.waitFor(CONFLICT_RETRY_MS);
-    this.confirm(stored, confirmedAt);
+    if (stored === undefined || stored.era !== requested.era) return this.waitFor(CONFLICT_RETRY_MS);
+    this.markConfirmed(stored, confirmedAt);
     this.isHolder = true;
     this.observed = undefined;
     return { kind: 'held' };
@@ -361,24 +373,24 @@
     return { kind: 'waiting', retryAfterMs, ...(stored === undefined ? {} : { stored }) };
   }
 
-  private unchangedLeftMs(
+  private remainingLifetimeMs(
     { record, era, revision }: StoredLease,
     now: number,
-    told: LeaseConfirmation | undefined,
+    reported: LeaseConfirmation | undefined,
   ): number {
     const position = { era, revision };
     let since = now;
     if (this.observed !== undefined && isSamePosition(this.observed, position)) since = this.observed.at;
-    if (told !== undefined && isSamePosition(told, position)) since = Math.min(since, told.at);
+    if (reported !== undefined && isSamePosition(reported, position)) since = Math.min(since, reported.at);
     this.observed = { ...position, at: since };
-    return since + Math.max(record.lifetimeMs, this.lifetimeMs) * (1 + DRIFT_SHARE) - now;
+    return since + Math.max(record.lifetimeMs, this.lifetimeMs) * (1 + CLOCK_DRIFT_SHARE) - now;
   }
 
-  private actUntil(): number {
+  private mayActUntil(): number {
     return this.confirmedAt + this.lifetimeMs - this.options.handoverPauseMs;
   }
 
-  private ownRecord(fence: number, pauseMs: number, era: number): LeaseRecord {
+  private createRecord(fence: number, pauseMs: number, era: number): LeaseRecord {
     const { holder, instance } = this.options;
     return {
       holder,
@@ -386,7 +398,7 @@
       fence,
       lifetimeMs: this.lifetimeMs,
       renewal: 0,
-      witnesses: this.witnessesToName(),
+      witnesses: this.selectWitnesses(),
       pauseMs: Math.ceil(pauseMs),
       era,
     };
--- a/packages/exchange/src/change-log.ts
+++ b/packages/exchange/src/change-log.ts
@@ -2,9 +2,9 @@
 import type { Clock } from '@woodbarrow/runtime';
 
 /** Milliseconds for which a change is kept; later the workers' own records tell it. */
-const CHANGE_LIFETIME_MS = 4000;
+const CHANGE_RETENTION_MS = 4000;
 /** A reader that stayed away for longer may have missed an answer, and begins anew, in milliseconds. */
-const READER_LIFETIME_MS = 1000;
+const READER_RETENTION_MS = 1000;
 
 interface NumberedChange<Change> {
   readonly number: number;
@@ -35,9 +35,9 @@
   constructor(private readonly clock: Clock) {}
 
   /** Whether a reader has read here lately. */
-  knows(reader: string): boolean {
+  hasRecentReader(reader: string): boolean {
     const known = this.readers.get(reader);
-    return known !== undefined && this.clock.monotonic() - known.at <= READER_LIFETIME_MS;
+    return known !== undefined && this.clock.monotonic() - known.at <= READER_RETENTION_MS;
   }
 
   /** Enters what a daemon announced. */
@@ -47,16 +47,16 @@
       this.lastNumber += 1;
       this.changes.push({ number: this.lastNumber, at, from, change });
     }
-    this.changes = this.changes.filter((kept) => at - kept.at <= CHANGE_LIFETIME_MS);
+    this.changes = this.changes.filter((kept) => at - kept.at <= CHANGE_RETENTION_MS);
   }
 
   /** Changes that a reader has not yet been given; all recent ones when it comes anew. */
   read(reader: string): ReadChange<Change>[] {
     const now = this.clock.monotonic();
-    const after = this.knows(reader) ? (this.readers.get(reader)?.number ?? 0) : 0;
+    const after = this.hasRecentReader(reader) ? (this.readers.get(reader)?.number ?? 0) : 0;
     this.readers.set(reader, { number: this.lastNumber, at: now });
-    const fresh = this.changes.filter((kept) => kept.number > after && now - kept.at <= CHANGE_LIFETIME_MS);
-    const news = fresh.filter((kept) => kept.from !== reader);
-    return news.map(({ change, at }) => ({ change, ageMs: now - at }));
+    const unread = this.changes.filter((kept) => kept.number > after && now - kept.at <= CHANGE_RETENTION_MS);
+    const fromOthers = unread.filter((kept) => kept.from !== reader);
+    return fromOthers.map(({ change, at }) => ({ change, ageMs: now - at }));
   }
 }
--- a/packages/exchange/src/change-transfer.ts
+++ b/packages/exchange/src/change-transfer.ts
@@ -44,11 +44,11 @@
   start(): void {
     const { peers } = this.options;
     peers.handle(residencyChangedMethod, ({ from, changes }) => {
-      this.takeChanges(changes, from);
+      this.receiveChanges(changes, from);
       return {};
     });
     peers.handle(backendNewsMethod, ({ from, news }) => {
-      this.takeNews(news, from);
+      this.receiveNews(news, from);
       return {};
     });
   }
@@ -56,46 +56,46 @@
   /** Tells all daemons of a change of residency; this one is told as well. */
   announceChange(change: ResidencyChange): void {
     const message = { from: this.options.selfId, changes: [change] };
-    this.takeChanges(message.changes, message.from);
-    this.tellRelays(residencyChangedMethod, message);
+    this.receiveChanges(message.changes, message.from);
+    this.notifyRelays(residencyChangedMethod, message);
   }
 
   /** Tells all other daemons what a back end said to this one. */
   announceNews(news: BackendNews): void {
     const message = { from: this.options.selfId, news: [news] };
     this.news.add(message.news, message.from);
-    this.tellRelays(backendNewsMethod, message);
+    this.notifyRelays(backendNewsMethod, message);
   }
 
   /** Whether an attached daemon has read here lately; else it may lack what others have been told. */
-  knows(reader: string): boolean {
-    return this.changes.knows(reader);
+  hasRecentReader(reader: string): boolean {
+    return this.changes.hasRecentReader(reader);
   }
 
   /** What an attached daemon has not yet been told. */
   readFor(reader: string): Pick<AttachAnswer, 'changes' | 'backendNews'> {
     const changes = this.changes.read(reader).map(({ change }) => change);
-    const backendNews = this.news.read(reader).map(({ change, ageMs }) => aged(change, ageMs));
+    const backendNews = this.news.read(reader).map(({ change, ageMs }) => withAge(change, ageMs));
     return backendNews.length === 0 ? { changes } : { changes, backendNews };
   }
 
   /** Takes what the relay that this daemon is attached to told. */
-  take({ changes, backendNews = [] }: Pick<AttachAnswer, 'changes' | 'backendNews'>): void {
+  receive({ changes, backendNews = [] }: Pick<AttachAnswer, 'changes' | 'backendNews'>): void {
     this.options.onChanges(changes);
     if (backendNews.length > 0) this.options.onBackendNews(backendNews);
   }
 
-  private takeChanges(changes: readonly ResidencyChange[], from: string): void {
+  private receiveChanges(changes: readonly ResidencyChange[], from: string): void {
     this.changes.add(changes, from);
     this.options.onChanges(changes);
   }
 
-  private takeNews(news: readonly BackendNews[], from: string): void {
+  private receiveNews(news: readonly BackendNews[], from: string): void {
     this.news.add(news, from);
     this.options.onBackendNews(news);
   }
 
-  private tellRelays<Message>(method: PeerMethod<Message, Record<string, never>>, message: Message): void {
+  private notifyRelays<Message>(method: PeerMethod<Message, Record<string, never>>, message: Message): void {
     const { relays, peers, failures } = this.options;
     for (const relay of relays()) {
       peers
@@ -108,7 +108,7 @@
   }
 }
 
-function aged(news: BackendNews, ageMs: number): BackendNews {
+function withAge(news: BackendNews, ageMs: number): BackendNews {
   if (news.kind !== 'rate_limit') return news;
   const { rateLimit } = news;
   return { ...news, rateLimit: { ...rateLimit, heardAgoMs: rateLimit.heardAgoMs + ageMs } };
--- a/packages/exchange/src/coordinator-directory.ts
+++ b/packages/exchange/src/coordinator-directory.ts
@@ -33,7 +33,7 @@
 }
 
 /** A confirmation of a zone's lease that its holder told, with the position of the lease's record. */
-export interface ToldConfirmation extends StorePosition {
+export interface ReportedConfirmation extends StorePosition {
   /** Monotonic time at which the confirming write had begun at the latest. */
   readonly at: number;
 }
@@ -42,7 +42,7 @@
 export class CoordinatorDirectory {
   private readonly sources = new Map<string, SourceClaims>();
   /** Newest confirmation of each zone's lease, kept when its claims lapse. */
-  private readonly confirmations = new Map<string, ToldConfirmation>();
+  private readonly confirmations = new Map<string, ReportedConfirmation>();
 
   constructor(
     private readonly clock: Clock,
@@ -52,55 +52,55 @@
   /** Takes the claims that a source tells of; zones that it told before and does not now are free. */
   accept(source: string, scope: ClaimScope, claims: readonly RelayedClaim[]): void {
     // Others may still tell of claims of this daemon's former run.
-    const believed = scope === 'own' ? claims : claims.filter((claim) => claim.holder !== this.selfId);
+    const accepted = scope === 'own' ? claims : claims.filter((claim) => claim.holder !== this.selfId);
     const at = this.clock.monotonic();
-    this.sources.set(source, { scope, at: this.clock.elapsed(), claims: believed });
-    for (const claim of believed) this.noteConfirmation(claim, at);
+    this.sources.set(source, { scope, at: this.clock.elapsed(), claims: accepted });
+    for (const claim of accepted) this.recordConfirmation(claim, at);
   }
 
-  private noteConfirmation(
+  private recordConfirmation(
     { zone, leaseEra, leaseRevision, confirmedAgoMs }: RelayedClaim,
     at: number,
   ): void {
     const position = { era: leaseEra ?? 0, revision: leaseRevision };
-    const known = this.confirmations.get(zone);
-    const order = known === undefined ? 1 : compareStorePositions(position, known);
+    const previous = this.confirmations.get(zone);
+    const order = previous === undefined ? 1 : compareStorePositions(position, previous);
     if (order < 0) return;
     // Claims are passed on, so the write began no later than this, and perhaps earlier.
     const beganAt = at - confirmedAgoMs;
-    const earliest = known !== undefined && order === 0 ? Math.min(known.at, beganAt) : beganAt;
+    const earliest = previous !== undefined && order === 0 ? Math.min(previous.at, beganAt) : beganAt;
     this.confirmations.set(zone, { ...position, at: earliest });
   }
 
   /** The last confirmation of a zone's lease that its holder told, also when its claim has lapsed. */
-  lastConfirmation(zone: string): ToldConfirmation | undefined {
+  lastConfirmation(zone: string): ReportedConfirmation | undefined {
     return this.confirmations.get(zone);
   }
 
   /** The coordinator of a zone, when one has claimed it lately. */
   of(zone: string): Coordinator | undefined {
     let best: RelayedClaim | undefined;
-    let toldAt = 0;
+    let receivedAt = 0;
     for (const { claims, at } of this.freshSources()) {
       const claim = claims.find((candidate) => candidate.zone === zone);
       if (claim === undefined || claim.fence < (best?.fence ?? -Infinity)) continue;
       best = claim;
-      toldAt = at;
+      receivedAt = at;
     }
     if (best === undefined) return undefined;
     const { holder, address, fence, storeLoads } = best;
-    const ageMs = this.clock.elapsed() - toldAt;
+    const ageMs = this.clock.elapsed() - receivedAt;
     const loading = best.loading.map(({ model, readyInMs }) => ({ model, readyInMs: readyInMs - ageMs }));
     return { memberId: holder, address, fence, storeLoads, loading };
   }
 
   /** Fresh claims told by sources of the given scopes. */
   claims(scopes: readonly ClaimScope[]): RelayedClaim[] {
-    const told: RelayedClaim[] = [];
+    const fresh: RelayedClaim[] = [];
     for (const { scope, claims } of this.freshSources()) {
-      if (scopes.includes(scope)) told.push(...claims);
+      if (scopes.includes(scope)) fresh.push(...claims);
     }
-    return told;
+    return fresh;
   }
 
   /** Drops what others told, when it is to come another way. */
@@ -112,8 +112,8 @@
 
   private *freshSources(): Generator<SourceClaims> {
     const oldest = this.clock.elapsed() - CLAIM_LIFETIME_MS;
-    for (const [source, told] of this.sources) {
-      if (told.at >= oldest) yield told;
+    for (const [source, entry] of this.sources) {
+      if (entry.at >= oldest) yield entry;
       else this.sources.delete(source);
     }
   }
--- a/packages/exchange/src/peer-exchange.ts
+++ b/packages/exchange/src/peer-exchange.ts
@@ -24,15 +24,15 @@
   type ZoneClaim,
 } from '@woodbarrow/protocol';
 import { BackgroundService, type Clock } from '@woodbarrow/runtime';
-import { BehindTracker } from './behind.js';
+import { BehindTracker } from './staleness-tracker.js';
 import { ChangeTransfer } from './change-transfer.js';
 import type { CoordinatorDirectory } from './coordinator-directory.js';
 import { CrashMarkTransfer, type SharedCrashMarks } from './crash-mark-transfer.js';
 import { HeldCalls } from './held-calls.js';
-import { FollowerWatch } from './follower-watch.js';
+import { FollowerTracker } from './follower-tracker.js';
 import type { RecordSet } from './record-set.js';
 import { RecordTransfer } from './record-transfer.js';
-import { toLoadReport, toStateReport } from './state-entries.js';
+import { toLoadReport, toStateReport } from './state-report.js';
 
 /** A daemon as seen by the others. */
 export interface Member {
@@ -84,59 +84,59 @@
 export const REPORT_INTERVAL_MS = 300;
 const REPORT_TIMEOUT_MS = 1000;
 /** Time beyond the hold after which a relay that has not answered is given up. */
-const ATTACH_SLACK_MS = 900;
+const ATTACH_GRACE_MS = 900;
 /** Pause after an answer that came at once, so that many urgent changes cost few calls. */
 const ATTACH_PAUSE_MS = 30;
 /** Time for which a relay that did not answer, or is behind, is not tried again. */
-const AVOIDANCE_MS = 3000;
+const RELAY_AVOIDANCE_MS = 3000;
 /** Time for which a daemon that was no relay is not tried again: views differ for a moment when members come and go. */
-const NO_RELAY_AVOIDANCE_MS = 500;
+const NON_RELAY_AVOIDANCE_MS = 500;
 /** Pause before it is looked again whether the group is known: no call is made for it, and nothing is served before. */
-const GROUP_LOOK_PAUSE_MS = 20;
+const GROUP_POLL_INTERVAL_MS = 20;
 /** Pause after no relay answered. */
-const UNATTACHED_PAUSE_MS = 150;
+const REATTACH_PAUSE_MS = 150;
 /** Time without a relay after which a daemon follows the store itself: all of them at once would swamp it. */
-const UNATTACHED_PATIENCE_MS = 1000;
+const STORE_FALLBACK_DELAY_MS = 1000;
 /** A relay that has not been heard of for this long is called by the one that usually waits for its call. */
-const UNHEARD_MS = 2 * REPORT_INTERVAL_MS + 100;
+const RELAY_UNRESPONSIVE_AFTER_MS = 2 * REPORT_INTERVAL_MS + 100;
 /** A newer record elsewhere is looked for after this long. */
-const BEHIND_PATIENCE_MS = 700;
+const STALE_RELAY_TIMEOUT_MS = 700;
 
-const RELAY_SCOPES: readonly ReportScope[] = ['attached'];
+const RELAY_REPORT_SCOPES: readonly ReportScope[] = ['attached'];
 const ALL_SCOPES: readonly ReportScope[] = ['attached', 'relay'];
 
 /** Exchange of state between one daemon and the others. */
 export class PeerExchange extends BackgroundService {
-  private readonly reporting = new Set<string>();
+  private readonly relaysBeingCalled = new Set<string>();
   private readonly avoidedUntil = new Map<string, number>();
-  private readonly held: HeldCalls;
-  private readonly changes: ChangeTransfer;
-  private readonly transfer: RecordTransfer;
-  private readonly crashMarks: CrashMarkTransfer;
+  private readonly heldCalls: HeldCalls;
+  private readonly changeTransfer: ChangeTransfer;
+  private readonly recordTransfer: RecordTransfer;
+  private readonly crashMarkTransfer: CrashMarkTransfer;
   /** When each relay was last heard of, monotonic. */
-  private readonly heardAt = new Map<string, number>();
+  private readonly lastReportAt = new Map<string, number>();
   /** Monotonic time since which no relay has answered. */
   private unattachedSince: number | undefined;
-  private topologyOf: readonly Member[] = [];
+  private topologyMembers: readonly Member[] = [];
   private topology: RelayTopology<Member>;
   /** Relay that this daemon is attached to. */
-  private relay: Member | undefined;
-  private readonly behind: BehindTracker;
-  private readonly followers: FollowerWatch;
-  private attachFailed = false;
+  private attachedRelay: Member | undefined;
+  private readonly staleness: BehindTracker;
+  private readonly followerTracker: FollowerTracker;
+  private hasLoggedUnattached = false;
 
   constructor(private readonly options: PeerExchangeOptions) {
     super(options.clock, logTaskFailures(options.log));
-    this.followers = new FollowerWatch(options.clock);
-    this.held = new HeldCalls(options.clock);
-    this.crashMarks = new CrashMarkTransfer(options.crashMarks, options.clock);
+    this.followerTracker = new FollowerTracker(options.clock);
+    this.heldCalls = new HeldCalls(options.clock);
+    this.crashMarkTransfer = new CrashMarkTransfer(options.crashMarks, options.clock);
     const { clock, records, urgentSources } = options;
-    this.transfer = new RecordTransfer({ sets: records.sets, urgentSources, clock });
-    this.behind = new BehindTracker(clock, () => this.transfer.newestUrgent());
+    this.recordTransfer = new RecordTransfer({ sets: records.sets, urgentSources, clock });
+    this.staleness = new BehindTracker(clock, () => this.recordTransfer.newestUrgentPosition());
     this.topology = relayTopology(options.self, []);
     const { self, peers, onChanges, onBackendNews, failures } = options;
     const relays = (): readonly Member[] => this.topology.relays;
-    this.changes = new ChangeTransfer({
+    this.changeTransfer = new ChangeTransfer({
       selfId: self.id,
       relays,
       peers,
@@ -152,7 +152,7 @@
     const { peers } = this.options;
     peers.handle(stateReportMethod, (message) => this.onReport(message));
     peers.handle(attachMethod, (message) => this.onAttach(message));
-    this.changes.start();
+    this.changeTransfer.start();
     this.tasks.loop(
       'exchange',
       () => this.pauseMs(),
@@ -167,14 +167,14 @@
 
   /** How far this daemon has come with the records that others are to have at once. */
   get newestUrgent(): StorePosition {
-    return this.transfer.newestUrgent();
+    return this.recordTransfer.newestUrgentPosition();
   }
 
   /** Tells all relays of this daemon's state now. */
   tellNow(): void {
     const { self, coordinators, ownClaims } = this.options;
     coordinators.accept(self.id, 'own', this.toClaims(ownClaims()));
-    const attachedTo = this.relay === undefined ? [] : [this.relay];
+    const attachedTo = this.attachedRelay === undefined ? [] : [this.attachedRelay];
     this.reportTo(this.topology.isRelay ? this.topology.relays : attachedTo);
   }
 
@@ -184,33 +184,33 @@
    */
   private reportToRelays(): void {
     const { self, clock, records } = this.options;
-    const oldest = clock.monotonic() - UNHEARD_MS;
+    const oldest = clock.monotonic() - RELAY_UNRESPONSIVE_AFTER_MS;
     const isCalled = ({ id }: Member): boolean =>
       self.id < id ||
-      (this.heardAt.get(id) ?? -Infinity) < oldest ||
-      (!records.isFollowing && this.followers.isFollowing(id));
+      (this.lastReportAt.get(id) ?? -Infinity) < oldest ||
+      (!records.isFollowing && this.followerTracker.isFollowing(id));
     this.reportTo(this.topology.relays.filter(isCalled));
   }
 
   private reportTo(receivers: readonly Member[]): void {
     if (receivers.length === 0) return;
-    const message = this.reportMessage(this.topology.isRelay ? RELAY_SCOPES : []);
+    const message = this.reportMessage(this.topology.isRelay ? RELAY_REPORT_SCOPES : []);
     for (const relay of receivers) void this.report(relay, message);
   }
 
   /** Tells all daemons of a change of residency; this one is told as well. */
   announce(change: ResidencyChange): void {
-    this.changes.announceChange(change);
+    this.changeTransfer.announceChange(change);
   }
 
   /** Tells all other daemons what a back end said to this one. */
   announceNews(news: BackendNews): void {
-    this.changes.announceNews(news);
+    this.changeTransfer.announceNews(news);
   }
 
   /** A record of an urgent kind has been seen: calls that are held are answered, and other relays told. */
   passOnUrgent(): void {
-    this.held.releaseAll();
+    this.heldCalls.releaseAll();
     if (this.topology.isRelay && this.options.records.isFollowing) this.tellNow();
   }
 
@@ -221,16 +221,16 @@
 
   /** Crash marks came up that others do not know yet. */
   passOnCrashMarks(): void {
-    this.held.releaseAll();
+    this.heldCalls.releaseAll();
     this.tellNow();
   }
 
   /** Another daemon, met by chance, has come this far with records of urgent kinds. */
   noteUrgentElsewhere(position: RecordPosition): void {
-    this.behind.note(position);
-    if (this.relay === undefined || this.behind.behindMs < BEHIND_PATIENCE_MS) return;
-    this.behind.restart();
-    this.avoid(this.relay, 'behind');
+    this.staleness.note(position);
+    if (this.attachedRelay === undefined || this.staleness.behindMs < STALE_RELAY_TIMEOUT_MS) return;
+    this.staleness.restart();
+    this.avoid(this.attachedRelay, 'behind');
   }
 
   private async step(): Promise<void> {
@@ -241,29 +241,29 @@
     if (wasRelay !== this.topology.isRelay) this.changeRole();
     coordinators.accept(self.id, 'own', this.toClaims(ownClaims()));
     if (this.topology.isRelay) {
-      this.relay = undefined;
+      this.attachedRelay = undefined;
       this.unattachedSince = undefined;
-      this.options.records.followStore(this.isFollower());
+      this.options.records.followStore(this.shouldFollowStore());
       this.reportToRelays();
     } else await this.attach();
   }
 
   private pauseMs(): number {
-    if (!this.options.isGroupKnown()) return GROUP_LOOK_PAUSE_MS;
+    if (!this.options.isGroupKnown()) return GROUP_POLL_INTERVAL_MS;
     if (this.topology.isRelay) return REPORT_INTERVAL_MS;
-    return this.relay === undefined ? UNATTACHED_PAUSE_MS : ATTACH_PAUSE_MS;
+    return this.attachedRelay === undefined ? REATTACH_PAUSE_MS : ATTACH_PAUSE_MS;
   }
 
   /** Works the relays out anew when the members have changed. */
   private updateTopology(self: Member, members: readonly Member[]): void {
-    if (members === this.topologyOf) return;
-    this.topologyOf = members;
+    if (members === this.topologyMembers) return;
+    this.topologyMembers = members;
     this.topology = relayTopology(self, members);
   }
 
   /** Whether too few of the relays that come before this one follow the store now. */
-  private isFollower(): boolean {
-    return this.followers.countFollowing(this.topology.followersBefore) < STORE_FOLLOWERS;
+  private shouldFollowStore(): boolean {
+    return this.followerTracker.countFollowing(this.topology.precedingFollowers) < STORE_FOLLOWERS;
   }
 
   /** Reports come another way from now on; those of the former way would count twice. */
@@ -275,21 +275,21 @@
   }
 
   private async report(relay: Member, message: StateReportMessage): Promise<void> {
-    if (this.reporting.has(relay.id)) return;
-    this.reporting.add(relay.id);
+    if (this.relaysBeingCalled.has(relay.id)) return;
+    this.relaysBeingCalled.add(relay.id);
     try {
       const options = { timeoutMs: REPORT_TIMEOUT_MS };
-      const crashMarks = this.crashMarks.reportFor(relay.id);
-      const told = { ...message, crashMarks };
-      const answer = await this.options.peers.call(relay.address, stateReportMethod, told, options);
-      this.crashMarks.take(relay.id, answer.crashMarks);
-      if (answer.isRelay) this.hear(relay.id, answer);
-      this.transfer.merge(answer.updates);
+      const crashMarks = this.crashMarkTransfer.reportFor(relay.id);
+      const request = { ...message, crashMarks };
+      const answer = await this.options.peers.call(relay.address, stateReportMethod, request, options);
+      this.crashMarkTransfer.receive(relay.id, answer.crashMarks);
+      if (answer.isRelay) this.receiveRelayReport(relay.id, answer);
+      this.recordTransfer.merge(answer.updates);
     } catch (error) {
       // The next report follows soon; membership finds out whether the relay is gone.
       this.options.failures.note('report', relay.id, error);
     } finally {
-      this.reporting.delete(relay.id);
+      this.relaysBeingCalled.delete(relay.id);
     }
   }
 
@@ -301,17 +301,18 @@
       if ((this.avoidedUntil.get(relay.id) ?? 0) > now) continue;
       if (await this.attachTo(relay)) return;
     }
-    this.relay = undefined;
+    this.attachedRelay = undefined;
     this.unattachedSince ??= now;
-    if (clock.monotonic() - this.unattachedSince < UNATTACHED_PATIENCE_MS) return;
-    if (!this.attachFailed) log.warned('exchange_unattached', { relays: this.topology.ownRelays.length });
-    this.attachFailed = true;
+    if (clock.monotonic() - this.unattachedSince < STORE_FALLBACK_DELAY_MS) return;
+    if (!this.hasLoggedUnattached)
+      log.warned('exchange_unattached', { relays: this.topology.ownRelays.length });
+    this.hasLoggedUnattached = true;
     records.followStore(true);
   }
 
   private async attachTo(relay: Member): Promise<boolean> {
     const { peers, records, log } = this.options;
-    const options = { timeoutMs: REPORT_INTERVAL_MS + ATTACH_SLACK_MS };
+    const options = { timeoutMs: REPORT_INTERVAL_MS + ATTACH_GRACE_MS };
     let answer: AttachAnswer;
     try {
       answer = await peers.call(relay.address, attachMethod, this.attachMessage(relay.id), options);
@@ -324,42 +325,42 @@
       this.avoid(relay, 'no relay');
       return false;
     }
-    if (this.relay?.id !== relay.id) {
-      log.changed('exchange_attached', { relay: relay.id, before: this.relay?.id });
+    if (this.attachedRelay?.id !== relay.id) {
+      log.changed('exchange_attached', { relay: relay.id, before: this.attachedRelay?.id });
       this.options.loads.dropReports();
       this.options.coordinators.dropReports();
     }
-    this.relay = relay;
-    this.crashMarks.take(relay.id, answer.crashMarks);
+    this.attachedRelay = relay;
+    this.crashMarkTransfer.receive(relay.id, answer.crashMarks);
     this.unattachedSince = undefined;
-    this.attachFailed = false;
-    this.take(relay.id, 'all', answer.state);
-    this.transfer.merge(answer.updates);
-    this.changes.take(answer);
+    this.hasLoggedUnattached = false;
+    this.applyReport(relay.id, 'all', answer.state);
+    this.recordTransfer.merge(answer.updates);
+    this.changeTransfer.receive(answer);
     records.followStore(!records.sets.every((set) => set.isListed));
     return true;
   }
 
   private avoid(relay: Member, cause: 'no answer' | 'no relay' | 'behind'): void {
     const { clock, log } = this.options;
-    const avoidanceMs = cause === 'no relay' ? NO_RELAY_AVOIDANCE_MS : AVOIDANCE_MS;
+    const avoidanceMs = cause === 'no relay' ? NON_RELAY_AVOIDANCE_MS : RELAY_AVOIDANCE_MS;
     this.avoidedUntil.set(relay.id, clock.monotonic() + avoidanceMs);
     log.changed('exchange_relay_avoided', { relay: relay.id, cause });
   }
 
   private onReport(message: StateReportMessage): StateReportAnswer {
     const { records } = this.options;
-    if (message.isRelay) this.hear(message.from, message);
-    else this.take(message.from, 'attached', message.state);
+    if (message.isRelay) this.receiveRelayReport(message.from, message);
+    else this.applyReport(message.from, 'attached', message.state);
     records.noteElsewhere(message.positions);
-    this.crashMarks.take(message.from, message.crashMarks);
+    this.crashMarkTransfer.receive(message.from, message.crashMarks);
     this.fetchUrgent(message);
     return {
-      state: message.isRelay ? this.ownState(RELAY_SCOPES) : NO_STATE,
+      state: message.isRelay ? this.ownState(RELAY_REPORT_SCOPES) : EMPTY_STATE,
       isRelay: this.topology.isRelay,
       needsRecords: !records.isFollowing,
-      updates: message.needsRecords ? this.transfer.updatesFor(message.positions) : [],
-      crashMarks: this.crashMarks.reportFor(message.from),
+      updates: message.needsRecords ? this.recordTransfer.updatesFor(message.positions) : [],
+      crashMarks: this.crashMarkTransfer.reportFor(message.from),
     };
   }
 
@@ -369,28 +370,31 @@
    * after up to 0.3 s. Each end of a worker did so at the daemons that told of it: of 1,726 demands of the first 12 s of a day of 84 daemons
    * 486 had no answer, since their coordinator seemed gone.
    */
-  private hear(relayId: string, { state, needsRecords }: StateReportAnswer | StateReportMessage): void {
+  private receiveRelayReport(
+    relayId: string,
+    { state, needsRecords }: StateReportAnswer | StateReportMessage,
+  ): void {
     if (!this.topology.isRelay) return;
-    this.take(relayId, 'relay', state);
-    this.followers.note(relayId, !needsRecords);
-    this.heardAt.set(relayId, this.options.clock.monotonic());
-    this.options.records.followStore(this.isFollower());
+    this.applyReport(relayId, 'relay', state);
+    this.followerTracker.recordReport(relayId, !needsRecords);
+    this.lastReportAt.set(relayId, this.options.clock.monotonic());
+    this.options.records.followStore(this.shouldFollowStore());
   }
 
   /** A relay that does not follow the store asks at once for an urgent record that another one has told of. */
   private fetchUrgent({ from, positions }: StateReportMessage): void {
     if (!this.topology.isRelay || this.options.records.isFollowing) return;
-    if (!this.transfer.isOutdatedBy(positions)) return;
+    if (!this.recordTransfer.isOutdatedBy(positions)) return;
     const sender = this.topology.relays.find(({ id }) => id === from);
-    if (sender !== undefined) void this.report(sender, this.reportMessage(RELAY_SCOPES));
+    if (sender !== undefined) void this.report(sender, this.reportMessage(RELAY_REPORT_SCOPES));
   }
 
   private async onAttach(message: AttachMessage): Promise<AttachAnswer> {
-    if (!this.topology.isRelay) return NO_RELAY;
-    this.take(message.from, 'attached', message.state);
+    if (!this.topology.isRelay) return NOT_A_RELAY_ANSWER;
+    this.applyReport(message.from, 'attached', message.state);
     this.options.records.noteElsewhere(message.positions);
-    this.crashMarks.take(message.from, message.crashMarks);
-    if (!this.hasUrgentNewsFor(message)) await this.held.hold(REPORT_INTERVAL_MS);
+    this.crashMarkTransfer.receive(message.from, message.crashMarks);
+    if (!this.hasUrgentUpdateFor(message)) await this.heldCalls.hold(REPORT_INTERVAL_MS);
     const { loads, coordinators } = this.options;
     const combined = loads.combinedReport(ALL_SCOPES, message.from);
     return {
@@ -399,18 +403,18 @@
         message.needsDetail ? combined : summarizedReport(combined),
         coordinators.claims(['own', ...ALL_SCOPES]),
       ),
-      updates: this.transfer.updatesFor(message.positions, message.from),
-      ...this.changes.readFor(message.from),
-      crashMarks: this.crashMarks.reportFor(message.from),
+      updates: this.recordTransfer.updatesFor(message.positions, message.from),
+      ...this.changeTransfer.readFor(message.from),
+      crashMarks: this.crashMarkTransfer.reportFor(message.from),
     };
   }
 
-  private hasUrgentNewsFor({ from, positions }: AttachMessage): boolean {
-    if (!this.changes.knows(from)) return true;
-    return this.transfer.hasUrgentFor(positions) || this.crashMarks.hasNewsFor(from);
+  private hasUrgentUpdateFor({ from, positions }: AttachMessage): boolean {
+    if (!this.changeTransfer.hasRecentReader(from)) return true;
+    return this.recordTransfer.hasUrgentUpdateFor(positions) || this.crashMarkTransfer.hasUpdateFor(from);
   }
 
-  private take(source: string, scope: ReportScope, state: StateReport): void {
+  private applyReport(source: string, scope: ReportScope, state: StateReport): void {
     this.options.loads.accept(source, scope, toLoadReport(state));
     this.options.coordinators.accept(source, scope, state.claims);
   }
@@ -418,7 +422,7 @@
   private attachMessage(relayId: string): AttachMessage {
     return {
       ...this.reportMessage([]),
-      crashMarks: this.crashMarks.reportFor(relayId),
+      crashMarks: this.crashMarkTransfer.reportFor(relayId),
       needsDetail: this.options.ownClaims().length > 0,
     };
   }
@@ -429,7 +433,7 @@
       from: self.id,
       isRelay: this.topology.isRelay,
       state: this.ownState(scopes),
-      positions: this.transfer.positions(),
+      positions: this.recordTransfer.positions(),
       needsRecords: !records.isFollowing,
     };
   }
@@ -445,10 +449,10 @@
   }
 }
 
-const NO_STATE: StateReport = { loads: [], demand: [], claims: [] };
-const NO_RELAY: AttachAnswer = {
+const EMPTY_STATE: StateReport = { loads: [], demand: [], claims: [] };
+const NOT_A_RELAY_ANSWER: AttachAnswer = {
   isRelay: false,
-  state: NO_STATE,
+  state: EMPTY_STATE,
   updates: [],
   changes: [],
 };
--- a/packages/exchange/src/packed-records.ts
+++ b/packages/exchange/src/record-packer.ts
@@ -6,9 +6,9 @@
 import type { RecordEntry, RecordUpdate, SentRecord, SentUpdate } from '@woodbarrow/protocol';
 
 /** Records whose text is shorter than this are sent as they are, in characters: packing them saves too little. */
-const LEAST_PACKED_LENGTH = 2048;
+const MIN_PACKED_LENGTH = 2048;
 /** A packed record that would be larger than this is refused, in bytes. */
-const LARGEST_UNPACKED_BYTES = 16 * 1024 * 1024;
+const MAX_UNPACKED_BYTES = 16 * 1024 * 1024;
 
 /** Packs records, each once. */
 export class RecordPacker {
@@ -21,7 +21,7 @@
   private packRecord(record: RecordEntry): SentRecord {
     let sent = this.packed.get(record);
     if (sent === undefined) {
-      sent = toSent(record);
+      sent = toSentRecord(record);
       this.packed.set(record, sent);
     }
     return sent;
@@ -30,18 +30,18 @@
 
 /** Unpacks what was sent. @throws RangeError for a record that is too large, Error for one that is not well formed. */
 export function unpack({ records, ...update }: SentUpdate): RecordUpdate {
-  return { ...update, records: records.map(fromSent) };
+  return { ...update, records: records.map(fromSentRecord) };
 }
 
-function toSent(record: RecordEntry): SentRecord {
+function toSentRecord(record: RecordEntry): SentRecord {
   const text = JSON.stringify(record.value);
-  if (text.length < LEAST_PACKED_LENGTH) return record;
+  if (text.length < MIN_PACKED_LENGTH) return record;
   const { name, revision } = record;
   return { name, revision, packed: deflateRawSync(text) };
 }
 
-function fromSent({ name, revision, value, packed }: SentRecord): RecordEntry {
+function fromSentRecord({ name, revision, value, packed }: SentRecord): RecordEntry {
   if (packed === undefined) return { name, revision, value };
-  const bytes = inflateRawSync(packed, { maxOutputLength: LARGEST_UNPACKED_BYTES });
+  const bytes = inflateRawSync(packed, { maxOutputLength: MAX_UNPACKED_BYTES });
   return { name, revision, value: JSON.parse(bytes.toString()) as unknown };
 }
--- a/packages/exchange/src/record-position.ts
+++ b/packages/exchange/src/record-position.ts
@@ -8,8 +8,8 @@
  * Whether a position told by another daemon lies ahead of this daemon's: by the store's order, or by the highest version that the
  * records carry themselves. A daemon that tells of no era counts as in the same one.
  */
-export function isAhead(other: RecordPosition, own: OwnPosition): boolean {
-  const told = { era: other.era ?? own.era, revision: other.revision };
-  if (compareStorePositions(told, own) > 0) return true;
+export function isNewerPosition(other: RecordPosition, own: OwnPosition): boolean {
+  const position = { era: other.era ?? own.era, revision: other.revision };
+  if (compareStorePositions(position, own) > 0) return true;
   return other.version !== undefined && own.version !== undefined && other.version > own.version;
 }
--- a/packages/exchange/src/record-set.ts
+++ b/packages/exchange/src/record-set.ts
@@ -47,9 +47,9 @@
   private readonly versions = new Map<string, number>();
   private era = 0;
   /** Revision of the newest record seen in the era. */
-  private newest = 0;
+  private newestRevision = 0;
   /** Revision up to which every change of the kind in the era is known. */
-  private completeTo = 0;
+  private completeRevision = 0;
   private namesDigest = 0;
   private listed = false;
 
@@ -67,7 +67,7 @@
 
   /** How far this daemon has come. */
   get position(): SourcePosition & StorePosition {
-    const { source, era, newest: revision, namesDigest: names } = this;
+    const { source, era, newestRevision: revision, namesDigest: names } = this;
     const version = this.newestVersion;
     return { source, era, revision, names, ...(version === undefined ? {} : { version }) };
   }
@@ -85,7 +85,7 @@
    * @returns whether it was taken.
    */
   replaceAll(listing: readonly RecordEntry[], at: StorePosition): boolean {
-    if (compareStorePositions(at, { era: this.era, revision: this.newest }) < 0) return false;
+    if (compareStorePositions(at, { era: this.era, revision: this.newestRevision }) < 0) return false;
     const isRestored = at.era > this.era && this.listed;
     const records = this.withNewerVersions(listing, at.revision);
     this.beginEra(at.era);
@@ -96,7 +96,7 @@
     this.listed = true;
     this.handlers.onList(records, isRestored ? 'restored_store' : 'store');
     this.noteComplete(at.revision);
-    this.advance(
+    this.advanceTo(
       records.reduce(
         (newest, record) => Math.max(newest, Math.min(record.revision, at.revision)),
         EMPTY_LISTING_REVISION,
@@ -107,18 +107,18 @@
 
   /** Enters a record unless one as new is known. */
   put(record: RecordEntry): void {
-    const known = this.records.get(record.name);
-    if (known === undefined || this.isNewer(record, known)) {
+    const existing = this.records.get(record.name);
+    if (existing === undefined || this.isNewer(record, existing)) {
       this.store(record);
       this.handlers.onChange(record);
     }
-    this.advance(record.revision);
+    this.advanceTo(record.revision);
   }
 
   /** A record is gone. @param revision That of its removal: a newer record of the name stays. */
   remove(name: string, revision = Infinity): void {
-    const known = this.records.get(name);
-    if (known === undefined || known.revision > revision) return;
+    const existing = this.records.get(name);
+    if (existing === undefined || existing.revision > revision) return;
     this.records.delete(name);
     this.versions.delete(name);
     this.namesDigest ^= digestOf(name);
@@ -127,17 +127,17 @@
 
   /** All changes of the era up to a revision have been entered. */
   noteComplete(revision: number): void {
-    this.completeTo = Math.max(this.completeTo, revision);
+    this.completeRevision = Math.max(this.completeRevision, revision);
   }
 
   /** What a daemon at a position lacks; undefined when it lacks nothing that is known here. */
   updateFor(position: SourcePosition): RecordUpdate | undefined {
     const era = position.era ?? this.era;
     if (!this.listed || era > this.era) return undefined;
-    const complete = [...this.records.values()].filter((record) => record.revision <= this.completeTo);
+    const complete = [...this.records.values()].filter((record) => record.revision <= this.completeRevision);
     if (era < this.era || position.revision === 0) return this.update(complete, complete);
     const newer = complete.filter((record) => this.hasNewerVersion(record, position.version));
-    if (position.revision > this.completeTo) return newer.length === 0 ? undefined : this.update(newer);
+    if (position.revision > this.completeRevision) return newer.length === 0 ? undefined : this.update(newer);
     const records = complete.filter(
       (record) => record.revision > position.revision || newer.includes(record),
     );
@@ -155,21 +155,21 @@
       if (names?.length === records.length) this.replaceAll(records, { era, revision });
       return;
     }
-    const knownTo = this.completeTo;
+    const previouslyCompleteTo = this.completeRevision;
     for (const record of records) {
       // What was there up to then and is not held here has gone since.
-      if (record.revision > knownTo || this.records.has(record.name)) this.put(record);
+      if (record.revision > previouslyCompleteTo || this.records.has(record.name)) this.put(record);
     }
     this.noteComplete(revision);
     if (names === undefined) return;
-    const kept = new Set(names);
+    const remaining = new Set(names);
     for (const record of [...this.records.values()]) {
-      if (record.revision <= revision && !kept.has(record.name)) this.remove(record.name);
+      if (record.revision <= revision && !remaining.has(record.name)) this.remove(record.name);
     }
   }
 
   private update(records: readonly RecordEntry[], named?: readonly RecordEntry[]): RecordUpdate {
-    const { source, era, completeTo: revision } = this;
+    const { source, era, completeRevision: revision } = this;
     const names = named?.map(({ name }) => name);
     return { source, era, revision, records, ...(names === undefined ? {} : { names }) };
   }
@@ -177,29 +177,29 @@
   private beginEra(era: number): void {
     if (era === this.era) return;
     this.era = era;
-    this.newest = 0;
-    this.completeTo = 0;
+    this.newestRevision = 0;
+    this.completeRevision = 0;
   }
 
   /** The records of a listing, or those known here where their own version is higher. */
   private withNewerVersions(listing: readonly RecordEntry[], revision: number): RecordEntry[] {
     const listed = new Map(listing.map((record) => [record.name, record]));
     for (const [name, version] of this.versions) {
-      const known = this.records.get(name);
+      const existing = this.records.get(name);
       const other = listed.get(name);
       const otherVersion = other === undefined ? undefined : this.options.versionOf?.(other);
-      if (known === undefined || version <= (otherVersion ?? -Infinity)) continue;
-      listed.set(name, { ...known, revision: other?.revision ?? revision });
+      if (existing === undefined || version <= (otherVersion ?? -Infinity)) continue;
+      listed.set(name, { ...existing, revision: other?.revision ?? revision });
     }
     return [...listed.values()];
   }
 
-  private isNewer(record: RecordEntry, known: RecordEntry): boolean {
+  private isNewer(record: RecordEntry, existing: RecordEntry): boolean {
     const version = this.options.versionOf?.(record);
-    const knownVersion = this.versions.get(known.name);
-    if (version === undefined || knownVersion === undefined || version === knownVersion)
-      return record.revision > known.revision;
-    return version > knownVersion;
+    const existingVersion = this.versions.get(existing.name);
+    if (version === undefined || existingVersion === undefined || version === existingVersion)
+      return record.revision > existing.revision;
+    return version > existingVersion;
   }
 
   /** @param than Highest version that another daemon has; undefined where it told of none. */
@@ -220,9 +220,9 @@
     else this.versions.set(record.name, version);
   }
 
-  private advance(revision: number): void {
-    if (revision <= this.newest) return;
-    this.newest = revision;
+  private advanceTo(revision: number): void {
+    if (revision <= this.newestRevision) return;
+    this.newestRevision = revision;
     this.noteComplete(revision);
     this.options.onNewer?.();
   }
--- a/packages/exchange/src/record-transfer.ts
+++ b/packages/exchange/src/record-transfer.ts
@@ -6,8 +6,8 @@
   type StorePosition,
 } from '@woodbarrow/protocol';
 import type { Clock } from '@woodbarrow/runtime';
-import { RecordPacker, unpack } from './packed-records.js';
-import { isAhead } from './record-position.js';
+import { RecordPacker, unpack } from './record-packer.js';
+import { isNewerPosition } from './record-position.js';
 import type { RecordSet } from './record-set.js';
 import { SentUpdates } from './sent-updates.js';
 
@@ -19,15 +19,15 @@
   readonly clock: Clock;
 }
 
-const NOTHING_SEEN: StorePosition = { era: 0, revision: 0 };
+const INITIAL_POSITION: StorePosition = { era: 0, revision: 0 };
 
 /** Transfer of one daemon's records. */
 export class RecordTransfer {
   private readonly packer = new RecordPacker();
-  private readonly sent: SentUpdates;
+  private readonly sentUpdates: SentUpdates;
 
   constructor(private readonly options: RecordTransferOptions) {
-    this.sent = new SentUpdates(options.clock);
+    this.sentUpdates = new SentUpdates(options.clock);
   }
 
   /** How far this daemon has come, by kind. */
@@ -36,30 +36,30 @@
   }
 
   /** How far this daemon has come with the urgent kinds: the furthest of them. */
-  newestUrgent(): StorePosition {
+  newestUrgentPosition(): StorePosition {
     const urgent = this.options.sets.filter((set) => this.isUrgent(set.source));
     return urgent
       .map((set) => set.position)
       .reduce<StorePosition>(
         (newest, position) => (compareStorePositions(position, newest) > 0 ? position : newest),
-        NOTHING_SEEN,
+        INITIAL_POSITION,
       );
   }
 
   /** Whether a daemon at other positions has an urgent record that is newer than the ones here. */
   isOutdatedBy(positions: readonly SourcePosition[]): boolean {
     return positions.some((position) => {
-      const own = this.setOf(position.source)?.position;
-      return own !== undefined && this.isUrgent(position.source) && isAhead(position, own);
+      const own = this.recordSetOf(position.source)?.position;
+      return own !== undefined && this.isUrgent(position.source) && isNewerPosition(position, own);
     });
   }
 
   /** Whether a daemon at other positions lacks an urgent record, or has none at all. */
-  hasUrgentFor(positions: readonly SourcePosition[]): boolean {
+  hasUrgentUpdateFor(positions: readonly SourcePosition[]): boolean {
     return positions.some((position) => {
-      const own = this.setOf(position.source)?.position;
+      const own = this.recordSetOf(position.source)?.position;
       if (own === undefined || (position.revision > 0 && !this.isUrgent(position.source))) return false;
-      return isAhead(own, { ...position, era: position.era ?? own.era });
+      return isNewerPosition(own, { ...position, era: position.era ?? own.era });
     });
   }
 
@@ -70,19 +70,19 @@
    */
   updatesFor(positions: readonly SourcePosition[], reader?: string): SentUpdate[] {
     return positions.flatMap((position) => {
-      const update = this.setOf(position.source)?.updateFor(position);
+      const update = this.recordSetOf(position.source)?.updateFor(position);
       if (update === undefined) return [];
-      if (reader !== undefined && !this.sent.maySend(reader, position)) return [];
+      if (reader !== undefined && !this.sentUpdates.maySend(reader, position)) return [];
       return [this.packer.pack(update)];
     });
   }
 
   /** Takes what another daemon sent. @throws what {@link unpack} throws. */
   merge(updates: readonly SentUpdate[]): void {
-    for (const update of updates) this.setOf(update.source)?.merge(unpack(update));
+    for (const update of updates) this.recordSetOf(update.source)?.merge(unpack(update));
   }
 
-  private setOf(source: string): RecordSet | undefined {
+  private recordSetOf(source: string): RecordSet | undefined {
     return this.options.sets.find((set) => set.source === source);
   }
 
--- a/packages/exchange/src/sent-updates.ts
+++ b/packages/exchange/src/sent-updates.ts
@@ -6,7 +6,7 @@
  * A daemon that asks from the same position again is sent the same only after this long, in milliseconds: the time that
  * an answer may take on a slow link, and less than its patience with a relay.
  */
-const SEND_AGAIN_MS = 1000;
+const RESEND_INTERVAL_MS = 1000;
 
 interface SentAnswer {
   readonly position: SourcePosition;
@@ -28,9 +28,9 @@
 
   /** Whether an update may be sent to a daemon at a position now. */
   isDue(reader: string, position: SourcePosition): boolean {
-    const before = this.sent.get(keyOf(reader, position));
-    if (before === undefined || !isSamePosition(before.position, position)) return true;
-    return this.clock.monotonic() - before.at >= SEND_AGAIN_MS;
+    const previous = this.sent.get(keyOf(reader, position));
+    if (previous === undefined || !isSamePosition(previous.position, position)) return true;
+    return this.clock.monotonic() - previous.at >= RESEND_INTERVAL_MS;
   }
 }
 
--- a/packages/exchange/src/behind.ts
+++ b/packages/exchange/src/staleness-tracker.ts
@@ -1,39 +1,39 @@
 /** How long others have been known to have a newer record than this daemon. */
 import type { RecordPosition } from '@woodbarrow/protocol';
 import type { Clock } from '@woodbarrow/runtime';
-import { isAhead, type OwnPosition } from './record-position.js';
+import { isNewerPosition, type OwnPosition } from './record-position.js';
 
 /** Compares this daemon's position with those that others tell, in any order. */
 export class BehindTracker {
-  private ahead: OwnPosition | undefined;
-  private since = 0;
+  private newest: OwnPosition | undefined;
+  private staleSince = 0;
 
   constructor(
     private readonly clock: Clock,
-    private readonly own: () => OwnPosition,
+    private readonly ownPosition: () => OwnPosition,
   ) {}
 
   /** Another daemon has come this far. One that is itself behind says nothing about this daemon. */
   note(position: RecordPosition): void {
-    const own = this.own();
-    if (!isAhead(position, own)) return;
-    if (!this.isBehind) this.since = this.clock.monotonic();
-    const told = { ...position, era: position.era ?? own.era };
-    if (this.ahead === undefined || isAhead(told, this.ahead)) this.ahead = told;
+    const ownPosition = this.ownPosition();
+    if (!isNewerPosition(position, ownPosition)) return;
+    if (!this.isBehind) this.staleSince = this.clock.monotonic();
+    const observed = { ...position, era: position.era ?? ownPosition.era };
+    if (this.newest === undefined || isNewerPosition(observed, this.newest)) this.newest = observed;
   }
 
   /** Whether another daemon has a newer record. */
   get isBehind(): boolean {
-    return this.ahead !== undefined && isAhead(this.ahead, this.own());
+    return this.newest !== undefined && isNewerPosition(this.newest, this.ownPosition());
   }
 
   /** Milliseconds since which this daemon has been behind; 0 when it is not. */
   get behindMs(): number {
-    return this.isBehind ? this.clock.monotonic() - this.since : 0;
+    return this.isBehind ? this.clock.monotonic() - this.staleSince : 0;
   }
 
   /** Begins to measure anew. */
   restart(): void {
-    this.since = this.clock.monotonic();
+    this.staleSince = this.clock.monotonic();
   }
 }
--- a/packages/exchange/test/coordinator-directory.test.ts
+++ b/packages/exchange/test/coordinator-directory.test.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai';
 import { SimulatedProcess, SimulatedWorld } from '@woodbarrow/runtime';
-import { CLAIM_LIFETIME_MS, CoordinatorDirectory, FollowerWatch } from '../src/index.js';
+import { CLAIM_LIFETIME_MS, CoordinatorDirectory, FollowerTracker } from '../src/index.js';
 
 const CLAIM = {
   zone: 'z',
@@ -44,8 +44,8 @@
   });
 
   it('word that a relay follows the store has lapsed', async () => {
-    const watch = new FollowerWatch(machine);
-    watch.note('relay', true);
+    const watch = new FollowerTracker(machine);
+    watch.recordReport('relay', true);
     expect(watch.isFollowing('relay')).to.equal(true);
     await suspend();
     expect(watch.isFollowing('relay')).to.equal(false);
--- a/packages/exchange/test/crash-mark-transfer.test.ts
+++ b/packages/exchange/test/crash-mark-transfer.test.ts
@@ -28,22 +28,22 @@
   it('sends marks to a daemon that knows others, and none to one that knows the same', () => {
     expect(transfer.reportFor('x')).to.deep.equal({ digest: 0 });
     digest = 7;
-    expect(transfer.hasNewsFor('x')).to.equal(true);
+    expect(transfer.hasUpdateFor('x')).to.equal(true);
     expect(transfer.reportFor('x')).to.deep.equal({ digest: 7, marks: [ENTRY] });
-    transfer.take('x', { digest: 7 });
-    expect(transfer.hasNewsFor('x')).to.equal(false);
+    transfer.receive('x', { digest: 7 });
+    expect(transfer.hasUpdateFor('x')).to.equal(false);
     expect(transfer.reportFor('x')).to.deep.equal({ digest: 7 });
   });
 
   it('sends the same to a daemon that goes on to know others only once in a second, and what is newer at once', async () => {
     digest = 7;
     transfer.reportFor('x');
-    transfer.take('x', { digest: 5 });
+    transfer.receive('x', { digest: 5 });
     expect(transfer.reportFor('x').marks).to.have.length(1);
     expect(transfer.reportFor('x').marks).to.equal(undefined);
-    expect(transfer.hasNewsFor('x')).to.equal(false);
+    expect(transfer.hasUpdateFor('x')).to.equal(false);
     await world.run(1000);
-    expect(transfer.hasNewsFor('x')).to.equal(true);
+    expect(transfer.hasUpdateFor('x')).to.equal(true);
     expect(transfer.reportFor('x').marks).to.have.length(1);
     digest = 9;
     expect(transfer.reportFor('x').marks).to.have.length(1);
--- a/packages/exchange/test/record-set.test.ts
+++ b/packages/exchange/test/record-set.test.ts
@@ -4,34 +4,34 @@
 import { RecordSet } from '../src/index.js';
 
 /** A set and what its receiver was told. */
-class FollowedSet {
-  readonly told = new Map<string, unknown>();
+class ObservedSet {
+  readonly received = new Map<string, unknown>();
   listings = 0;
   /** Names of which it was told an older value after a newer one; values rise with revisions. */
-  readonly wentBack: string[] = [];
-  private readonly newestTold = new Map<string, number>();
+  readonly regressions: string[] = [];
+  private readonly newestReceived = new Map<string, number>();
   readonly set: RecordSet;
 
   constructor(versionOf: (record: RecordEntry) => number | undefined = () => undefined) {
     const handlers = {
       onList: (records: readonly RecordEntry[]) => {
         this.listings += 1;
-        this.told.clear();
-        for (const record of records) this.tell(record.name, record.value);
+        this.received.clear();
+        for (const record of records) this.receive(record.name, record.value);
       },
       onChange: (record: RecordEntry) => {
-        this.tell(record.name, record.value);
+        this.receive(record.name, record.value);
       },
-      onGone: (name: string) => this.told.delete(name),
+      onGone: (name: string) => this.received.delete(name),
     };
     this.set = new RecordSet('things', handlers, { versionOf });
   }
 
-  private tell(name: string, value: unknown): void {
-    const newest = this.newestTold.get(name) ?? 0;
-    if (Number(value) < newest) this.wentBack.push(name);
-    this.newestTold.set(name, Math.max(newest, Number(value)));
-    this.told.set(name, value);
+  private receive(name: string, value: unknown): void {
+    const newest = this.newestReceived.get(name) ?? 0;
+    if (Number(value) < newest) this.regressions.push(name);
+    this.newestReceived.set(name, Math.max(newest, Number(value)));
+    this.received.set(name, value);
   }
 }
 
@@ -96,7 +96,7 @@
   private from: StorePosition | undefined;
 
   constructor(
-    private readonly followed: FollowedSet,
+    private readonly followed: ObservedSet,
     private readonly store: RestorableStore,
   ) {}
 
@@ -117,7 +117,7 @@
 }
 
 /** Takes what `to` lacks from `from`. */
-function fetch(to: FollowedSet, from: FollowedSet): void {
+function fetchUpdate(to: ObservedSet, from: ObservedSet): void {
   const update = from.set.updateFor(to.set.position);
   if (update !== undefined) to.set.merge(update);
 }
@@ -153,10 +153,10 @@
         const store = new Map<string, { name: string; revision: number; value: number }>();
         const log: { revision: number; name: string; gone: boolean; value: number }[] = [];
         let revision = 0;
-        const sets = [new FollowedSet(), new FollowedSet(), new FollowedSet()] as const;
+        const sets = [new ObservedSet(), new ObservedSet(), new ObservedSet()] as const;
         const watchedTo = [0, 0];
         const list = (index: number): void => {
-          sets[index]?.set.replaceAll([...store.values()], { era: 0, revision: revision });
+          sets[index]?.set.replaceAll([...store.values()], { era: 0, revision });
           watchedTo[index] = revision;
         };
         const watch = (index: number): void => {
@@ -182,18 +182,18 @@
           else if (step.kind === 'watch') watch(step.follower);
           else if (step.kind === 'fetch') {
             const from = sets[(step.follower + 1) % 2] ?? sets[0];
-            fetch(sets[step.follower] ?? sets[2], from);
+            fetchUpdate(sets[step.follower] ?? sets[2], from);
           }
           sets.forEach(({ set }, index) => {
             expect(set.position.revision).to.be.at.least(before[index] ?? 0);
           });
-          expect(sets.flatMap(({ wentBack }) => wentBack)).to.deep.equal([]);
+          expect(sets.flatMap(({ regressions }) => regressions)).to.deep.equal([]);
         }
         list(0);
-        fetch(sets[1], sets[0]);
-        fetch(sets[2], sets[0]);
+        fetchUpdate(sets[1], sets[0]);
+        fetchUpdate(sets[2], sets[0]);
         const expected = [...store].map(([name, record]) => [name, record.value]).sort();
-        for (const { told } of sets) expect([...told].sort()).to.deep.equal(expected);
+        for (const { received } of sets) expect([...received].sort()).to.deep.equal(expected);
       }),
       { seed: 11, numRuns: 2000 },
     );
@@ -203,43 +203,44 @@
     fc.assert(
       fc.property(operationsWithRestorations, (steps) => {
         const store = new RestorableStore();
-        const sets = [0, 1, 2].map(() => new FollowedSet((record) => Number(record.value)));
-        const [first, second, third] = sets as [FollowedSet, FollowedSet, FollowedSet];
+        const sets = [0, 1, 2].map(() => new ObservedSet((record) => Number(record.value)));
+        const [first, second, third] = sets as [ObservedSet, ObservedSet, ObservedSet];
         const watchers = [new Watcher(first, store), new Watcher(second, store)];
         for (const step of steps) {
           if (step.kind === 'put') store.put(step.name);
           else if (step.kind === 'list') watchers[step.follower]?.list();
           else if (step.kind === 'watch') watchers[step.follower]?.watch();
           else if (step.kind === 'fetch')
-            fetch(sets[step.follower] ?? third, sets[(step.follower + 1) % 2] ?? first);
+            fetchUpdate(sets[step.follower] ?? third, sets[(step.follower + 1) % 2] ?? first);
           else if (step.kind === 'copy') store.takeCopy();
           else store.restore();
-          expect(sets.flatMap(({ wentBack }) => wentBack)).to.deep.equal([]);
+          expect(sets.flatMap(({ regressions }) => regressions)).to.deep.equal([]);
         }
         // Whoever wrote what the copy lacks writes it again.
         for (const name of store.writtenNames) store.putNewest(name);
         for (const watcher of watchers) watcher.list();
-        fetch(third, first);
-        for (const { told } of sets) expect([...told].sort()).to.deep.equal([...store.newestValues].sort());
+        fetchUpdate(third, first);
+        for (const { received } of sets)
+          expect([...received].sort()).to.deep.equal([...store.newestValues].sort());
       }),
       { seed: 12, numRuns: 2000 },
     );
   });
 
   it('begins anew with the listing of a restored store, also where its revisions are lower', () => {
-    const [follower, other] = [new FollowedSet(), new FollowedSet()];
+    const [follower, other] = [new ObservedSet(), new ObservedSet()];
     follower.set.replaceAll([{ name: 'a', revision: 161, value: 'before' }], { era: 1, revision: 161 });
-    fetch(other, follower);
+    fetchUpdate(other, follower);
     follower.set.replaceAll([{ name: 'b', revision: 90, value: 'copy' }], { era: 2, revision: 109 });
     follower.set.put({ name: 'c', revision: 110, value: 'after' });
-    expect([...follower.told.keys()]).to.deep.equal(['b', 'c']);
-    fetch(other, follower);
-    expect([...other.told.keys()]).to.deep.equal(['b', 'c']);
+    expect([...follower.received.keys()]).to.deep.equal(['b', 'c']);
+    fetchUpdate(other, follower);
+    expect([...other.received.keys()]).to.deep.equal(['b', 'c']);
     expect(other.set.position).to.deep.include({ era: 2, revision: 110 });
   });
 
   it('takes nothing from before the restoration, be it a listing or the word of another daemon', () => {
-    const [follower, late] = [new FollowedSet(), new FollowedSet()];
+    const [follower, late] = [new ObservedSet(), new ObservedSet()];
     late.set.replaceAll([{ name: 'a', revision: 161, value: 'before' }], { era: 1, revision: 161 });
     follower.set.replaceAll([{ name: 'a', revision: 90, value: 'copy' }], { era: 2, revision: 109 });
     expect(
@@ -248,25 +249,25 @@
     expect(late.set.updateFor(follower.set.position)).to.equal(undefined);
     const update = late.set.updateFor({ source: 'things', era: 1, revision: 0, names: 0 });
     if (update !== undefined) follower.set.merge(update);
-    expect([...follower.told]).to.deep.equal([['a', 'copy']]);
+    expect([...follower.received]).to.deep.equal([['a', 'copy']]);
   });
 
   it('tells a daemon that has read an older version from a copy of the newer one, which goes before it', () => {
     const versionOf = (record: RecordEntry): number => Number(record.value);
-    const [knows, late] = [new FollowedSet(versionOf), new FollowedSet(versionOf)];
+    const [knows, late] = [new ObservedSet(versionOf), new ObservedSet(versionOf)];
     knows.set.replaceAll([{ name: 'a', revision: 161, value: 20 }], { era: 1, revision: 161 });
     const copy = [{ name: 'a', revision: 90, value: 8 }];
     knows.set.replaceAll(copy, { era: 2, revision: 109 });
     late.set.replaceAll(copy, { era: 2, revision: 115 });
-    expect([...knows.told]).to.deep.equal([['a', 20]]);
-    fetch(late, knows);
-    expect([...late.told]).to.deep.equal([['a', 20]]);
+    expect([...knows.received]).to.deep.equal([['a', 20]]);
+    fetchUpdate(late, knows);
+    expect([...late.received]).to.deep.equal([['a', 20]]);
     late.set.put({ name: 'a', revision: 116, value: 15 });
-    expect([...late.told]).to.deep.equal([['a', 20]]);
+    expect([...late.received]).to.deep.equal([['a', 20]]);
   });
 
   it('counts a daemon that knows no eras as in the same one', () => {
-    const follower = new FollowedSet();
+    const follower = new ObservedSet();
     follower.set.replaceAll([{ name: 'a', revision: 4, value: 'here' }], { era: 3, revision: 4 });
     expect(follower.set.updateFor({ source: 'things', revision: 2, names: 0 })?.records).to.have.length(1);
     follower.set.merge({
@@ -274,61 +275,61 @@
       revision: 6,
       records: [{ name: 'b', revision: 6, value: 'told' }],
     });
-    expect([...follower.told.keys()]).to.deep.equal(['a', 'b']);
+    expect([...follower.received.keys()]).to.deep.equal(['a', 'b']);
   });
 
   it('sends nothing to a set that has it all, and only the names when one is gone', () => {
-    const [from, to] = [new FollowedSet(), new FollowedSet()];
+    const [from, to] = [new ObservedSet(), new ObservedSet()];
     const record = (name: string, revision: number) => ({ name, revision, value: revision });
     from.set.replaceAll([record('a', 1), record('b', 2)], { era: 0, revision: 2 });
-    fetch(to, from);
+    fetchUpdate(to, from);
     expect(from.set.updateFor(to.set.position)).to.equal(undefined);
     from.set.remove('a');
     expect(from.set.updateFor(to.set.position)).to.deep.include({ records: [], names: ['b'] });
-    fetch(to, from);
-    expect([...to.told.keys()]).to.deep.equal(['b']);
+    fetchUpdate(to, from);
+    expect([...to.received.keys()]).to.deep.equal(['b']);
     expect(to.listings).to.equal(1);
   });
 
   it('does not take the word of a set that is behind', () => {
-    const [behind, ahead] = [new FollowedSet(), new FollowedSet()];
+    const [behind, ahead] = [new ObservedSet(), new ObservedSet()];
     behind.set.replaceAll([], { era: 0, revision: 5 });
     ahead.set.replaceAll([{ name: 'a', revision: 7, value: 1 }], { era: 0, revision: 7 });
     expect(behind.set.updateFor(ahead.set.position)).to.equal(undefined);
   });
 
   it('does not take a record up again that it knows to be gone', () => {
-    const [behind, ahead] = [new FollowedSet(), new FollowedSet()];
+    const [behind, ahead] = [new ObservedSet(), new ObservedSet()];
     const record = (name: string, revision: number) => ({ name, revision, value: revision });
     behind.set.replaceAll([record('a', 1), record('b', 2)], { era: 0, revision: 2 });
     // In the meantime b was removed, at revision 3.
     ahead.set.replaceAll([record('a', 1)], { era: 0, revision: 3 });
-    fetch(ahead, behind);
-    expect([...ahead.told.keys()]).to.deep.equal(['a']);
+    fetchUpdate(ahead, behind);
+    expect([...ahead.received.keys()]).to.deep.equal(['a']);
   });
 
   it('does not remove a record for an older removal of its name', () => {
-    const follower = new FollowedSet();
+    const follower = new ObservedSet();
     follower.set.replaceAll([{ name: 'a', revision: 4, value: 'new' }], { era: 0, revision: 4 });
     follower.set.remove('a', 3);
-    expect([...follower.told.keys()]).to.deep.equal(['a']);
+    expect([...follower.received.keys()]).to.deep.equal(['a']);
     follower.set.remove('a', 5);
-    expect([...follower.told.keys()]).to.deep.equal([]);
+    expect([...follower.received.keys()]).to.deep.equal([]);
   });
 
   it('knows no more than its listing says, whose later pages may be newer', () => {
-    const [listing, follower] = [new FollowedSet(), new FollowedSet()];
+    const [listing, follower] = [new ObservedSet(), new ObservedSet()];
     // Between two pages of the listing, b was created at revision 8 and c at revision 9.
     const created = { name: 'b', revision: 8, value: 8 };
     listing.set.replaceAll([{ name: 'c', revision: 9, value: 9 }], { era: 0, revision: 7 });
     follower.set.replaceAll([created], { era: 0, revision: 8 });
-    fetch(follower, listing);
-    expect([...follower.told.keys()]).to.deep.equal(['b']);
+    fetchUpdate(follower, listing);
+    expect([...follower.received.keys()]).to.deep.equal(['b']);
     listing.set.put(created);
     listing.set.put({ name: 'c', revision: 9, value: 9 });
     listing.set.noteComplete(9);
     expect(listing.set.position.revision).to.equal(9);
-    fetch(follower, listing);
-    expect([...follower.told.keys()].sort()).to.deep.equal(['b', 'c']);
+    fetchUpdate(follower, listing);
+    expect([...follower.received.keys()].sort()).to.deep.equal(['b', 'c']);
   });
 });
--- a/packages/membership/src/gossip-buffer.ts
+++ b/packages/membership/src/gossip-buffer.ts
@@ -20,13 +20,13 @@
 
   /** Up to `limit` items; each is dropped once it has been sent often enough for `memberCount` members. */
   take(limit: number, memberCount: number): MemberRecord[] {
-    const enough = TRANSMISSION_FACTOR * Math.ceil(Math.log2(memberCount + 1));
+    const maxTransmissions = TRANSMISSION_FACTOR * Math.ceil(Math.log2(memberCount + 1));
     const chosen = [...this.updates.values()]
       .sort((left, right) => left.transmissions - right.transmissions)
       .slice(0, limit);
     for (const update of chosen) {
       update.transmissions += 1;
-      if (update.transmissions >= enough) this.updates.delete(update.record.id);
+      if (update.transmissions >= maxTransmissions) this.updates.delete(update.record.id);
     }
     return chosen.map((update) => update.record);
   }
--- a/packages/membership/src/local-health.ts
+++ b/packages/membership/src/local-health.ts
@@ -1,6 +1,6 @@
 /** How far a daemon should trust its own observations: a slow daemon blames itself first. */
 
-const MAXIMUM_SCORE = 8;
+const MAX_SCORE = 8;
 
 /** Score from 0 (healthy) to 8; time-outs are multiplied by one more than the score. */
 export class LocalHealth {
@@ -18,6 +18,6 @@
 
   /** Something suggests that this daemon is slow: it missed its own schedule, or was suspected. */
   worsen(by = 1): void {
-    this.score = Math.min(MAXIMUM_SCORE, this.score + by);
+    this.score = Math.min(MAX_SCORE, this.score + by);
   }
 }
--- a/packages/membership/src/membership.ts
+++ b/packages/membership/src/membership.ts
@@ -51,13 +51,13 @@
   viewExchanges: number;
 }
 
-const INDIRECT_PROBERS = 3;
+const INDIRECT_PROBE_COUNT = 3;
 /** Bounds the bytes of a probe whatever happens: a record takes about 150 bytes. */
 const UPDATES_PER_MESSAGE = 5;
 /** View exchanges start only after the digests have differed on this many probes in a row. */
 const DIFFERENCES_BEFORE_EXCHANGE = 4;
 /** Time after its start in which a member compares views at every probe. */
-const NEWCOMER_MS = 15_000;
+const STARTUP_PERIOD_MS = 15_000;
 const LEAVE_FAN_OUT = 5;
 /** Capacity of a member that tells none: one core. */
 const DEFAULT_CAPACITY = 100;
@@ -82,7 +82,7 @@
   private readonly timings: MembershipTimings;
   private readonly tasks: TaskGroup;
   private self: MemberRecord;
-  private differences = 0;
+  private consecutiveDifferences = 0;
   private lastProbeStart = 0;
   private startedAt = 0;
 
@@ -156,7 +156,7 @@
     );
     this.tasks.loop(
       'membership.reconnect',
-      () => this.reconnectPause(),
+      () => this.reconnectPauseMs(),
       () => this.reconnect(),
     );
   }
@@ -179,7 +179,7 @@
 
   private async announce(status: 'leaving' | 'left'): Promise<void> {
     this.self = { ...this.self, status };
-    this.accept(this.self);
+    this.applyRecord(this.self);
     const others = this.table.present().filter((member) => member.id !== this.self.id);
     const chosen = this.options.random.shuffle(others).slice(0, LEAVE_FAN_OUT);
     await Promise.all(
@@ -197,7 +197,7 @@
   }
 
   private async probeRound(): Promise<void> {
-    this.noticeOverrun();
+    this.detectOverrun();
     this.table.forgetAbsent(this.options.clock.monotonic(), this.timings.forgetAfterMs);
     this.declareExpiredSuspects();
     const target = this.targets.next(this.table.present());
@@ -215,7 +215,7 @@
   }
 
   /** A daemon that was itself stopped must not read its own silence as that of others. */
-  private noticeOverrun(): void {
+  private detectOverrun(): void {
     const now = this.options.clock.monotonic();
     const longest = (this.timings.probeTimeoutMs + this.timings.indirectTimeoutMs) * this.health.multiplier;
     const expected = this.timings.probeIntervalMs + longest;
@@ -230,7 +230,7 @@
     try {
       const answer = await this.options.peers.call(address, probeMethod, this.probeMessage(), { timeoutMs });
       this.applyAll(answer.updates);
-      this.noticeAttachment(answer, address);
+      this.emitAttachment(answer, address);
       await this.compareDigest(address, answer.digest);
       return true;
     } catch {
@@ -240,13 +240,13 @@
 
   private async probeIndirectly(target: MemberRecord): Promise<boolean> {
     const others = this.eligible().filter((member) => member.id !== target.id && member.id !== this.self.id);
-    const helpers = this.options.random.shuffle(others).slice(0, INDIRECT_PROBERS);
+    const probers = this.options.random.shuffle(others).slice(0, INDIRECT_PROBE_COUNT);
     const timeoutMs = this.timings.indirectTimeoutMs * this.health.multiplier;
     const request = { address: target.address, timeoutMs: this.timings.probeTimeoutMs };
     const answers = await Promise.all(
-      helpers.map((helper) =>
+      probers.map((prober) =>
         this.options.peers
-          .call(helper.address, indirectProbeMethod, request, { timeoutMs })
+          .call(prober.address, indirectProbeMethod, request, { timeoutMs })
           .then((answer) => answer.reached)
           .catch(() => false),
       ),
@@ -268,11 +268,11 @@
   private onProbe(message: ProbeMessage): ProbeMessage {
     this.applyAll(message.updates);
     const sender = this.table.get(message.from);
-    if (sender !== undefined) this.noticeAttachment(message, sender.address);
+    if (sender !== undefined) this.emitAttachment(message, sender.address);
     return this.probeMessage();
   }
 
-  private noticeAttachment(message: ProbeMessage, address: string): void {
+  private emitAttachment(message: ProbeMessage, address: string): void {
     const { from: memberId, attachment, attachmentEra } = message;
     void this.events.emit('attachment', { memberId, address, attachment, attachmentEra });
   }
@@ -281,45 +281,45 @@
     const known = this.table.get(target.id);
     if (known === undefined || !isPresent(known) || known.status === 'suspect') return;
     this.counters.suspicionsStarted += 1;
-    this.accept({ ...known, status: 'suspect' });
+    this.applyRecord({ ...known, status: 'suspect' });
   }
 
   private declareExpiredSuspects(): void {
     const members = Math.max(10, this.table.present().length);
-    const patience = this.timings.suspicionMs * Math.log10(members) * this.health.multiplier;
-    for (const suspect of this.table.expiredSuspects(this.options.clock.monotonic(), patience)) {
+    const suspicionMs = this.timings.suspicionMs * Math.log10(members) * this.health.multiplier;
+    for (const suspect of this.table.expiredSuspects(this.options.clock.monotonic(), suspicionMs)) {
       this.counters.declaredDead += 1;
-      this.accept({ ...suspect, status: 'dead' });
+      this.applyRecord({ ...suspect, status: 'dead' });
     }
   }
 
   private applyAll(updates: readonly MemberRecord[]): void {
-    for (const update of updates) this.accept(update);
+    for (const update of updates) this.applyRecord(update);
   }
 
-  private accept(record: MemberRecord, isNews = true): void {
+  private applyRecord(record: MemberRecord, shouldGossip = true): void {
     if (record.id === this.self.id && record !== this.self) {
-      this.defend(record);
+      this.refute(record);
       return;
     }
     const before = this.table.get(record.id);
     if (!this.table.apply(record, this.options.clock.monotonic())) return;
-    if (isNews) this.gossip.add(record);
-    this.announceChange(before, record);
+    if (shouldGossip) this.gossip.add(record);
+    this.emitChange(before, record);
   }
 
   /** Answers a false word about this daemon with a higher refutation number. */
-  private defend(record: MemberRecord): void {
-    const untrue = record.status !== this.self.status || record.address !== this.self.address;
-    const relevant = record.instance === this.self.instance && record.refutation >= this.self.refutation;
-    if (!untrue || !relevant) return;
+  private refute(record: MemberRecord): void {
+    const isFalse = record.status !== this.self.status || record.address !== this.self.address;
+    const isCurrent = record.instance === this.self.instance && record.refutation >= this.self.refutation;
+    if (!isFalse || !isCurrent) return;
     this.counters.refutations += 1;
     this.health.worsen();
     this.self = { ...this.self, refutation: record.refutation + 1 };
-    this.accept(this.self);
+    this.applyRecord(this.self);
   }
 
-  private announceChange(before: MemberRecord | undefined, after: MemberRecord): void {
+  private emitChange(before: MemberRecord | undefined, after: MemberRecord): void {
     const wasUp = before !== undefined && isPresent(before);
     const isUp = isPresent(after);
     if (isUp && (!wasUp || before.instance !== after.instance)) void this.events.emit('up', after);
@@ -328,16 +328,16 @@
   }
 
   private async compareDigest(address: string, digest: number): Promise<void> {
-    this.differences = digest === this.table.digest() ? 0 : this.differences + 1;
-    const patience = this.isNew() ? 1 : DIFFERENCES_BEFORE_EXCHANGE;
-    if (this.differences < patience) return;
-    this.differences = 0;
+    this.consecutiveDifferences = digest === this.table.digest() ? 0 : this.consecutiveDifferences + 1;
+    const threshold = this.isRecentlyStarted() ? 1 : DIFFERENCES_BEFORE_EXCHANGE;
+    if (this.consecutiveDifferences < threshold) return;
+    this.consecutiveDifferences = 0;
     await this.exchangeViews(address, this.table.digests());
   }
 
   /** A daemon that has just started knows little, and does not wait for gossip to bring the rest. */
-  private isNew(): boolean {
-    return this.options.clock.monotonic() - this.startedAt < NEWCOMER_MS;
+  private isRecentlyStarted(): boolean {
+    return this.options.clock.monotonic() - this.startedAt < STARTUP_PERIOD_MS;
   }
 
   /** Fetches what differs from another member and sends back what it lacks. */
@@ -346,7 +346,7 @@
     const request: SyncRequest = { self: this.self, bucketDigests };
     const answer = await this.options.peers.call(address, syncMethod, request);
     // What another view already holds is not news: those who lack it will compare views themselves.
-    for (const record of answer.members) this.accept(record, false);
+    for (const record of answer.members) this.applyRecord(record, false);
     const own = this.table.recordsInBuckets(new Set(answer.differing));
     if (own.length > 0) await this.options.peers.call(address, updateMethod, { updates: own });
   }
@@ -357,14 +357,14 @@
       digest === request.bucketDigests[bucket] ? [] : [bucket],
     );
     const members = this.table.recordsInBuckets(new Set(differing));
-    this.accept(request.self);
+    this.applyRecord(request.self);
     return { differing, members };
   }
 
-  private reconnectPause(): number {
+  private reconnectPauseMs(): number {
     // Newcomers that start together find each other in small groups first, which must meet soon.
-    const eager = this.table.present().length <= 1 || this.isNew();
-    const pause = eager ? this.timings.probeIntervalMs / 2 : this.timings.reconnectIntervalMs;
+    const isUrgent = this.table.present().length <= 1 || this.isRecentlyStarted();
+    const pause = isUrgent ? this.timings.probeIntervalMs / 2 : this.timings.reconnectIntervalMs;
     return this.options.random.between(pause * 0.8, pause * 1.2);
   }
 
--- a/packages/membership/src/probe-targets.ts
+++ b/packages/membership/src/probe-targets.ts
@@ -19,15 +19,15 @@
     const others = present.filter((member) => member.id !== this.self.id);
     const draw = this.random.next();
     const sameZone = others.filter((member) => member.zone === this.self.zone);
-    if (draw < SAME_ZONE_SHARE && sameZone.length > 0) return this.take('zone', sameZone);
+    if (draw < SAME_ZONE_SHARE && sameZone.length > 0) return this.nextInRound('zone', sameZone);
     const otherZone = others.filter((member) => member.zone !== this.self.zone);
     const sameRegion = otherZone.filter((member) => member.region === this.self.region);
-    if (draw < SAME_REGION_SHARE && sameRegion.length > 0) return this.take('region', sameRegion);
-    if (otherZone.length > 0) return this.take('world', otherZone);
-    return this.take('zone', sameZone);
+    if (draw < SAME_REGION_SHARE && sameRegion.length > 0) return this.nextInRound('region', sameRegion);
+    if (otherZone.length > 0) return this.nextInRound('world', otherZone);
+    return this.nextInRound('zone', sameZone);
   }
 
-  private take(distance: string, candidates: readonly MemberRecord[]): MemberRecord | undefined {
+  private nextInRound(distance: string, candidates: readonly MemberRecord[]): MemberRecord | undefined {
     const byId = new Map(candidates.map((member) => [member.id, member]));
     let round = this.rounds.get(distance) ?? [];
     for (;;) {
--- a/packages/peering/src/peer-network.ts
+++ b/packages/peering/src/peer-network.ts
@@ -108,8 +108,8 @@
     const startedAt = clock.monotonic();
     const opened = await settleWithin(clock, timeoutMs, this.connectionTo(address));
     if (opened.timedOut) throw new WoodbarrowError('peer_unreachable', `no connection to ${address} in time`);
-    const leftMs = timeoutMs - (clock.monotonic() - startedAt);
-    const body = await this.exchange(opened.value, address, method.name, request as object, leftMs);
+    const remainingMs = timeoutMs - (clock.monotonic() - startedAt);
+    const body = await this.exchange(opened.value, address, method.name, request as object, remainingMs);
     return body as Response;
   }
 
@@ -136,22 +136,22 @@
   }
 
   private connectionTo(address: Address): Promise<Peer> {
-    const known = this.peers.get(address);
-    if (known !== undefined) return known;
+    const existing = this.peers.get(address);
+    if (existing !== undefined) return existing;
     const opening = this.open(address);
     this.peers.set(address, opening);
     opening.catch(() => {
-      this.forget(address, opening);
+      this.removePeer(address, opening);
     });
     return opening;
   }
 
   private async open(address: Address): Promise<Peer> {
     if (this.closed) throw new WoodbarrowError('peer_unreachable', 'this daemon has closed its peer links');
-    const limit = this.options.connectTimeoutMs ?? DEFAULT_CONNECT_TIMEOUT_MS;
+    const timeoutMs = this.options.connectTimeoutMs ?? DEFAULT_CONNECT_TIMEOUT_MS;
     let connection: Connection;
     try {
-      connection = await this.options.transport.connect(address, limit);
+      connection = await this.options.transport.connect(address, timeoutMs);
     } catch (error) {
       throw new WoodbarrowError('peer_unreachable', `cannot reach ${address}`, { cause: error });
     }
@@ -165,7 +165,7 @@
     return peer;
   }
 
-  private forget(address: Address, opening: Promise<Peer>): void {
+  private removePeer(address: Address, opening: Promise<Peer>): void {
     if (this.peers.get(address) === opening) this.peers.delete(address);
   }
 
@@ -211,7 +211,7 @@
     }
     const current = this.peers.get(address);
     if (current !== undefined && (await current.catch(() => undefined)) === peer)
-      this.forget(address, current);
+      this.removePeer(address, current);
     peer.connection.close();
     for (const call of peer.pending.values()) {
       call.cancelTimer();
@@ -240,13 +240,13 @@
   /** Task of one accepted connection. */
   private async serve(connection: Connection): Promise<void> {
     this.accepted.add(connection);
-    let greeted = false;
+    let hasHandshake = false;
     try {
       for await (const frame of connection.frames) {
         const envelope = decodeEnvelope(frame);
-        if (!greeted) {
-          if (!this.isWelcome(envelope)) break;
-          greeted = true;
+        if (!hasHandshake) {
+          if (!this.acceptsHello(envelope)) break;
+          hasHandshake = true;
         } else if (envelope.type === 'request') {
           this.traffic.received(envelope.method, frame.byteLength);
           void this.answer(connection, envelope);
@@ -259,13 +259,13 @@
     connection.close();
   }
 
-  private isWelcome(envelope: Envelope): boolean {
-    const welcome =
+  private acceptsHello(envelope: Envelope): boolean {
+    const isCompatible =
       envelope.type === 'hello' &&
       envelope.version === PROTOCOL_VERSION &&
       envelope.deployment === this.options.deployment;
-    if (!welcome) this.traffic.refusedConnections += 1;
-    return welcome;
+    if (!isCompatible) this.traffic.refusedConnections += 1;
+    return isCompatible;
   }
 
   private async answer(connection: Connection, request: RequestEnvelope): Promise<void> {
--- a/packages/peering/src/simulated-cluster.ts
+++ b/packages/peering/src/simulated-cluster.ts
@@ -64,12 +64,12 @@
   /** Lets time pass until a promise settles; rejects after `limitMs` of virtual time. */
   async settle<T>(promise: Promise<T>, limitMs = 60_000): Promise<T> {
     let settled = false;
-    const marked = promise.finally(() => {
+    const tracked = promise.finally(() => {
       settled = true;
     });
-    marked.catch(() => undefined);
+    tracked.catch(() => undefined);
     await this.world.run(this.world.now + limitMs, () => settled);
     if (!settled) throw new Error(`nothing within ${String(limitMs)} virtual ms`);
-    return marked;
+    return tracked;
   }
 }
