--- a/packages/coordination/src/claim-ledger.ts
+++ b/packages/coordination/src/claim-ledger.ts
@@ -1,4 +1,4 @@
-/** The at-most-once ledger: claims on keys, replicated through a lease's records. */
+/** At-most-once ledger: grants claims on keys and replicates them through the records of a lease. */
 import { WoodbarrowError } from '@woodbarrow/errors';
 import {
   claimMethod,
@@ -12,25 +12,29 @@
 import type { Lease } from './lease.js';
 import type { LeaseCandidate } from './lease-candidate.js';
 
-/** What the ledger remembers of a key. */
+/** State of a claimed key. */
 interface Claim {
   readonly claimant: string;
   readonly fingerprint: string;
-  /** Wall time after which the key may be forgotten, in milliseconds since the epoch. */
+  /** Wall time after which the claim may be deleted, in milliseconds since the epoch. */
   readonly expiresAt: number;
   readonly finished: boolean;
 }
 
-/** Options of {@link ClaimLedger}. */
 export interface ClaimLedgerOptions {
   readonly candidate: LeaseCandidate;
   readonly peers: PeerNetwork;
   readonly clock: Clock;
-  /** Longest lifetime of a key in milliseconds. A ledger younger than this may have forgotten keys. */
+  /**
+   * Longest lifetime of a claim in milliseconds. A ledger that has existed for less may lack earlier claims.
+   */
   readonly maximumLifetimeMs: number;
-  /** Most keys kept; beyond it new claims are refused rather than old ones forgotten. @default 200000 */
+  /**
+   * Maximum number of claims. Once it is reached, new claims are refused; existing ones are not evicted.
+   * @default 200000
+   */
   readonly maximumKeys?: number;
-  /** Bytes of answers kept; the oldest go first. @default 16 MiB */
+  /** Maximum size of the cached answers in bytes; the oldest are evicted first. @default 16 MiB */
   readonly maximumAnswerBytes?: number;
   readonly onTaskFailure?: (name: string, error: unknown) => void;
 }
@@ -40,22 +44,22 @@
 const EXPIRY_INTERVAL_MS = 10_000;
 const WRITE_RETRY_MS = 200;
 const EXPIRY_BATCH_SIZE = 500;
-/** Margin for wall clocks that differ between machines. */
+/** Allowance for differences between the wall clocks of machines. */
 const WALL_CLOCK_MARGIN_MS = 5000;
-/** Record that says since when the ledger has forgotten nothing. */
+/** Key of the record that stores the time since which the ledger is complete. */
 const ORIGIN_KEY = '$origin';
 
 interface LedgerOrigin {
-  /** Wall time since which every claim is known. */
+  /** Wall time since which every claim is in the ledger, in milliseconds since the epoch. */
   readonly knownSince: number;
 }
 
-/** Answers claims while it holds the ledger's lease; refuses with `not_leader` otherwise. */
+/** Answers claims while this daemon holds the ledger's lease; otherwise throws `not_leader`. */
 export class ClaimLedger extends BackgroundService {
   private lease: Lease | undefined;
   private knownSince = Infinity;
   private readonly claims = new Map<string, Claim>();
-  /** Keys whose claim is being written; a second claimant waits for the outcome. */
+  /** Claims whose replication is pending; another claimant of the same key waits for the outcome. */
   private readonly pendingWrites = new Map<string, Promise<void>>();
   private readonly answers = new Map<string, Uint8Array>();
   private answerBytes = 0;
@@ -64,12 +68,12 @@
     super(options.clock, options.onTaskFailure);
   }
 
-  /** Number of keys remembered. */
+  /** Number of claims in the ledger. */
   get size(): number {
     return this.claims.size;
   }
 
-  /** Starts answering. */
+  /** Registers the request handlers and starts to delete expired claims. */
   start(): void {
     const { candidate, peers } = this.options;
     candidate.events.on('acquired', (lease) => this.takeOver(lease));
@@ -100,7 +104,7 @@
     if (await this.recordOrigin(lease)) this.lease = lease;
   }
 
-  /** Makes the ledger's memory good in a new epoch; tries for as long as the lease lasts. */
+  /** Records since when the ledger is complete in a new epoch; retries while the lease is valid. */
   private async recordOrigin(lease: Lease): Promise<boolean> {
     while (lease.isValid && !lease.isComplete) {
       try {
@@ -124,12 +128,13 @@
   private async claim(request: ClaimRequest): Promise<ClaimResponse> {
     const lease = this.currentLease();
     await this.pendingWrites.get(request.key)?.catch(() => undefined);
-    if (lease !== this.lease) throw new WoodbarrowError('not_leader', 'the ledger moved');
+    if (lease !== this.lease)
+      throw new WoodbarrowError('not_leader', 'the ledger has moved to another daemon');
     const existing = this.claims.get(request.key);
     if (existing !== undefined) return this.respondToExisting(lease, request, existing);
     if (!this.isCertainlyUnclaimed(request)) return { outcome: 'unknown' };
     if (this.claims.size >= (this.options.maximumKeys ?? DEFAULT_MAXIMUM_KEYS)) {
-      throw new WoodbarrowError('queue_full', 'the ledger of claims is full');
+      throw new WoodbarrowError('queue_full', 'the ledger of claims has reached its maximum number of keys');
     }
     const lifetimeMs = Math.min(request.lifetimeMs, this.options.maximumLifetimeMs);
     const claim: Claim = {
@@ -149,7 +154,7 @@
   ): Promise<ClaimResponse> {
     if (existing.fingerprint !== request.fingerprint) return { outcome: 'mismatch' };
     if (existing.claimant === request.claimant && !existing.finished) {
-      // The earlier write may have reached a minority only, which the next leader need not hear of.
+      // The earlier write may have reached only a minority, which the next leader may not read.
       await this.record(lease, request.key, existing);
       return { outcome: 'granted' };
     }
@@ -158,7 +163,10 @@
     return answer === undefined ? { outcome: 'finished' } : { outcome: 'finished', answer };
   }
 
-  /** Whether an unknown key is certainly unused: it is younger than the ledger's memory. */
+  /**
+   * Whether a key without a claim is certainly unclaimed: it is newer than the time since which the ledger is
+   * complete.
+   */
   private isCertainlyUnclaimed(request: ClaimRequest): boolean {
     const age = request.ageMs ?? this.options.maximumLifetimeMs;
     return this.options.clock.wall() - age >= this.knownSince;
@@ -178,11 +186,12 @@
 
   private currentLease(): Lease {
     const lease = this.lease;
-    if (lease === undefined || !lease.isValid) throw new WoodbarrowError('not_leader', 'not the ledger now');
+    if (lease === undefined || !lease.isValid)
+      throw new WoodbarrowError('not_leader', 'this daemon does not hold the ledger now');
     return lease;
   }
 
-  /** The claim is entered before it is replicated: if the write fails, the key stays taken, never free. */
+  /** Stores the claim before it is replicated, so that a failed write leaves the key claimed. */
   private async record(lease: Lease, key: string, claim: Claim): Promise<void> {
     this.claims.set(key, claim);
     const write = lease.write(new Map([[key, claim]]));
@@ -232,7 +241,7 @@
   }
 }
 
-/** Wall time since which every claim is known. The first epoch has nothing before it that could be forgotten. */
+/** Wall time since which every claim is in the ledger; 0 in the first epoch, which has no earlier claims. */
 function completeSince(lease: Lease, origin: LedgerOrigin | undefined, wall: number): number {
   if (lease.isComplete && origin !== undefined) return origin.knownSince;
   return lease.set.epoch === 1 ? 0 : wall + WALL_CLOCK_MARGIN_MS;
--- a/packages/coordination/src/claims-client.ts
+++ b/packages/coordination/src/claims-client.ts
@@ -1,4 +1,4 @@
-/** Claims keys at whichever daemon holds the ledger now. */
+/** Sends claims to the daemon that holds the ledger. */
 import { WoodbarrowError, isKind } from '@woodbarrow/errors';
 import {
   claimMethod,
@@ -15,7 +15,7 @@
 const CALL_TIMEOUT_MS = 1000;
 const SETTLE_TIMEOUT_MS = 5000;
 
-/** Client side of the ledger. */
+/** Client of the claim ledger. */
 export class ClaimsClient {
   constructor(
     private readonly group: string,
@@ -25,17 +25,18 @@
   ) {}
 
   /**
-   * Claims a key. Asking again as the same claimant is harmless, so a lost answer is asked for again.
+   * Claims a key. Retries when a response is lost, which is safe since repeated claims by one claimant are
+   * granted.
    *
-   * @param limitMs Milliseconds after which to give up.
-   * @throws WoodbarrowError `outcome_unknown` when the ledger could not be asked: the key may be taken.
+   * @param limitMs Milliseconds after which to stop retrying.
+   * @throws WoodbarrowError `outcome_unknown` when the ledger did not answer: the key may have been claimed.
    */
   async claim(request: ClaimRequest, limitMs: number): Promise<ClaimResponse> {
     const until = this.clock.monotonic() + limitMs;
     for (;;) {
       const remaining = until - this.clock.monotonic();
       if (remaining <= 0)
-        throw new WoodbarrowError('outcome_unknown', 'the ledger of claims cannot be asked now');
+        throw new WoodbarrowError('outcome_unknown', 'the ledger of claims did not answer in time');
       const holder = await this.locator.find(this.group);
       if (holder !== undefined) {
         try {
@@ -50,7 +51,7 @@
     }
   }
 
-  /** Settles a claim. When that fails the claim stays open, and repeats of its key are refused. */
+  /** Settles a claim. If this fails, the claim stays open and later claims of its key are refused. */
   async settle(request: SettleClaimRequest): Promise<void> {
     const until = this.clock.monotonic() + SETTLE_TIMEOUT_MS;
     while (this.clock.monotonic() < until) {
--- a/packages/coordination/src/holder-contact.ts
+++ b/packages/coordination/src/holder-contact.ts
@@ -1,18 +1,18 @@
-/** What the witnesses of a lease have answered its holder. */
+/** Tracks which witnesses of a lease have answered its holder. */
 import type { Clock } from '@woodbarrow/runtime';
 import { areSameWitnesses, CONTACT_LIFETIME_MS, majorityOf, type WitnessId } from './lease-witness.js';
 
-/** Contact of one holder with the witnesses of one lease. */
+/** Contact between one lease holder and its witnesses. */
 export class HolderContact {
   private witnesses: readonly WitnessId[] = [];
-  /** When each witness was last asked that has answered, in elapsed time. */
+  /** Time at which the last answered request was sent to each witness, in elapsed time. */
   private readonly lastAnsweredRequestAt = new Map<string, number>();
-  /** Elapsed time since which the present witnesses are asked. */
+  /** Elapsed time at which the current witnesses were set. */
   private witnessesSetAt = -Infinity;
 
   constructor(private readonly clock: Clock) {}
 
-  /** Names the witnesses of the record as it stands now; only what they answered counts, also before. */
+  /** Sets the witnesses that the lease record names. Answers of witnesses that remain stay valid. */
   setWitnesses(witnesses: readonly WitnessId[]): void {
     if (areSameWitnesses(this.witnesses, witnesses)) return;
     for (const { id, instance } of this.witnesses) {
@@ -23,24 +23,34 @@
     this.witnessesSetAt = this.clock.elapsed();
   }
 
-  /** A witness has answered that the holder may go on. @param askedAt When it was asked, in elapsed time. */
+  /**
+   * Records that a witness has accepted the holder's request.
+   *
+   * @param askedAt Time at which the request was sent, in elapsed time.
+   */
   noteAnswer({ id, instance }: WitnessId, askedAt: number): void {
     if (!this.witnesses.some((witness) => witness.id === id && witness.instance === instance)) return;
     this.lastAnsweredRequestAt.set(id, Math.max(askedAt, this.lastAnsweredRequestAt.get(id) ?? -Infinity));
   }
 
-  /** Whether enough witnesses have answered lately for the holder to act; always so without witnesses. */
+  /**
+   * Whether a majority of the witnesses has answered within the contact lifetime; always true without
+   * witnesses.
+   */
   get isFresh(): boolean {
     return this.expiresInMs() > 0;
   }
 
-  /** Milliseconds for which no majority has answered; 0 while contact is fresh and soon after the witnesses were named. */
+  /**
+   * Milliseconds since a majority last answered or since the witnesses were set, whichever is later; 0
+   * without witnesses.
+   */
   lostMs(): number {
     const lastAt = Math.max(this.witnessesSetAt, this.majorityRequestAt());
     return this.witnesses.length === 0 ? 0 : this.clock.elapsed() - lastAt;
   }
 
-  /** Witnesses that have not answered for a while. */
+  /** Witnesses that have not answered any request of the last `longerThanMs` milliseconds. */
   unresponsiveWitnesses(longerThanMs: number): readonly WitnessId[] {
     const oldest = this.clock.elapsed() - longerThanMs;
     return this.witnesses.filter(
@@ -53,7 +63,7 @@
     return this.majorityRequestAt() + CONTACT_LIFETIME_MS - this.clock.elapsed();
   }
 
-  /** The latest time from which on a majority has been asked and has answered. */
+  /** Latest time such that a majority has answered a request sent then or later, in elapsed time. */
   private majorityRequestAt(): number {
     const times = this.witnesses.map(({ id }) => this.lastAnsweredRequestAt.get(id) ?? -Infinity);
     times.sort((left, right) => right - left);
--- a/packages/coordination/src/index.ts
+++ b/packages/coordination/src/index.ts
@@ -1,4 +1,7 @@
-/** Coordination: majority leases with replicated records, claims, rendezvous hashing. */
+/**
+ * Coordination: majority leases with replicated records, store leases with witnesses, claims, relay topology
+ * and rendezvous hashing.
+ */
 export * from './claim-ledger.js';
 export * from './claims-client.js';
 export * from './lease-candidate.js';
--- a/packages/coordination/src/lease-candidate.ts
+++ b/packages/coordination/src/lease-candidate.ts
@@ -1,4 +1,4 @@
-/** The candidates' side of leases: acquire, renew, take over, hand over. */
+/** Candidate side of a majority lease: acquisition, renewal and handover. */
 import Emittery from 'emittery';
 import {
   acquireMethod,
@@ -16,42 +16,39 @@
 import { isNewer } from './lease-voter.js';
 import { callVoters, isMajority } from './voter-calls.js';
 
-/** Voters of a group now, and of the epoch before. */
+/** Voters of a group in the current and the previous epoch. */
 export interface VoterSets {
   readonly current: VoterSet;
   /** Absent in the first epoch. */
   readonly previous?: VoterSet;
 }
 
-/** Timing of a lease. All in milliseconds. */
+/** Timing of a lease, in milliseconds except for the drift bound. */
 export interface LeaseTimings {
-  /** Time after which an unrenewed lease lapses. @default 3000 */
+  /** Time after which a lease that is not renewed expires. @default 3000 */
   readonly durationMs: number;
-  /** Wait for the voters' answers. @default 800 */
+  /** Timeout of a call to the voters. @default 800 */
   readonly callTimeoutMs: number;
-  /** Clock rates of two machines differ at most by this share. @default 0.02 */
+  /** Maximum relative difference between the clock rates of two machines. @default 0.02 */
   readonly driftBound: number;
 }
 
-/** Defaults of {@link LeaseTimings}. */
 export const DEFAULT_LEASE_TIMINGS: LeaseTimings = { durationMs: 3000, callTimeoutMs: 800, driftBound: 0.02 };
 
-/** Options of {@link LeaseCandidate}. */
 export interface LeaseCandidateOptions {
   readonly group: string;
   readonly id: string;
   readonly peers: PeerNetwork;
   readonly clock: Clock;
   readonly random: Random;
-  /** Voters as known now; undefined while unknown. */
+  /** Current voters; undefined while they are unknown. */
   readonly voterSets: () => VoterSets | undefined;
-  /** Whether this daemon wants the lease now. A holder that no longer wants it hands it over. */
+  /** Whether this daemon wants the lease. A holder that no longer wants it hands it over. */
   readonly isWilling: () => boolean;
   readonly timings?: Partial<LeaseTimings>;
   readonly onTaskFailure?: (name: string, error: unknown) => void;
 }
 
-/** Events of {@link LeaseCandidate}. */
 export interface LeaseEvents {
   acquired: Lease;
   lost: Lease;
@@ -60,7 +57,7 @@
 const RENEWALS_PER_DURATION = 3;
 const IDLE_PAUSE_MS = 1000;
 
-/** Tries to hold the lease of one group for as long as it is willing. */
+/** Acquires and renews the lease of one group while this daemon is willing to hold it. */
 export class LeaseCandidate {
   readonly events = new Emittery<LeaseEvents>();
   private readonly timings: LeaseTimings;
@@ -68,7 +65,7 @@
   private lease: Lease | undefined;
   private highestTerm = 0;
   private highestTermEpoch = 0;
-  /** Epoch by voter id for which the voter is known to have the set. */
+  /** Last epoch, by voter id, whose voter set the voter has received. */
   private readonly informedEpochs = new Map<string, number>();
 
   constructor(private readonly options: LeaseCandidateOptions) {
@@ -76,23 +73,23 @@
     this.tasks = new TaskGroup(options.clock, options.onTaskFailure ?? (() => undefined));
   }
 
-  /** The lease, while it is certainly held. */
+  /** The lease, if it is valid now; otherwise undefined. */
   get held(): Lease | undefined {
     return this.lease?.isValid === true ? this.lease : undefined;
   }
 
-  /** Starts trying. */
+  /** Starts to acquire the lease. */
   start(): void {
     this.tasks.spawn(`lease.${this.options.group}`, (signal) => this.run(signal));
   }
 
-  /** Hands the lease over, if held, and stops. */
+  /** Stops, and releases the lease if it is held. */
   async stop(): Promise<void> {
     await this.tasks.stop();
     await this.handOver();
   }
 
-  /** Stops without a word, as a crash would. */
+  /** Stops without releasing the lease, as a crash would. */
   abort(): void {
     this.tasks.abort();
   }
@@ -104,7 +101,7 @@
     }
   }
 
-  /** One attempt or renewal; returns the pause before the next, in milliseconds. */
+  /** Tries once to acquire or renew the lease; returns the pause before the next step in milliseconds. */
   private async step(): Promise<number> {
     const sets = this.options.voterSets();
     if (sets === undefined || sets.current.voters.length === 0) return IDLE_PAUSE_MS;
@@ -119,7 +116,8 @@
       return IDLE_PAUSE_MS;
     }
     if (current.epoch > lease.set.epoch || !lease.isValid) {
-      // The next epoch's voters decide from now on, or this daemon was stopped for longer than its lease.
+      // The voters of the next epoch decide from now on, or this daemon was suspended for longer than its
+      // lease.
       this.dropLease(lease);
       return 0;
     }
@@ -176,8 +174,8 @@
   }
 
   /**
-   * In a new epoch, seals a majority of the previous voters and brings their records along. Without such a
-   * majority the lease stays incomplete, and its holder must make good what it cannot know.
+   * In a new epoch, seals a majority of the previous voters and copies their records into the new epoch.
+   * Without such a majority the lease stays incomplete, and its holder must handle missing records.
    */
   private async carryOver(lease: Lease, previous: VoterSet | undefined): Promise<Lease> {
     if (lease.isComplete || previous === undefined) return lease;
@@ -191,7 +189,7 @@
     );
     const sealed = answers.filter((answer) => answer.sealed);
     if (!isMajority(sealed.length, previous)) return lease;
-    // When this fails the lease stays incomplete, and another attempt in this epoch seals again.
+    // If this fails, the lease stays incomplete and another attempt in this epoch seals again.
     await lease.carryOver(mergeRecords(sealed.map((answer) => answer.records))).catch(() => undefined);
     return lease;
   }
@@ -240,7 +238,7 @@
     return this.options.random.between(0.05, 0.3) * this.timings.durationMs;
   }
 
-  /** The holder's own count starts before the voters' and runs out before theirs, whatever the drift. */
+  /** The holder's lease starts before the voters' and ends before theirs within the drift bound. */
   private validUntil(startedAt: number): number {
     return startedAt + this.timings.durationMs * (1 - this.timings.driftBound);
   }
@@ -269,7 +267,7 @@
   }
 }
 
-/** The newest record of each key. */
+/** Merges lists of records and keeps the newest record of each key. */
 export function mergeRecords(lists: readonly (readonly LeaseRecord[])[]): LeaseRecord[] {
   const merged = new Map<string, LeaseRecord>();
   for (const record of lists.flat()) {
--- a/packages/coordination/src/lease-locator.ts
+++ b/packages/coordination/src/lease-locator.ts
@@ -5,7 +5,7 @@
 import type { VoterSets } from './lease-candidate.js';
 import { callVoters } from './voter-calls.js';
 
-/** Who holds a lease. */
+/** Holder of a lease. */
 export interface LeaseHolder {
   readonly id: string;
   readonly address: string;
@@ -18,7 +18,7 @@
 
 const LOOKUP_TIMEOUT_MS = 500;
 
-/** Looks holders up and remembers them for as long as their lease was said to last. */
+/** Looks up lease holders and caches them for the remaining time that the voters report. */
 export class LeaseLocator {
   private readonly cache = new Map<string, CachedHolder>();
 
@@ -28,7 +28,7 @@
     private readonly voterSets: (group: string) => VoterSets | undefined,
   ) {}
 
-  /** The holder as a majority of voters names it; undefined when they do not agree on one. */
+  /** Returns the holder that a majority of voters reports; undefined without such a majority. */
   async find(group: string): Promise<LeaseHolder | undefined> {
     const cached = this.cache.get(group);
     if (cached !== undefined && cached.until > this.clock.elapsed()) return cached.holder;
@@ -49,7 +49,7 @@
     return holder;
   }
 
-  /** Forgets a holder that turned out not to be one. */
+  /** Removes a cached holder that has turned out to be stale. */
   forget(group: string): void {
     this.cache.delete(group);
   }
--- a/packages/coordination/src/lease-record.ts
+++ b/packages/coordination/src/lease-record.ts
@@ -1,73 +1,89 @@
-/** What the store of the deployment keeps of a lease, and the port to it. */
+/** Lease records in the deployment's store, and the interface to that store. */
 import { compareStorePositions, type StorePosition } from '@woodbarrow/protocol';
 import type { WitnessId } from './lease-witness.js';
 
-/** What the store keeps of a lease. */
+/** Lease as it is stored. */
 export interface LeaseRecord {
-  /** Name of the machine that holds it; kept over restarts of its process. Empty when given back. */
+  /**
+   * Name of the machine that holds the lease, the same after a restart of its process; empty after a release.
+   */
   readonly holder: string;
-  /** The holder's run. */
+  /** Identifies the run of the holder's process. */
   readonly instance: number;
-  /** Rises with every change of the holder or of its run. */
+  /** Fencing token; increases with every change of the holder or of its run. */
   readonly fence: number;
-  /** Milliseconds that the record must be seen unchanged before another may take the lease. */
+  /**
+   * Milliseconds for which the record must be observed unchanged before another machine may take the lease.
+   */
   readonly lifetimeMs: number;
-  /** Counts renewals: the store takes a write that changes nothing for no change, and others would see none. */
+  /**
+   * Number of renewals. It makes every renewal a visible change, since the store ignores writes that change
+   * nothing.
+   */
   readonly renewal: number;
-  /** Daemons that the holder must be in contact with; none where there are too few. */
+  /** Daemons whose majority the holder must be in contact with; empty where there are too few. */
   readonly witnesses: readonly WitnessId[];
-  /** Milliseconds after this write began before which the holder must not act; a restart of it waits them again. */
+  /**
+   * Milliseconds after the start of this write before which the holder must not act. A restarted holder waits
+   * for them again.
+   */
   readonly pauseMs: number;
-  /** Era of the store for which this was written; absent in records of daemons that know no eras. */
+  /**
+   * Era of the store for which the record was written; absent in records of daemons without support for eras.
+   */
   readonly era?: number;
 }
 
-/** A record with the position of its last change, in the era in which the store answered. */
+/** Lease record with the position of its last change, in the era that the store reported. */
 export interface StoredLease extends StorePosition {
   readonly record: LeaseRecord;
 }
 
-/** Era of the store as its answers told last. */
+/** Era of the store that this process last observed. */
 export interface KnownEra {
   readonly era: number;
-  /** Milliseconds since this process first heard of it; Infinity where nothing can have been leased before it. */
+  /**
+   * Milliseconds since this process first observed the era; Infinity where no earlier era can have had
+   * leases.
+   */
   readonly knownForMs: number;
 }
 
-/** Port: the store. Every call may throw, and may then have been carried out, or may be later. */
+/**
+ * Interface to the store. A call that throws may still have been carried out, or may be carried out later.
+ */
 export interface LeaseRecordStore {
-  /** What this process knows of the store's era. */
+  /** Returns the last observed era of the store. */
   currentEra(): KnownEra;
-  /** The record, or undefined when there is none. */
+  /** Reads the record; undefined when there is none. */
   read(name: string): Promise<StoredLease | undefined>;
-  /** Writes the first record; undefined when there is one already. */
+  /** Writes the first record; undefined when one already exists. */
   create(name: string, record: LeaseRecord): Promise<StoredLease | undefined>;
-  /** Replaces the record of the given revision; undefined when it has another one by now. */
+  /** Replaces the record of the given revision; undefined when the stored record has another revision. */
   replace(name: string, record: LeaseRecord, revision: number): Promise<StoredLease | undefined>;
 }
 
 /**
- * Fences that can be given in one era of the store: a change of holder each minute for a year. Those of a later era are higher, whatever the
- * copy has lost from which the store was restored.
+ * Number of fences in one era of the store. Fences of a later era are always higher, even if the copy from
+ * which the store was restored lacks recent ones.
  */
 const MAX_FENCES_PER_ERA = 2 ** 20;
 
-/** Whether a record is from before the store was restored. */
+/** Whether a record was written before the store was restored. */
 export function isFromEarlierEra({ record, era }: StoredLease): boolean {
   return record.era !== undefined && record.era < era;
 }
 
-/** Whether two positions are the same. */
 export function isSamePosition(left: StorePosition, right: StorePosition): boolean {
   return compareStorePositions(left, right) === 0;
 }
 
-/** Lowest fence that may be given in an era. */
+/** Returns the lowest fence of an era. */
 export function firstFenceOf(era: number): number {
   return era * MAX_FENCES_PER_ERA + 1;
 }
 
-/** Fence of the next holder after the one of a record. */
+/** Returns the fence for the holder that replaces a record. */
 export function nextFence({ record, era }: StoredLease): number {
   return Math.max(record.fence + 1, firstFenceOf(era));
 }
--- a/packages/coordination/src/lease-voter.ts
+++ b/packages/coordination/src/lease-voter.ts
@@ -1,4 +1,4 @@
-/** The voters' side of leases: grants, replicated records, and the end of epochs. */
+/** Voter side of a majority lease: grants, replicated records and sealing of epochs. */
 import {
   acquireMethod,
   describeLeaseMethod,
@@ -20,36 +20,35 @@
 import type { PeerNetwork } from '@woodbarrow/peering';
 import type { Clock } from '@woodbarrow/runtime';
 
-/** What a voter keeps of one group in one epoch. It is lost when the process ends, and the seat with it. */
+/** State of one group in one epoch. It is in memory only, so a restarted process no longer holds the seat. */
 interface VoterGroupState {
   readonly set: VoterSet;
   term: number;
   holder: string | undefined;
   holderAddress: string | undefined;
-  /** Monotonic time at which the lease lapses. */
+  /** Monotonic time at which the lease expires. */
   expiresAt: number;
   sealed: boolean;
   readonly records: Map<string, LeaseRecord>;
-  /** State of the epoch before, ended by this one; kept for the holder that brings its records along. */
+  /** State of the previous epoch, retained for the holder that copies its records. */
   readonly previous: VoterGroupState | undefined;
 }
 
-/** Options of {@link LeaseVoter}. */
 export interface LeaseVoterOptions {
   readonly peers: PeerNetwork;
   readonly clock: Clock;
   readonly id: string;
-  /** Run of this process; seats of earlier runs are refused. */
+  /** Run of this process; requests for seats of earlier runs are refused. */
   readonly instance: number;
 }
 
-/** Votes in any group whose voter set names this run of this daemon. */
+/** Votes in each group whose voter set contains this run of this daemon. */
 export class LeaseVoter {
   private readonly groups = new Map<string, VoterGroupState>();
 
   constructor(private readonly options: LeaseVoterOptions) {}
 
-  /** Starts answering. */
+  /** Registers the request handlers. */
   start(): void {
     const { peers } = this.options;
     peers.handle(acquireMethod, (request) => this.acquire(request));
@@ -77,7 +76,7 @@
 
   private renew(state: VoterGroupState, request: AcquireRequest, now: number): AcquireResponse {
     const same = state.term === request.term && state.holder === request.holder;
-    // A lapsed lease may be renewed while no other was granted: no one else can have held it.
+    // An expired lease may be renewed while no other was granted, since nothing else can have held it.
     if (!same) return responseFor(state, 'held', now);
     state.expiresAt = now + request.durationMs;
     return responseFor(state, 'granted', now);
@@ -90,8 +89,8 @@
     for (const record of request.records) {
       const known = state.records.get(record.key);
       if (known !== undefined && !isNewer(record, known)) continue;
-      // A deletion leaves no trace. An older copy at another voter may come back after a change of holder:
-      // keepers of records must therefore take a returned record for the cautious case.
+      // A deletion leaves no tombstone, so an older copy at another voter may reappear after a change of
+      // holder. Users of the records must handle a reappeared record conservatively.
       if (record.value === null) state.records.delete(record.key);
       else state.records.set(record.key, record);
     }
@@ -132,7 +131,7 @@
     };
   }
 
-  /** Takes up a seat in a newer epoch. Records do not come along: the new holder brings them. */
+  /** Takes a seat in a newer epoch, without the records: the new holder copies them. */
   private adoptVoterSet(set: VoterSet): void {
     const known = this.groups.get(set.group);
     if (known !== undefined && known.set.epoch >= set.epoch) return;
@@ -148,7 +147,7 @@
       expiresAt: 0,
       sealed: false,
       records: new Map(),
-      // One epoch back is enough: each holder brings along all that the epoch before knew.
+      // One previous epoch suffices, since each holder copies all records of the epoch before.
       previous: known === undefined ? undefined : { ...known, previous: undefined },
     });
   }
@@ -162,7 +161,7 @@
   }
 }
 
-/** Whether one record was written after another. */
+/** Whether `record` was written after `known`. */
 export function isNewer(record: LeaseRecord, known: LeaseRecord): boolean {
   return record.term > known.term || (record.term === known.term && record.sequence > known.sequence);
 }
--- a/packages/coordination/src/lease-witness.ts
+++ b/packages/coordination/src/lease-witness.ts
@@ -1,24 +1,24 @@
 /**
- * Witnesses of a lease: daemons that the holder names in its record. The holder acts only while most of them have
- * answered it of late. A candidate may take the lease before its lifetime ends once most of them have refused the holder:
- * two majorities of the same witnesses share one, so a holder that was refused cannot act, be it lost, frozen or cut off.
- * Witnesses keep this in memory only; one that was started again is another witness and counts for nobody.
+ * Witnesses of a lease: daemons that the holder names in its record. The holder acts only while a majority of
+ * them has answered recently. A candidate may take the lease before its lifetime ends once a majority has
+ * refused the holder: any two majorities overlap, so a refused holder that is lost, frozen or partitioned
+ * cannot act. Witness state is in memory only; a restarted daemon is a different witness.
  */
 import { compareStorePositions, type StorePosition } from '@woodbarrow/protocol';
 import type { Clock } from '@woodbarrow/runtime';
 
-/** One run of a daemon as a witness. */
+/** Identifies one run of a daemon as a witness. */
 export interface WitnessId {
   readonly id: string;
   readonly instance: number;
 }
 
-/** Milliseconds for which a holder may act after it asked a witness that answered. */
+/** Milliseconds for which a holder may act after it sent a request that a witness accepted. */
 export const CONTACT_LIFETIME_MS = 1500;
-/** Allowance for clocks that run at different speeds, as a share of that time. */
+/** Allowance for different clock rates, as a share of the contact lifetime. */
 const CLOCK_DRIFT_SHARE = 0.02;
 
-/** Position of a lease's record; the era is absent from daemons that know none. */
+/** Position of a lease's record; the era is absent from daemons without support for eras. */
 interface LeasePosition {
   /** Name of the lease. */
   readonly lease: string;
@@ -26,21 +26,23 @@
   readonly revision: number;
 }
 
-/** A holder's word that it still uses a lease, with the position of its record as the holder knows it. */
+/** Request of a holder to continue, with the position of its last observed record. */
 export type ContactRequest = LeasePosition;
 
-/** A candidate's wish that the holder be refused, with the position of the record that it is about to replace. */
+/**
+ * Request of a candidate to refuse the holder, with the position of the record that it is about to replace.
+ */
 export type RefusalRequest = LeasePosition;
 
 /** Answer to a {@link RefusalRequest}. */
 export interface RefusalAnswer {
-  /** Whether the holder is refused from now on, until the record has a later position. */
+  /** Whether the holder is refused until the record has a later position. */
   readonly agreed: boolean;
-  /** Milliseconds since the holder was last answered here; since this witness started when it never was. */
+  /** Milliseconds since this witness last accepted a request of the holder, or since the witness started. */
   readonly lastContactAgoMs: number;
 }
 
-/** Number of witnesses that is more than half of all. */
+/** Returns the smallest number of witnesses that is a majority. */
 export function majorityOf(witnesses: readonly WitnessId[]): number {
   return Math.floor(witnesses.length / 2) + 1;
 }
@@ -53,10 +55,10 @@
   );
 }
 
-/** One daemon as a witness of any leases. */
+/** Witness state of one daemon for all leases. */
 export class LeaseWitness {
   private readonly contactAt = new Map<string, number>();
-  /** Latest position of each lease's record under which its holder was refused. */
+  /** Latest position of each lease's record whose holder was refused. */
   private readonly refusedPositions = new Map<string, StorePosition>();
   private readonly startedAt: number;
 
@@ -64,7 +66,7 @@
     this.startedAt = clock.monotonic();
   }
 
-  /** A holder asks to go on. Returns whether it may. */
+  /** Handles a holder's request to continue; returns whether the holder may act. */
   contact(request: ContactRequest): boolean {
     const { lease } = request;
     const refused = this.refusedPositions.get(lease);
@@ -73,7 +75,9 @@
     return true;
   }
 
-  /** A candidate asks for the holder to be refused: granted when what the holder was answered here has lapsed. */
+  /**
+   * Handles a candidate's request to refuse the holder; agrees once the holder's contact here has expired.
+   */
   refuse(request: RefusalRequest): RefusalAnswer {
     const { lease } = request;
     const lastContactAgoMs = this.clock.monotonic() - (this.contactAt.get(lease) ?? this.startedAt);
--- a/packages/coordination/src/lease.ts
+++ b/packages/coordination/src/lease.ts
@@ -1,35 +1,34 @@
-/** A held lease: how long it is certainly valid, its fence, and its replicated records. */
+/** A held majority lease: its validity, its fence and its replicated records. */
 import { WoodbarrowError } from '@woodbarrow/errors';
 import { writeMethod, type LeaseRecord, type VoterSet } from '@woodbarrow/protocol';
 import type { PeerNetwork } from '@woodbarrow/peering';
 import type { Clock } from '@woodbarrow/runtime';
 import { callVoters, isMajority } from './voter-calls.js';
 
-/** Fences are epoch times this plus term, so that they grow with both. */
+/** Factor of the epoch in a fence (epoch * factor + term), so that fences increase with both. */
 export const TERMS_PER_EPOCH = 65_536;
-/** Orders that can be numbered under one lease. */
+/** Maximum number of orders under one lease. */
 const ORDERS_PER_TERM = 1_048_576;
 
-/** Key of the record that says that all earlier records are known. */
+/** Key of the record that marks the records as complete. */
 const COMPLETE_KEY = '$complete';
 
-/** What a lease is made from. */
 export interface LeaseOptions {
   readonly peers: PeerNetwork;
   readonly clock: Clock;
   readonly set: VoterSet;
   readonly term: number;
-  /** Elapsed time until which the lease is certainly valid. */
+  /** Elapsed time until which the lease is valid. */
   readonly validUntil: number;
   /** Newest records of a majority of voters. */
   readonly records: readonly LeaseRecord[];
-  /** Milliseconds to wait for the voters on a write. */
+  /** Timeout of a write in milliseconds. */
   readonly writeTimeoutMs: number;
 }
 
-/** A lease held by this daemon, until {@link Lease.isValid} says otherwise. */
+/** A lease held by this daemon while {@link Lease.isValid} is true. */
 export class Lease {
-  /** Grows with every change of holder; back ends refuse orders with a lower one. */
+  /** Fencing token; increases with every change of holder. Back ends refuse orders with a lower one. */
   readonly fence: number;
   readonly term: number;
   readonly set: VoterSet;
@@ -53,22 +52,22 @@
     this.complete = this.records.has(COMPLETE_KEY);
   }
 
-  /** Whether the lease is certainly held now. Ask immediately before each act that needs it. */
+  /** Whether the lease is valid now. Must be checked immediately before each action under the lease. */
   get isValid(): boolean {
     return !this.ended && this.options.clock.elapsed() < this.validUntil;
   }
 
-  /** Milliseconds for which the lease is certainly held if it is not extended. */
+  /** Milliseconds until the lease expires unless it is extended. */
   get remainingMs(): number {
     return this.ended ? 0 : Math.max(0, this.validUntil - this.options.clock.elapsed());
   }
 
-  /** Whether the records contain everything ever written under this group's leases. */
+  /** Whether the records include everything that was ever written under this group's leases. */
   get isComplete(): boolean {
     return this.complete;
   }
 
-  /** Live records by key, without this module's own. */
+  /** Stored values by key, without the internal completeness marker. */
   values(): Map<string, object> {
     const values = new Map<string, object>();
     for (const [key, record] of this.records) {
@@ -77,13 +76,15 @@
     return values;
   }
 
-  /** Throws `lease_lost` unless the lease is certainly held now. */
+  /** Throws `lease_lost` unless the lease is valid now. */
   assertValid(): void {
     if (!this.isValid)
-      throw new WoodbarrowError('lease_lost', `lease on ${this.set.group} is not held any more`);
+      throw new WoodbarrowError('lease_lost', `the lease on ${this.set.group} is no longer held`);
   }
 
-  /** A number for the next order under this lease: higher than all before it, and than those of earlier leases. */
+  /**
+   * Returns a number for the next order, higher than all earlier ones of this lease and of earlier leases.
+   */
   nextOrderNumber(): number {
     this.orderCount += 1;
     if (this.orderCount >= ORDERS_PER_TERM) this.end();
@@ -91,44 +92,43 @@
   }
 
   /**
-   * Extends the lease; called by the candidate that renews it. A lease that has lapsed on this side stays so: whoever
-   * worked under it may have stopped at that moment.
+   * Extends the lease after a renewal. An expired lease stays expired, since work under it may have stopped.
    */
   extend(validUntil: number): void {
     if (this.isValid) this.validUntil = Math.max(this.validUntil, validUntil);
   }
 
-  /** Resolves when the lease is ended on this side, by handing over or by giving up. */
+  /** Resolves when this daemon ends the lease, by handover or after losing it. */
   get whenEnded(): Promise<void> {
     return this.endedPromise;
   }
 
-  /** Ends the lease on this side. */
+  /** Ends the lease on this daemon. */
   end(): void {
     this.ended = true;
     this.resolveEnded();
   }
 
   /**
-   * Takes over the records of the epoch before, which end with its voters, and replicates them in this one.
+   * Replicates the records of the previous epoch in this one.
    *
-   * @throws WoodbarrowError `lease_lost` when no majority took them.
+   * @throws WoodbarrowError `lease_lost` when no majority accepted them.
    */
   async carryOver(records: readonly LeaseRecord[]): Promise<void> {
     await this.write(new Map(records.map((record) => [record.key, record.value])));
     this.complete = records.some((record) => record.key === COMPLETE_KEY);
   }
 
-  /** Records that all earlier records are known, or have been made good by other means. */
+  /** Marks the records as complete: all earlier ones are present, or their loss has been handled. */
   async markComplete(): Promise<void> {
     await this.write(new Map([[COMPLETE_KEY, {}]]));
     this.complete = true;
   }
 
   /**
-   * Replicates values to a majority of voters; null deletes.
+   * Replicates values to a majority of voters; null deletes a key.
    *
-   * @throws WoodbarrowError `lease_lost` when no majority accepted: the values may or may not last.
+   * @throws WoodbarrowError `lease_lost` when no majority accepted: the values may or may not persist.
    */
   async write(values: ReadonlyMap<string, object | null>): Promise<void> {
     this.assertValid();
@@ -143,7 +143,10 @@
     );
     const accepted = answers.filter((answer) => answer.accepted).length;
     if (!isMajority(accepted, set)) {
-      throw new WoodbarrowError('lease_lost', `write to ${set.group} reached ${String(accepted)} voters`);
+      throw new WoodbarrowError(
+        'lease_lost',
+        `write to ${set.group} was accepted by only ${String(accepted)} voters`,
+      );
     }
   }
 
--- a/packages/coordination/src/relay-topology.ts
+++ b/packages/coordination/src/relay-topology.ts
@@ -1,41 +1,41 @@
 /**
- * Who tells whom in a large group of daemons, agreed without messages by equal views. Some daemons of each zone are
- * relays, those with the strongest machines: they exchange what they know with all other relays, and the other daemons
- * of the zone attach to one of them. In a small group every daemon is a relay. Views that differ for a moment cost an attempt at a daemon that
- * is no relay, and nothing else.
+ * Chooses the relays of a large group of daemons, without messages: equal membership views give equal
+ * results. The daemons with the highest capacity in each zone are relays. Relays exchange state with all
+ * other relays, and each other daemon attaches to a relay of its zone. In a small group every daemon is a
+ * relay. Where views differ for a moment, a daemon may at worst call one that is not a relay.
  */
 import { rankByRendezvous, type Candidate } from './rendezvous.js';
 
 /** A daemon that may be a relay. */
 export interface RelayCandidate extends Candidate {
   readonly zone: string;
-  /** What its machine bears, in any unit: relays are chosen among those that bear most. */
+  /** Capacity of the machine, in any unit; the members with the highest capacity become relays. */
   readonly capacity: number;
 }
 
-/** Groups up to this size have no daemons but relays. */
+/** Maximum size of a group in which every daemon is a relay. */
 export const MAX_FULL_MESH_SIZE = 12;
 /**
- * Relays of all zones that follow the store at once, the others learn of changes from them. Each costs calls to the
- * store; with three, one may be silent and one lost while the third tells of a change.
+ * Number of relays, over all zones, that follow the store; the others receive changes from them. Each adds
+ * load to the store. With three, one still reports changes while another is unresponsive and a third is lost.
  */
 export const STORE_FOLLOWERS = 3;
-/** Relays of a zone: one may be lost without a pause. */
+/** Relays of each zone; with two, the loss of one causes no interruption. */
 export const RELAYS_PER_ZONE = 2;
 
-/** Places of the daemons of a group, as one of them sees it. */
+/** Roles of the daemons of a group, from the view of one of them. */
 export interface RelayTopology<T extends RelayCandidate> {
   /** Whether this daemon is a relay. */
   readonly isRelay: boolean;
-  /** Relays of the own zone without this daemon, in the order in which it attaches to them. */
+  /** Other relays of this daemon's zone, in the order in which it tries to attach to them. */
   readonly ownRelays: readonly T[];
-  /** All relays but this daemon. */
+  /** All relays except this daemon. */
   readonly relays: readonly T[];
-  /** Relays that follow the store rather than this daemon, as long as they can. */
+  /** Relays that precede this daemon in the order in which they follow the store. */
   readonly precedingFollowers: readonly T[];
 }
 
-/** Works out the relays among the members of a group, which need not name this daemon. */
+/** Computes the relays of a group. `members` may omit this daemon. */
 export function relayTopology<T extends RelayCandidate>(self: T, members: readonly T[]): RelayTopology<T> {
   const others = members.filter((member) => member.id !== self.id);
   if (others.length < MAX_FULL_MESH_SIZE) {
@@ -56,7 +56,7 @@
   const isRelay = relays.some((relay) => relay.id === self.id);
   const otherRelays = relays.filter((relay) => relay.id !== self.id);
   const sameZoneRelays = otherRelays.filter((relay) => relay.zone === self.zone);
-  // Each daemon has an order of its own, so that the relays of a zone share the work.
+  // Each daemon has its own order, which spreads the daemons over the relays of a zone.
   return {
     isRelay,
     ownRelays: rankByRendezvous(`attach ${self.id}`, sameZoneRelays),
@@ -65,7 +65,7 @@
   };
 }
 
-/** Relays that come before a daemon in the order in which they follow the store. */
+/** Returns the relays that precede a daemon in the order in which they follow the store. */
 function precedingFollowers<T extends RelayCandidate>(self: T, otherRelays: readonly T[]): T[] {
   const ranked = rankByRendezvous('follow the store', [self, ...otherRelays]);
   return ranked.slice(
@@ -78,7 +78,7 @@
   return rankByCapacity(`relay ${zone}`, members).slice(0, RELAYS_PER_ZONE);
 }
 
-/** Members that bear more first, and those that bear the same in an order of their own for each key. */
+/** Sorts members by descending capacity; members of equal capacity are in rendezvous order for the key. */
 export function rankByCapacity<T extends Candidate & { readonly capacity: number }>(
   key: string,
   members: readonly T[],
--- a/packages/coordination/src/rendezvous.ts
+++ b/packages/coordination/src/rendezvous.ts
@@ -1,12 +1,14 @@
-/** Rendezvous (highest random weight) hashing: who owns a key, agreed without messages by equal views. */
+/**
+ * Rendezvous (highest random weight) hashing: equal views assign a key to the same owner without messages.
+ */
 import { hashText } from '@woodbarrow/runtime';
 
-/** Something that can own keys. */
+/** A possible owner of keys. */
 export interface Candidate {
   readonly id: string;
 }
 
-/** Candidates in order of preference for `key`; removing one leaves the order of the others unchanged. */
+/** Sorts candidates by preference for `key`. Removing one does not change the order of the others. */
 export function rankByRendezvous<T extends Candidate>(key: string, candidates: readonly T[]): T[] {
   return candidates
     .map((candidate) => ({ candidate, weight: hashText(`${key}\u0000${candidate.id}`) }))
@@ -14,7 +16,7 @@
     .map((entry) => entry.candidate);
 }
 
-/** The first candidate for `key`, or undefined when there is none. */
+/** Returns the preferred candidate for `key`; undefined when there is none. */
 export function ownerByRendezvous<T extends Candidate>(key: string, candidates: readonly T[]): T | undefined {
   let best: T | undefined;
   let bestWeight = -1;
--- a/packages/coordination/src/store-lease.ts
+++ b/packages/coordination/src/store-lease.ts
@@ -1,14 +1,17 @@
 /**
- * A lease kept as one record of a linearizable store, changed only under its revision. The record says who
- * holds it and carries a fence that only rises. It does not run out in the store: whoever wants it must see it
- * unchanged for its whole lifetime first. A holder stops using it a pause earlier, so that two holders never
- * act within that pause of each other. Where the record names witnesses, the holder acts only in contact with most of
- * them, and may be replaced sooner once most of them have refused it (`lease-witness.ts`).
+ * A lease that is one record of a linearizable store, replaced only under its current revision. The record
+ * names the holder and carries an increasing fence. It does not expire in the store: another daemon must
+ * observe it unchanged for its whole lifetime before taking the lease. The holder stops acting one handover
+ * pause before that, so actions of two holders are at least a pause apart. Where the record names witnesses,
+ * the holder acts only while in contact with a majority of them, and may be replaced earlier once a majority
+ * has refused it (see `lease-witness.ts`).
  *
- * A store that is restored from a copy may show an earlier holder, or none, and gives revisions out again. So a record says in which era of the store it
- * was written. One of an earlier era is a leftover: it tells nothing of who held the lease last. Its holder goes on only if it may still
- * act, since nobody can have replaced it then, and writes its record anew; anybody else waits a whole lifetime in the new era, or until
- * every daemon has refused whoever it was. A write that was meant for one era and carried out in another confirms nothing.
+ * A store restored from a copy may show an earlier holder or none, and reuses revisions. Each record
+ * therefore carries the era of the store in which it was written. A record of an earlier era does not
+ * identify the last holder. That holder may continue, and write its record again, only while it is still
+ * allowed to act, because nothing can have replaced it by then. Other daemons wait for a whole lifetime in
+ * the new era, or until every daemon has refused the unknown holder. A write intended for one era but carried
+ * out in another does not confirm the lease.
  */
 import type { StorePosition } from '@woodbarrow/protocol';
 import type { Clock } from '@woodbarrow/runtime';
@@ -24,95 +27,106 @@
 } from './lease-record.js';
 import { areSameWitnesses, CONTACT_LIFETIME_MS, type WitnessId } from './lease-witness.js';
 
-/** Word from a holder, passed on by daemons: its last write that the store confirmed; the position is that of the record after it. */
+/**
+ * A holder's report, passed on by other daemons, of its last confirmed write, with the position of the
+ * written record.
+ */
 export interface LeaseConfirmation extends StorePosition {
-  /** Monotonic time of this daemon at which the write had begun at the latest. */
+  /** Latest possible start of the write, in this daemon's monotonic time. */
   readonly at: number;
 }
 
-/** Options of {@link StoreLease}. */
 export interface StoreLeaseOptions {
-  /** Name of the record. */
+  /** Name of the lease's record. */
   readonly name: string;
   /** Name of this machine. */
   readonly holder: string;
-  /** This run of the process; differs between runs. */
+  /** Identifies this run of the process. */
   readonly instance: number;
-  /** Milliseconds that others wait before they take it. @default 10000 */
+  /** Milliseconds that other daemons wait before they take the lease. @default 10000 */
   readonly lifetimeMs?: number;
-  /** Milliseconds that must lie between the acts of two holders. */
+  /** Minimum time between the actions of two holders, in milliseconds. */
   readonly handoverPauseMs: number;
   /**
-   * Witnesses to name with the next write, given those named now and those of them that have stopped answering.
-   * @default none
+   * Chooses the witnesses for the next write from the current ones and those of them that are unresponsive.
+   * @default no witnesses
    */
   readonly chooseWitnesses?: (
-    named: readonly WitnessId[],
-    silent: readonly WitnessId[],
+    current: readonly WitnessId[],
+    unresponsive: readonly WitnessId[],
   ) => readonly WitnessId[];
   readonly store: LeaseRecordStore;
   readonly clock: Clock;
 }
 
-/** A holder that has been refused; the position is that of the record under which it was, with revision 0 where there was none. */
+/**
+ * A holder that has been refused, with the position of its record; the revision is 0 where there was no
+ * record.
+ */
 export interface RefusedHolder extends StorePosition {
-  /** Most of the witnesses that its record names, or every daemon, whoever it may have named. */
+  /** Whether a majority of the record's witnesses refused the holder, or every daemon refused any holder. */
   readonly by: 'witnesses' | 'everybody';
-  /** Least time since any witness that refused it had answered it, in milliseconds. */
+  /** Shortest time since any refusing witness last accepted a request of the holder, in milliseconds. */
   readonly lastContactAgoMs: number;
 }
 
-/** Result of {@link StoreLease.tryAcquire}. */
 export type AcquireResult =
   | { readonly kind: 'held' }
-  /** Another holds it, or held it; ask again after `retryAfterMs`. */
+  /** Another daemon holds the lease or may still hold it; retry after `retryAfterMs`. */
   | {
       readonly kind: 'waiting';
       readonly retryAfterMs: number;
-      /** The record that stands in the way, when there is one. */
+      /** The record that prevents the acquisition, if there is one. */
       readonly stored?: StoredLease;
       /**
-       * Set where the store was restored and does not tell who held the lease last: it may be taken sooner once everybody has refused that one
-       * under this position.
+       * Set where the store was restored and the last holder is unknown: the lease may be taken earlier once
+       * every daemon has refused that holder under this position.
        */
       readonly unknownHolderAt?: StorePosition;
     };
 
 /**
- * With renewals each 2 s a holder acts on for 5 s or more while the store does not answer, longer than the outages of
- * the store that are common; a lost holder is replaced within 10 s of its last renewal.
+ * Lets a holder continue through short outages of the store, and still replaces a lost holder within 10 s.
  */
 const DEFAULT_LIFETIME_MS = 10_000;
-/** Allowance for clocks that run at different speeds, as a share of the lifetime. */
+/** Allowance for different clock rates, as a share of the lifetime. */
 const CLOCK_DRIFT_SHARE = 0.02;
 /**
- * Time for which an era must have been known before everybody is asked to refuse whoever held a lease before it, in milliseconds: longer than a call to the
- * store may take, so that no daemon still waits for the answer that makes it a holder, and enough for a daemon that has just started to hear of all others.
+ * Milliseconds for which an era must have been observed before every daemon is asked to refuse the previous
+ * holder. Longer than a call to the store, so that no daemon still waits for a response that would make it
+ * the holder, and long enough for a daemon that has just started to discover all others.
  */
 const ERA_SETTLING_MS = 2000;
-/** Pause before a record that changed under us is looked at again, in milliseconds. */
+/** Pause before a retry after the record was changed concurrently, in milliseconds. */
 const CONFLICT_RETRY_MS = 300;
-/** Time for which an act of a holder may be on its way when it is refused, in milliseconds: the limit of an order. */
+/**
+ * Maximum time for which an action may be in flight when its holder is refused, in milliseconds: the timeout
+ * of an order.
+ */
 const IN_FLIGHT_ACTION_MS = 500;
-/** A witness that has not answered for this long is replaced at the next renewal, in milliseconds: two rounds. */
+/**
+ * Milliseconds without an answer after which a witness is replaced at the next renewal: two rounds of
+ * requests.
+ */
 export const WITNESS_UNRESPONSIVE_AFTER_MS = 900;
-/** Pause before it is looked again whether witnesses have answered, in milliseconds. */
+/** Interval at which contact with the witnesses is checked, in milliseconds. */
 const CONTACT_POLL_INTERVAL_MS = 50;
 
-/** One daemon's view of one lease. */
+/** State of one lease on one daemon. */
 export class StoreLease {
   private stored: StoredLease | undefined;
-  /** Start, in elapsed time, of the last write or read-back that confirmed this daemon as the holder. */
+  /** Start of the last write or read that confirmed this daemon as the holder, in elapsed time. */
   private confirmedAt = -Infinity;
   /** Monotonic time before which a new holder must not act. */
   private mayActFrom = 0;
   private isHolder = false;
-  /** The record that stands in the way, and since when it has been seen unchanged, in monotonic time. */
+  /**
+   * Record that prevents the acquisition, with the monotonic time since which it has been observed unchanged.
+   */
   private observed: LeaseConfirmation | undefined;
-  /** A write that names other witnesses has been sent and not confirmed: either set may stand in the record. */
+  /** Whether a write with other witnesses was sent and not confirmed: the record may name either set. */
   private hasUnconfirmedWitnesses = false;
   private readonly lifetimeMs: number;
-  /** What the witnesses have answered. */
   readonly contact: HolderContact;
 
   constructor(private readonly options: StoreLeaseOptions) {
@@ -120,24 +134,27 @@
     this.contact = new HolderContact(options.clock);
   }
 
-  /** The fence to act under; 0 while it was never held. */
+  /** Fencing token of this daemon's actions; 0 before it first held the lease. */
   get fence(): number {
     return this.stored?.record.fence ?? 0;
   }
 
-  /** Whether this daemon is the holder as far as it knows, if perhaps not allowed to act now. */
+  /** Whether this daemon is the holder as far as it knows; it may not be allowed to act now. */
   get isHeld(): boolean {
     return this.isHolder;
   }
 
-  /** Whether this daemon may act as the holder at this moment. */
+  /** Whether this daemon may act as the holder now. */
   mayAct(): boolean {
     const { clock } = this.options;
     const isTooEarly = clock.monotonic() < this.mayActFrom;
     return this.isHolder && !isTooEarly && clock.elapsed() < this.mayActUntil() && this.isInContact();
   }
 
-  /** Milliseconds until this daemon may act; 0 when it may, Infinity when it is not the holder. */
+  /**
+   * Milliseconds until this daemon may act; 0 when it may act now, Infinity when it does not hold the lease
+   * or its lifetime has ended.
+   */
   actsInMs(): number {
     if (!this.isHolder) return Infinity;
     const { clock } = this.options;
@@ -145,7 +162,7 @@
     return Math.max(this.isInContact() ? 0 : CONTACT_POLL_INTERVAL_MS, this.mayActFrom - clock.monotonic());
   }
 
-  /** Whether this daemon holds the lease, and its lifetime has not run out. */
+  /** Whether this daemon holds the lease and its lifetime has not ended. */
   get mayStillAct(): boolean {
     return this.isHolder && this.options.clock.elapsed() < this.mayActUntil();
   }
@@ -155,29 +172,29 @@
     return this.options.clock.elapsed() - this.confirmedAt;
   }
 
-  /** Witnesses that the record names, as far as known here. */
+  /** Witnesses in the last observed record. */
   get witnesses(): readonly WitnessId[] {
     return this.stored?.record.witnesses ?? [];
   }
 
-  /** Position of the record that this daemon last wrote or read back as the holder. */
+  /** Position of the last record that this daemon wrote, or read back, as the holder. */
   get position(): StorePosition {
     const { era = 0, revision = 0 } = this.stored ?? {};
     return { era, revision };
   }
 
   /**
-   * Takes the lease if that is allowed now.
+   * Acquires the lease if that is allowed now.
    *
-   * @param reported What the holder told of its last confirmed write: where the record still is as that write left it, its
-   *   lifetime is counted from then on instead of from when it was first read here.
-   * @param refused Set when most witnesses of the record have refused its holder.
-   * @throws what the store throws.
+   * @param reported The holder's report of its last confirmed write. If the record is unchanged since then,
+   * its lifetime is counted from that write rather than from the first read here.
+   * @param refused Set when the holder has been refused.
+   * @throws Errors of the store.
    */
   async tryAcquire(reported?: LeaseConfirmation, refused?: RefusedHolder): Promise<AcquireResult> {
     const { store, clock, name } = this.options;
     const current = await store.read(name);
-    // What others may still use is waited for by the steady clock, what this daemon may use lapses by the elapsed time.
+    // Waiting for other holders uses the monotonic clock; this daemon's own validity uses the elapsed clock.
     const now = clock.monotonic();
     const readAt = clock.elapsed();
     if (current === undefined) return this.acquireWithoutRecord(readAt, refused);
@@ -187,7 +204,7 @@
     const remainingMs = isHeldByOther ? this.remainingLifetimeMs(current, now, reported) : 0;
     const isRefused = refused?.by === 'witnesses' && isSamePosition(refused, current);
     if (remainingMs > 0 && !isRefused) return this.waitFor(remainingMs, current);
-    // Kept also when the write is not answered: it may be carried out all the same.
+    // Stays in effect if the write is not answered, since it may still be carried out.
     const pauseMs =
       remainingMs > 0 && isRefused ? this.pauseAfterRefusalMs(refused) : this.pauseAfterHolderMs(record);
     this.mayActFrom = Math.max(this.mayActFrom, now + pauseMs);
@@ -195,7 +212,10 @@
     return this.becomeHolder(newRecord, await store.replace(name, newRecord, revision), readAt);
   }
 
-  /** Takes a lease without a record. A store that was restored may have lost it while its holder may still act. */
+  /**
+   * Acquires a lease without a record. A restored store may have lost the record of a holder that may still
+   * act.
+   */
   private async acquireWithoutRecord(
     readAt: number,
     refused: RefusedHolder | undefined,
@@ -211,7 +231,10 @@
     return this.becomeHolder(newRecord, await store.create(name, newRecord), readAt);
   }
 
-  /** Takes a lease whose record is from before the store was restored: whoever held it last has stopped after a lifetime in this era. */
+  /**
+   * Acquires a lease whose record precedes a restore of the store. Any earlier holder has stopped after one
+   * lifetime in the new era.
+   */
   private async acquireFromEarlierEra(
     current: StoredLease,
     readAt: number,
@@ -228,7 +251,10 @@
     return this.becomeHolder(newRecord, await store.replace(name, newRecord, current.revision), readAt);
   }
 
-  /** Time before the first act after everybody has refused whoever held the lease; undefined where they have not. */
+  /**
+   * Pause before the first action after every daemon has refused the unknown holder, in milliseconds;
+   * undefined if they have not.
+   */
   private pauseAfterUnknownHolderMs(
     position: StorePosition,
     refused: RefusedHolder | undefined,
@@ -244,11 +270,11 @@
   }
 
   /**
-   * Confirms the lease in the store, by a write: others watch for changes of the record, so reading that it is
-   * unchanged proves nothing. A write without an answer is found by reading the record and followed by another.
+   * Confirms the lease by a write. A read is not sufficient, because other daemons watch the record for
+   * changes. If the write is not confirmed, reads the record and writes again.
    *
-   * @returns false when another holds it now.
-   * @throws what the store throws; the lease then stays as it was.
+   * @returns false when another daemon holds the lease.
+   * @throws Errors of the store; the lease then stays unchanged.
    */
   async renew(): Promise<boolean> {
     if (await this.confirmByWrite()) return true;
@@ -267,8 +293,9 @@
   }
 
   /**
-   * Writes the record anew in a store that was restored. While most witnesses answer and the lifetime runs, nobody else can have taken the lease in the
-   * era before, and in this one others wait for a lifetime.
+   * Writes the record again after a restore of the store. While a majority of witnesses answers and the
+   * lifetime has not ended, no other daemon can have taken the lease in the previous era, and in the new one
+   * others wait for a lifetime.
    */
   private async rewriteAfterRestore(current: StoredLease | undefined): Promise<boolean> {
     const { store, name, clock } = this.options;
@@ -289,7 +316,11 @@
     return true;
   }
 
-  /** Gives the lease back, so that others need not wait for its lifetime. @throws what the store throws. */
+  /**
+   * Releases the lease, so that other daemons need not wait for its lifetime.
+   *
+   * @throws Errors of the store.
+   */
   async release(): Promise<void> {
     if (!this.isHolder || this.stored === undefined) return;
     const { record, revision } = this.stored;
@@ -302,7 +333,7 @@
     if (!this.isHolder || this.stored === undefined) return false;
     const startedAt = clock.elapsed();
     const { record, revision, era } = this.stored;
-    // The revision may have been given out again for the record of another holder.
+    // After a restore, the revision may belong to the record of another holder.
     if (era !== store.currentEra().era) return false;
     const witnesses = this.selectWitnesses();
     this.hasUnconfirmedWitnesses ||= !areSameWitnesses(witnesses, record.witnesses);
@@ -319,7 +350,7 @@
     return true;
   }
 
-  /** Pause that a restart of this process would have to wait again. */
+  /** Pause that a restarted process of this machine would have to wait for, in milliseconds. */
   private remainingPauseMs({ pauseMs }: LeaseRecord): number {
     return this.options.clock.monotonic() >= this.mayActFrom ? 0 : pauseMs;
   }
@@ -344,19 +375,30 @@
     );
   }
 
-  /** Time before the first act after a record without a living holder, or this machine's own from a former run. */
+  /**
+   * Pause before the first action after a released record or this machine's own record of an earlier run, in
+   * milliseconds.
+   */
   private pauseAfterHolderMs({ holder, pauseMs }: LeaseRecord): number {
     if (holder === '') return this.options.handoverPauseMs;
     return holder === this.options.holder ? pauseMs : 0;
   }
 
-  /** The holder before may have acted until its contact lapsed, and that act may be on its way still. */
+  /**
+   * Pause after a refusal, in milliseconds. The previous holder may have acted until its contact expired, and
+   * its last action may still be in flight.
+   */
   private pauseAfterRefusalMs({ lastContactAgoMs }: RefusedHolder): number {
     const lapsedAgoMs = Math.max(0, lastContactAgoMs - CONTACT_LIFETIME_MS);
     return Math.max(0, this.options.handoverPauseMs + IN_FLIGHT_ACTION_MS - lapsedAgoMs);
   }
 
-  /** @param requested What was to be written. @param stored What was, if anything: in another era than it was meant for it confirms nothing. */
+  /**
+   * Becomes the holder if the write was confirmed in the era that it was intended for.
+   *
+   * @param requested Record that was to be written.
+   * @param stored Record that the store returned; undefined after a conflict.
+   */
   private becomeHolder(
     requested: LeaseRecord,
     stored: StoredLease | undefined,
--- a/packages/coordination/src/voter-calls.ts
+++ b/packages/coordination/src/voter-calls.ts
@@ -1,4 +1,4 @@
-/** Calls to all voters of a set at once. */
+/** Concurrent calls to all voters of a set. */
 import type { PeerMethod, Seat, VoterSet } from '@woodbarrow/protocol';
 import type { PeerNetwork } from '@woodbarrow/peering';
 
@@ -7,7 +7,7 @@
   return count * 2 > set.voters.length;
 }
 
-/** Answers of the voters that answered; resolves early once the remaining ones cannot matter. */
+/** Calls all voters and returns the responses received; resolves early once `isEnough` accepts them. */
 export function callVoters<Request, Response>(
   peers: PeerNetwork,
   set: VoterSet,
--- a/packages/exchange/src/change-log.ts
+++ b/packages/exchange/src/change-log.ts
@@ -1,15 +1,18 @@
-/** Recent changes, for daemons that fetch them one after the other. */
+/** Log of recent changes, which several readers consume independently. */
 import type { Clock } from '@woodbarrow/runtime';
 
-/** Milliseconds for which a change is kept; later the workers' own records tell it. */
+/** Milliseconds for which a change is retained; after that, readers see it in the workers' own records. */
 const CHANGE_RETENTION_MS = 4000;
-/** A reader that stayed away for longer may have missed an answer, and begins anew, in milliseconds. */
+/**
+ * Milliseconds after which an inactive reader may have missed a response and is sent all recent changes
+ * again.
+ */
 const READER_RETENTION_MS = 1000;
 
 interface NumberedChange<Change> {
   readonly number: number;
   readonly at: number;
-  /** Daemon that announced it, and needs not be told. */
+  /** Daemon that announced the change; it is not sent the change again. */
   readonly from: string;
   readonly change: Change;
 }
@@ -19,14 +22,14 @@
   readonly at: number;
 }
 
-/** A change as it is read. */
+/** A change as returned to a reader. */
 export interface ReadChange<Change> {
   readonly change: Change;
-  /** Milliseconds for which it has been kept here. */
+  /** Milliseconds since the change was added. */
   readonly ageMs: number;
 }
 
-/** Changes in the order in which they came, and how far each reader has come. */
+/** Changes in order of arrival, with the read position of each reader. */
 export class ChangeLog<Change> {
   private changes: NumberedChange<Change>[] = [];
   private lastNumber = 0;
@@ -34,13 +37,13 @@
 
   constructor(private readonly clock: Clock) {}
 
-  /** Whether a reader has read here lately. */
+  /** Whether a reader has read within the retention time of readers. */
   hasRecentReader(reader: string): boolean {
     const known = this.readers.get(reader);
     return known !== undefined && this.clock.monotonic() - known.at <= READER_RETENTION_MS;
   }
 
-  /** Enters what a daemon announced. */
+  /** Adds changes that a daemon announced. */
   add(changes: readonly Change[], from: string): void {
     const at = this.clock.monotonic();
     for (const change of changes) {
@@ -50,7 +53,7 @@
     this.changes = this.changes.filter((kept) => at - kept.at <= CHANGE_RETENTION_MS);
   }
 
-  /** Changes that a reader has not yet been given; all recent ones when it comes anew. */
+  /** Returns the changes that a reader has not received yet; all recent ones for a new or expired reader. */
   read(reader: string): ReadChange<Change>[] {
     const now = this.clock.monotonic();
     const after = this.hasRecentReader(reader) ? (this.readers.get(reader)?.number ?? 0) : 0;
--- a/packages/exchange/src/change-transfer.ts
+++ b/packages/exchange/src/change-transfer.ts
@@ -1,6 +1,7 @@
 /**
- * Changes that all daemons are to know soon: what has become resident on a worker, and what back ends say of themselves. Whoever sees one
- * tells all relays; a relay passes it on with its next answer to each daemon attached to it.
+ * Distributes urgent changes to all daemons: models that became resident on a worker, and notices of back
+ * ends. The daemon that observes a change notifies all relays; a relay includes it in its next response to
+ * each attached daemon.
  */
 import type { CallFailures } from '@woodbarrow/observability';
 import type { PeerNetwork } from '@woodbarrow/peering';
@@ -15,10 +16,9 @@
 import type { Clock } from '@woodbarrow/runtime';
 import { ChangeLog } from './change-log.js';
 
-/** Options of {@link ChangeTransfer}. */
 export interface ChangeTransferOptions {
   readonly selfId: string;
-  /** Relays to tell, by name and peer address. */
+  /** Relays to notify, with their peer addresses. */
   readonly relays: () => readonly { readonly id: string; readonly address: string }[];
   readonly peers: PeerNetwork;
   readonly onChanges: (changes: readonly ResidencyChange[]) => void;
@@ -27,10 +27,10 @@
   readonly clock: Clock;
 }
 
-/** Time for which a relay may take to hear of a change, in milliseconds. */
+/** Timeout of a notification to a relay, in milliseconds. */
 const ANNOUNCE_TIMEOUT_MS = 1000;
 
-/** Transfer between one daemon and the others. */
+/** Sends and receives the changes of one daemon. */
 export class ChangeTransfer {
   private readonly changes: ChangeLog<ResidencyChange>;
   private readonly news: ChangeLog<BackendNews>;
@@ -40,7 +40,7 @@
     this.news = new ChangeLog(options.clock);
   }
 
-  /** Starts listening. */
+  /** Registers the request handlers. */
   start(): void {
     const { peers } = this.options;
     peers.handle(residencyChangedMethod, ({ from, changes }) => {
@@ -53,33 +53,33 @@
     });
   }
 
-  /** Tells all daemons of a change of residency; this one is told as well. */
+  /** Announces a change of residency to all daemons, including this one. */
   announceChange(change: ResidencyChange): void {
     const message = { from: this.options.selfId, changes: [change] };
     this.receiveChanges(message.changes, message.from);
     this.notifyRelays(residencyChangedMethod, message);
   }
 
-  /** Tells all other daemons what a back end said to this one. */
+  /** Announces a notice of a back end to all other daemons. */
   announceNews(news: BackendNews): void {
     const message = { from: this.options.selfId, news: [news] };
     this.news.add(message.news, message.from);
     this.notifyRelays(backendNewsMethod, message);
   }
 
-  /** Whether an attached daemon has read here lately; else it may lack what others have been told. */
+  /** Whether an attached daemon has read here recently; otherwise it may have missed changes. */
   hasRecentReader(reader: string): boolean {
     return this.changes.hasRecentReader(reader);
   }
 
-  /** What an attached daemon has not yet been told. */
+  /** Returns the changes that an attached daemon has not received yet. */
   readFor(reader: string): Pick<AttachAnswer, 'changes' | 'backendNews'> {
     const changes = this.changes.read(reader).map(({ change }) => change);
     const backendNews = this.news.read(reader).map(({ change, ageMs }) => withAge(change, ageMs));
     return backendNews.length === 0 ? { changes } : { changes, backendNews };
   }
 
-  /** Takes what the relay that this daemon is attached to told. */
+  /** Applies changes from the relay that this daemon is attached to. */
   receive({ changes, backendNews = [] }: Pick<AttachAnswer, 'changes' | 'backendNews'>): void {
     this.options.onChanges(changes);
     if (backendNews.length > 0) this.options.onBackendNews(backendNews);
@@ -101,7 +101,7 @@
       peers
         .call(relay.address, method, message, { timeoutMs: ANNOUNCE_TIMEOUT_MS })
         .catch((error: unknown) => {
-          // Workers' own records and answers tell it some seconds later.
+          // The relay learns of the change some seconds later from the workers' own records and responses.
           failures.note(method.name, relay.id, error);
         });
     }
--- a/packages/exchange/src/coordinator-directory.ts
+++ b/packages/exchange/src/coordinator-directory.ts
@@ -1,4 +1,4 @@
-/** Which daemon coordinates which zone, from what the coordinators claim again and again. */
+/** Tracks which daemon coordinates which zone, from the claims that coordinators repeat. */
 import type { ReportScope } from '@woodbarrow/backends';
 import {
   compareStorePositions,
@@ -13,35 +13,35 @@
   readonly memberId: string;
   readonly address: string;
   readonly fence: number;
-  /** Loads from the weight store that it had under way when it last told. */
+  /** Number of loads from the weight store that were in progress at its last report. */
   readonly storeLoads: number;
-  /** Loads that it had under way when it last told, with the time left now. */
+  /** Loads that were in progress at its last report, with the remaining time as of now. */
   readonly loading: readonly LoadUnderWay[];
 }
 
-/** Milliseconds after which a claim that is not repeated is no longer believed. */
+/** Milliseconds after which a claim that is not repeated expires. */
 export const CLAIM_LIFETIME_MS = 1300;
 
-/** For whom a source of claims speaks. */
+/** Whose claims a source reports. */
 export type ClaimScope = ReportScope | 'own';
 
 interface SourceClaims {
   readonly scope: ClaimScope;
-  /** When it told, in elapsed time. */
+  /** Time of the report, in elapsed time. */
   readonly at: number;
   readonly claims: readonly RelayedClaim[];
 }
 
-/** A confirmation of a zone's lease that its holder told, with the position of the lease's record. */
+/** A reported confirmation of a zone's lease, with the position of the lease's record. */
 export interface ReportedConfirmation extends StorePosition {
-  /** Monotonic time at which the confirming write had begun at the latest. */
+  /** Latest possible start of the confirming write, in monotonic time. */
   readonly at: number;
 }
 
-/** Claims by the source that told them. */
+/** Claims by the source that reported them. */
 export class CoordinatorDirectory {
   private readonly sources = new Map<string, SourceClaims>();
-  /** Newest confirmation of each zone's lease, kept when its claims lapse. */
+  /** Newest confirmation of each zone's lease; retained when the claims expire. */
   private readonly confirmations = new Map<string, ReportedConfirmation>();
 
   constructor(
@@ -49,9 +49,9 @@
     private readonly selfId: string,
   ) {}
 
-  /** Takes the claims that a source tells of; zones that it told before and does not now are free. */
+  /** Replaces the claims of a source. Zones that it no longer reports become unclaimed. */
   accept(source: string, scope: ClaimScope, claims: readonly RelayedClaim[]): void {
-    // Others may still tell of claims of this daemon's former run.
+    // Others may still report claims of an earlier run of this daemon.
     const accepted = scope === 'own' ? claims : claims.filter((claim) => claim.holder !== this.selfId);
     const at = this.clock.monotonic();
     this.sources.set(source, { scope, at: this.clock.elapsed(), claims: accepted });
@@ -66,18 +66,18 @@
     const previous = this.confirmations.get(zone);
     const order = previous === undefined ? 1 : compareStorePositions(position, previous);
     if (order < 0) return;
-    // Claims are passed on, so the write began no later than this, and perhaps earlier.
+    // Claims are relayed, so the write began at this time or earlier.
     const beganAt = at - confirmedAgoMs;
     const earliest = previous !== undefined && order === 0 ? Math.min(previous.at, beganAt) : beganAt;
     this.confirmations.set(zone, { ...position, at: earliest });
   }
 
-  /** The last confirmation of a zone's lease that its holder told, also when its claim has lapsed. */
+  /** Last reported confirmation of a zone's lease, even if its claim has expired. */
   lastConfirmation(zone: string): ReportedConfirmation | undefined {
     return this.confirmations.get(zone);
   }
 
-  /** The coordinator of a zone, when one has claimed it lately. */
+  /** Returns the coordinator of a zone; undefined without an unexpired claim. */
   of(zone: string): Coordinator | undefined {
     let best: RelayedClaim | undefined;
     let receivedAt = 0;
@@ -94,7 +94,7 @@
     return { memberId: holder, address, fence, storeLoads, loading };
   }
 
-  /** Fresh claims told by sources of the given scopes. */
+  /** Unexpired claims of the sources of the given scopes. */
   claims(scopes: readonly ClaimScope[]): RelayedClaim[] {
     const fresh: RelayedClaim[] = [];
     for (const { scope, claims } of this.freshSources()) {
@@ -103,7 +103,7 @@
     return fresh;
   }
 
-  /** Drops what others told, when it is to come another way. */
+  /** Removes the claims that other daemons reported; used when reports start to arrive by another path. */
   dropReports(): void {
     for (const [source, { scope }] of this.sources) {
       if (scope !== 'own') this.sources.delete(source);
--- a/packages/exchange/src/crash-mark-transfer.ts
+++ b/packages/exchange/src/crash-mark-transfer.ts
@@ -1,25 +1,25 @@
 /**
- * What daemons send each other of processes that ended under requests. Digests tell whether two of them know the same, which they
- * nearly always do; all marks are sent only to one that does not.
+ * Exchanges crash marks, which record processes that crashed while serving a request. Daemons compare
+ * digests, which are usually equal, and send all marks only to a daemon whose digest differs.
  */
 import type { CrashMarkEntry, CrashMarkReport, SourcePosition } from '@woodbarrow/protocol';
 import type { Clock } from '@woodbarrow/runtime';
 import { SentUpdates } from './sent-updates.js';
 
-/** Stands for the marks among what is sent to a daemon. */
+/** Source name of the crash marks in {@link SentUpdates}. */
 const CRASH_MARK_SOURCE = 'crash marks';
 
-/** Marks that every daemon holds a copy of. */
+/** Crash marks that are replicated on every daemon. */
 export interface SharedCrashMarks {
-  /** Equal on daemons that know the same marks; 0 when there are none. */
+  /** Digest of the marks, equal on daemons with the same marks; 0 when there are none. */
   readonly digest: number;
   entries(): readonly CrashMarkEntry[];
   merge(entries: readonly CrashMarkEntry[]): void;
 }
 
-/** Transfer between one daemon and the others. */
+/** Exchanges the crash marks of one daemon with the others. */
 export class CrashMarkTransfer {
-  /** What each daemon last told of itself. */
+  /** Last reported digest of each daemon. */
   private readonly reportedDigests = new Map<string, number>();
 
   private readonly sentUpdates: SentUpdates;
@@ -31,19 +31,19 @@
     this.sentUpdates = new SentUpdates(clock);
   }
 
-  /** Whether a daemon was last heard to know other marks than this one, and has not just been sent these. */
+  /** Whether a daemon last reported a different digest and was not sent the current marks recently. */
   hasUpdateFor(daemon: string): boolean {
     return this.differsFrom(daemon) && this.sentUpdates.isDue(daemon, this.positionOf(daemon));
   }
 
-  /** What to tell a daemon. */
+  /** Builds the report for a daemon. */
   reportFor(daemon: string): CrashMarkReport {
     const { digest } = this.marks;
     const isSent = this.differsFrom(daemon) && this.sentUpdates.maySend(daemon, this.positionOf(daemon));
     return isSent ? { digest, marks: this.marks.entries() } : { digest };
   }
 
-  /** Takes what a daemon told; one that tells nothing knows of no marks. */
+  /** Applies a report of a daemon; an absent report means that the daemon has no marks. */
   receive(daemon: string, report: CrashMarkReport | undefined): void {
     this.reportedDigests.set(daemon, report?.digest ?? 0);
     if (report?.marks !== undefined) this.marks.merge(report.marks);
@@ -53,7 +53,9 @@
     return (this.reportedDigests.get(daemon) ?? 0) !== this.marks.digest;
   }
 
-  /** What it knows, and what it would be sent: the same for the same is sent once in a while only. */
+  /**
+   * Position made of both digests, so that the same marks are not sent again to an unchanged daemon too soon.
+   */
   private positionOf(daemon: string): SourcePosition {
     return {
       source: CRASH_MARK_SOURCE,
--- a/packages/exchange/src/follower-tracker.ts
+++ b/packages/exchange/src/follower-tracker.ts
@@ -1,7 +1,9 @@
-/** Which relays follow the store, from what they tell again and again. */
+/** Tracks which relays follow the store, from their regular reports. */
 import type { Clock } from '@woodbarrow/runtime';
 
-/** Time for which a relay's word that it follows the store is believed, in milliseconds: three of its reports. */
+/**
+ * Milliseconds for which a relay's report that it follows the store is valid: about three report intervals.
+ */
 const FOLLOWER_REPORT_LIFETIME_MS = 1000;
 
 interface FollowerReport {
@@ -9,24 +11,27 @@
   readonly follows: boolean;
 }
 
-/** Words of relays as one of them hears them. */
+/** Reports of relays, as received by one of them. */
 export class FollowerTracker {
   private readonly reports = new Map<string, FollowerReport>();
 
   constructor(private readonly clock: Clock) {}
 
-  /** A relay has told whether it follows the store. */
+  /** Records whether a relay reports that it follows the store. */
   recordReport(relayId: string, follows: boolean): void {
     this.reports.set(relayId, { at: this.clock.elapsed(), follows });
   }
 
-  /** Whether a relay has told lately that it follows the store. */
+  /** Whether a relay has recently reported that it follows the store. */
   isFollowing(relayId: string): boolean {
     const report = this.reports.get(relayId);
     return report?.follows === true && this.clock.elapsed() - report.at <= FOLLOWER_REPORT_LIFETIME_MS;
   }
 
-  /** How many of some relays follow the store. One that is new is given the time of a word to begin. */
+  /**
+   * Counts the relays that follow the store. A new relay counts as a follower until its first report is
+   * overdue.
+   */
   countFollowing(relays: readonly { readonly id: string }[]): number {
     const now = this.clock.elapsed();
     let count = 0;
--- a/packages/exchange/src/held-calls.ts
+++ b/packages/exchange/src/held-calls.ts
@@ -1,13 +1,13 @@
-/** Calls that are answered after a while, or at once when something urgent comes. */
+/** Calls whose response is delayed until a time has passed or an urgent change arrives. */
 import { sleep, type Clock } from '@woodbarrow/runtime';
 
-/** Held calls of one daemon. */
+/** Calls that one daemon holds. */
 export class HeldCalls {
   private readonly waiting = new Set<() => void>();
 
   constructor(private readonly clock: Clock) {}
 
-  /** Waits for a time, or until all held calls are released. */
+  /** Waits for `durationMs` milliseconds or until all held calls are released. */
   async hold(durationMs: number): Promise<void> {
     const released = new AbortController();
     const release = (): void => {
@@ -18,7 +18,7 @@
     this.waiting.delete(release);
   }
 
-  /** Ends the wait of all held calls. */
+  /** Releases all held calls. */
   releaseAll(): void {
     for (const release of this.waiting) release();
   }
--- a/packages/exchange/src/index.ts
+++ b/packages/exchange/src/index.ts
@@ -1,4 +1,4 @@
-/** What daemons tell each other again and again: load, claims, and records of the store, by way of relays. */
+/** Regular exchange of load, claims and store records between daemons, by way of relays. */
 export * from './staleness-tracker.js';
 export * from './change-log.js';
 export * from './coordinator-directory.js';
--- a/packages/exchange/src/peer-exchange.ts
+++ b/packages/exchange/src/peer-exchange.ts
@@ -1,8 +1,8 @@
 /**
- * What a daemon tells others again and again, and is told: load, demand, claims of zones, and records of the store.
- * Relays exchange reports with all other relays and follow the store themselves. Another daemon attaches to a relay
- * of its zone: it sends its report, and the relay answers after a while, or at once when something urgent comes.
- * A daemon that finds no relay follows the store itself until it does.
+ * Regular exchange of state between daemons: load, demand, claims of zones, and records of the store. Relays
+ * exchange reports with all other relays, and some of them follow the store. Any other daemon attaches to a
+ * relay of its zone: it sends its report, and the relay responds after an interval, or at once when there is
+ * an urgent change. A daemon that cannot attach to any relay follows the store itself until it can.
  */
 import { summarizedReport, type LoadBook, type ReportScope } from '@woodbarrow/backends';
 import { relayTopology, STORE_FOLLOWERS, type RelayTopology } from '@woodbarrow/coordination';
@@ -34,78 +34,92 @@
 import { RecordTransfer } from './record-transfer.js';
 import { toLoadReport, toStateReport } from './state-report.js';
 
-/** A daemon as seen by the others. */
+/** A daemon of the group. */
 export interface Member {
   readonly id: string;
   /** Peer address. */
   readonly address: string;
   readonly zone: string;
-  /** What its machine bears, in hundredths of a core. */
+  /** Capacity of its machine, in hundredths of a core. */
   readonly capacity: number;
 }
 
-/** Records of the store as this daemon follows them. */
+/** Store records that this daemon follows. */
 export interface FollowedRecords {
   readonly sets: readonly RecordSet[];
-  /** Whether the store answers this daemon. */
+  /** Whether the store is answering this daemon. */
   readonly isFollowing: boolean;
-  /** Whether to follow the store itself. */
+  /** Sets whether this daemon follows the store itself. */
   followStore(wanted: boolean): void;
-  /** Another daemon has come this far. */
+  /** Observes the positions that another daemon has reached. */
   noteElsewhere(positions: readonly SourcePosition[]): void;
 }
 
-/** Options of {@link PeerExchange}. */
 export interface PeerExchangeOptions {
   readonly self: Member;
-  /** Daemons that may be relays. */
+  /** Daemons that may become relays. */
   readonly members: () => readonly Member[];
-  /** Whether enough is known of them to tell the relays; nothing is done before. */
+  /** Whether the members are known well enough to choose relays; until then nothing is exchanged. */
   readonly isGroupKnown: () => boolean;
   readonly peers: PeerNetwork;
   readonly loads: LoadBook;
   readonly coordinators: CoordinatorDirectory;
   readonly records: FollowedRecords;
-  /** Kinds of records whose changes are passed on at once. */
+  /** Kinds of records whose changes are forwarded immediately. */
   readonly urgentSources: readonly string[];
   /** Zones that this daemon coordinates. */
   readonly ownClaims: () => readonly ZoneClaim[];
   readonly onChanges: (changes: readonly ResidencyChange[]) => void;
-  /** Called with what back ends said to other daemons. */
+  /** Called with notices that back ends sent to other daemons. */
   readonly onBackendNews: (news: readonly BackendNews[]) => void;
-  /** Processes that ended under requests. */
+  /** Marks of processes that crashed while serving a request. */
   readonly crashMarks: SharedCrashMarks;
   readonly failures: CallFailures;
   readonly clock: Clock;
   readonly log: EventLog;
 }
 
-/** Pause between two reports of a relay, and time for which it holds the call of a daemon attached to it. */
+/**
+ * Interval between two reports of a relay, and time for which it holds the call of an attached daemon, in
+ * milliseconds.
+ */
 export const REPORT_INTERVAL_MS = 300;
 const REPORT_TIMEOUT_MS = 1000;
-/** Time beyond the hold after which a relay that has not answered is given up. */
+/** Time beyond the hold after which an attach call times out, in milliseconds. */
 const ATTACH_GRACE_MS = 900;
-/** Pause after an answer that came at once, so that many urgent changes cost few calls. */
+/** Pause after each attach call, in milliseconds; limits the number of calls during many urgent changes. */
 const ATTACH_PAUSE_MS = 30;
-/** Time for which a relay that did not answer, or is behind, is not tried again. */
+/** Time for which a relay that did not answer, or whose records are stale, is avoided, in milliseconds. */
 const RELAY_AVOIDANCE_MS = 3000;
-/** Time for which a daemon that was no relay is not tried again: views differ for a moment when members come and go. */
+/**
+ * Time for which a daemon that was not a relay is avoided, in milliseconds: views differ briefly when members
+ * change.
+ */
 const NON_RELAY_AVOIDANCE_MS = 500;
-/** Pause before it is looked again whether the group is known: no call is made for it, and nothing is served before. */
+/**
+ * Interval at which this daemon checks whether the group is known, in milliseconds. Short, since the check is
+ * local and no request is served before.
+ */
 const GROUP_POLL_INTERVAL_MS = 20;
-/** Pause after no relay answered. */
+/** Pause after no relay answered, in milliseconds. */
 const REATTACH_PAUSE_MS = 150;
-/** Time without a relay after which a daemon follows the store itself: all of them at once would swamp it. */
+/**
+ * Time without a relay after which a daemon follows the store itself, in milliseconds. The delay protects the
+ * store from all daemons connecting at once.
+ */
 const STORE_FALLBACK_DELAY_MS = 1000;
-/** A relay that has not been heard of for this long is called by the one that usually waits for its call. */
+/**
+ * Milliseconds without a report after which a relay is called even by the peer that usually waits for its
+ * call.
+ */
 const RELAY_UNRESPONSIVE_AFTER_MS = 2 * REPORT_INTERVAL_MS + 100;
-/** A newer record elsewhere is looked for after this long. */
+/** Time for which the attached relay may be stale before this daemon switches to another, in milliseconds. */
 const STALE_RELAY_TIMEOUT_MS = 700;
 
 const RELAY_REPORT_SCOPES: readonly ReportScope[] = ['attached'];
 const ALL_SCOPES: readonly ReportScope[] = ['attached', 'relay'];
 
-/** Exchange of state between one daemon and the others. */
+/** Exchanges the state of one daemon with the others. */
 export class PeerExchange extends BackgroundService {
   private readonly relaysBeingCalled = new Set<string>();
   private readonly avoidedUntil = new Map<string, number>();
@@ -113,7 +127,7 @@
   private readonly changeTransfer: ChangeTransfer;
   private readonly recordTransfer: RecordTransfer;
   private readonly crashMarkTransfer: CrashMarkTransfer;
-  /** When each relay was last heard of, monotonic. */
+  /** Monotonic time of the last report of each relay. */
   private readonly lastReportAt = new Map<string, number>();
   /** Monotonic time since which no relay has answered. */
   private unattachedSince: number | undefined;
@@ -147,7 +161,7 @@
     });
   }
 
-  /** Starts. The peer network must be listening. */
+  /** Starts the exchange. The peer network must be listening. */
   start(): void {
     const { peers } = this.options;
     peers.handle(stateReportMethod, (message) => this.onReport(message));
@@ -160,17 +174,18 @@
     );
   }
 
-  /** Whether this daemon is a relay. */
   get isRelay(): boolean {
     return this.topology.isRelay;
   }
 
-  /** How far this daemon has come with the records that others are to have at once. */
+  /** Newest position of this daemon among the urgent kinds of records. */
   get newestUrgent(): StorePosition {
     return this.recordTransfer.newestUrgentPosition();
   }
 
-  /** Tells all relays of this daemon's state now. */
+  /**
+   * Sends this daemon's state now: to all relays if it is a relay, otherwise to the one it is attached to.
+   */
   tellNow(): void {
     const { self, coordinators, ownClaims } = this.options;
     coordinators.accept(self.id, 'own', this.toClaims(ownClaims()));
@@ -179,8 +194,8 @@
   }
 
   /**
-   * Each report is answered with one, so of two relays only the one whose name comes first calls the other; but records
-   * come only to those that ask.
+   * Each report is answered with a report, so of two relays only the one with the smaller id calls the other.
+   * Records are only sent to callers, so a relay that does not follow the store also calls those that do.
    */
   private reportToRelays(): void {
     const { self, clock, records } = this.options;
@@ -198,34 +213,39 @@
     for (const relay of receivers) void this.report(relay, message);
   }
 
-  /** Tells all daemons of a change of residency; this one is told as well. */
+  /** Announces a change of residency to all daemons, including this one. */
   announce(change: ResidencyChange): void {
     this.changeTransfer.announceChange(change);
   }
 
-  /** Tells all other daemons what a back end said to this one. */
+  /** Announces a notice of a back end to all other daemons. */
   announceNews(news: BackendNews): void {
     this.changeTransfer.announceNews(news);
   }
 
-  /** A record of an urgent kind has been seen: calls that are held are answered, and other relays told. */
+  /** Forwards an urgent record: releases the held calls and reports to the other relays. */
   passOnUrgent(): void {
     this.heldCalls.releaseAll();
     if (this.topology.isRelay && this.options.records.isFollowing) this.tellNow();
   }
 
-  /** The store has stopped to answer: another relay is to follow it, and not only after the next report. */
+  /**
+   * Reports that the store has stopped answering, so that another relay follows it before the next regular
+   * report.
+   */
   passOnStoreLost(): void {
     if (this.topology.isRelay) this.tellNow();
   }
 
-  /** Crash marks came up that others do not know yet. */
+  /** Forwards new crash marks to other daemons. */
   passOnCrashMarks(): void {
     this.heldCalls.releaseAll();
     this.tellNow();
   }
 
-  /** Another daemon, met by chance, has come this far with records of urgent kinds. */
+  /**
+   * Observes another daemon's position in the urgent records; avoids the attached relay if it stays stale.
+   */
   noteUrgentElsewhere(position: RecordPosition): void {
     this.staleness.note(position);
     if (this.attachedRelay === undefined || this.staleness.behindMs < STALE_RELAY_TIMEOUT_MS) return;
@@ -254,19 +274,19 @@
     return this.attachedRelay === undefined ? REATTACH_PAUSE_MS : ATTACH_PAUSE_MS;
   }
 
-  /** Works the relays out anew when the members have changed. */
+  /** Recomputes the relays when the members have changed. */
   private updateTopology(self: Member, members: readonly Member[]): void {
     if (members === this.topologyMembers) return;
     this.topologyMembers = members;
     this.topology = relayTopology(self, members);
   }
 
-  /** Whether too few of the relays that come before this one follow the store now. */
+  /** Whether fewer relays than required follow the store among those that precede this one. */
   private shouldFollowStore(): boolean {
     return this.followerTracker.countFollowing(this.topology.precedingFollowers) < STORE_FOLLOWERS;
   }
 
-  /** Reports come another way from now on; those of the former way would count twice. */
+  /** Reports arrive by another path from now on; those of the previous path would be counted twice. */
   private changeRole(): void {
     const { loads, coordinators, log } = this.options;
     loads.dropReports();
@@ -286,7 +306,7 @@
       if (answer.isRelay) this.receiveRelayReport(relay.id, answer);
       this.recordTransfer.merge(answer.updates);
     } catch (error) {
-      // The next report follows soon; membership finds out whether the relay is gone.
+      // The next report follows soon, and membership detects whether the relay has failed.
       this.options.failures.note('report', relay.id, error);
     } finally {
       this.relaysBeingCalled.delete(relay.id);
@@ -365,10 +385,9 @@
   }
 
   /**
-   * Takes what another relay told, be it asked or asking. A daemon that is no relay hears of all others from the relay it is attached to:
-   * what relays tell each other, or the empty answer to its own report, would wipe coordinators and loads until that one answers again,
-   * after up to 0.3 s. Each end of a worker did so at the daemons that told of it: of 1,726 demands of the first 12 s of a day of 84 daemons
-   * 486 had no answer, since their coordinator seemed gone.
+   * Applies the report of another relay, from a request or a response. A daemon that is not a relay ignores
+   * it: it receives everything from the relay it is attached to, and a partial report would hide coordinators
+   * and loads until that relay answers again.
    */
   private receiveRelayReport(
     relayId: string,
@@ -381,7 +400,10 @@
     this.options.records.followStore(this.shouldFollowStore());
   }
 
-  /** A relay that does not follow the store asks at once for an urgent record that another one has told of. */
+  /**
+   * Fetches an urgent record at once when another relay reports a newer one and this relay does not follow
+   * the store.
+   */
   private fetchUrgent({ from, positions }: StateReportMessage): void {
     if (!this.topology.isRelay || this.options.records.isFollowing) return;
     if (!this.recordTransfer.isOutdatedBy(positions)) return;
--- a/packages/exchange/src/record-packer.ts
+++ b/packages/exchange/src/record-packer.ts
@@ -1,16 +1,15 @@
 /**
- * Records as they stand in messages. A large record is compressed once, however many daemons it is sent to: a
- * configuration of some hundred routes is a hundred kilobytes, a tenth of that packed, and is sent to every daemon.
+ * Encodes records for messages. A large record is compressed only once, although it is sent to every daemon.
  */
 import { deflateRawSync, inflateRawSync } from 'node:zlib';
 import type { RecordEntry, RecordUpdate, SentRecord, SentUpdate } from '@woodbarrow/protocol';
 
-/** Records whose text is shorter than this are sent as they are, in characters: packing them saves too little. */
+/** Minimum length in characters of a record's JSON text for compression; shorter records gain too little. */
 const MIN_PACKED_LENGTH = 2048;
-/** A packed record that would be larger than this is refused, in bytes. */
+/** Maximum size of a decompressed record in bytes; larger ones are refused. */
 const MAX_UNPACKED_BYTES = 16 * 1024 * 1024;
 
-/** Packs records, each once. */
+/** Packs records for messages, and caches the packed form of each record. */
 export class RecordPacker {
   private readonly packed = new WeakMap<RecordEntry, SentRecord>();
 
@@ -28,7 +27,11 @@
   }
 }
 
-/** Unpacks what was sent. @throws RangeError for a record that is too large, Error for one that is not well formed. */
+/**
+ * Unpacks an update.
+ *
+ * @throws RangeError for a record that is too large, Error for a malformed one.
+ */
 export function unpack({ records, ...update }: SentUpdate): RecordUpdate {
   return { ...update, records: records.map(fromSentRecord) };
 }
--- a/packages/exchange/src/record-position.ts
+++ b/packages/exchange/src/record-position.ts
@@ -1,12 +1,12 @@
-/** Comparison of how far daemons have come with records of the store. */
+/** Comparison of the positions that daemons have reached in the records of the store. */
 import { compareStorePositions, type RecordPosition, type StorePosition } from '@woodbarrow/protocol';
 
-/** How far this daemon has come. */
+/** Position that this daemon has reached. */
 export type OwnPosition = StorePosition & Pick<RecordPosition, 'version'>;
 
 /**
- * Whether a position told by another daemon lies ahead of this daemon's: by the store's order, or by the highest version that the
- * records carry themselves. A daemon that tells of no era counts as in the same one.
+ * Whether another daemon's position is newer than this daemon's: by the order of the store, or by the highest
+ * version of the records. A position without an era counts as one of the same era.
  */
 export function isNewerPosition(other: RecordPosition, own: OwnPosition): boolean {
   const position = { era: other.era ?? own.era, revision: other.revision };
--- a/packages/exchange/src/record-set.ts
+++ b/packages/exchange/src/record-set.ts
@@ -1,8 +1,9 @@
 /**
- * Records of one kind as far as a daemon has seen them, whether from the store or from other daemons. Within one era of the store its
- * revisions order all changes of the kind, so what another daemon lacks follows from the newest revision that it has seen and from a
- * digest of the names that it holds. A higher era begins with a whole listing: the store was restored from a copy, and what was known
- * under its earlier revisions cannot be compared with what it gives out now. Records that carry a version of their own never go back.
+ * The records of one kind that a daemon has received from the store or from other daemons. Within one era of
+ * the store its revisions order all changes of the kind, so the newest revision and a digest of the names
+ * determine what another daemon lacks. A higher era means that the store was restored from a copy: its
+ * revisions are not comparable with earlier ones, so the set starts over with a complete listing. Records
+ * with their own versions never revert to a lower one.
  */
 import {
   compareStorePositions,
@@ -13,31 +14,33 @@
 } from '@woodbarrow/protocol';
 import { hashText } from '@woodbarrow/runtime';
 
-/** Where a listing comes from. */
+/** Origin of a listing. */
 export type ListingOrigin =
   | 'store'
-  /** A copy from which the store was restored: it may lack what was known, and show what has gone. */
+  /** A restored store, whose records may be older than the ones received before. */
   | 'restored_store';
 
-/** Receives the records of one kind; called in the order of the changes. */
+/** Receives the records of one kind, in the order of their changes. */
 export interface RecordHandlers {
-  /** All records there are. */
+  /** Called with all records of a listing. */
   readonly onList: (records: readonly RecordEntry[], origin: ListingOrigin) => void;
   readonly onChange: (record: RecordEntry) => void;
   readonly onGone: (name: string) => void;
 }
 
-/** Options of {@link RecordSet}. */
 export interface RecordSetOptions {
-  /** Called whenever a newer record has been seen. @default nothing is called */
+  /** Called after a newer record was received. @default not called */
   readonly onNewer?: () => void;
-  /** Version that a record carries itself, which only rises; undefined where it carries none. @default none carries one */
+  /**
+   * Returns the increasing version that a record carries; undefined where it has none.
+   * @default no record has one
+   */
   readonly versionOf?: (record: RecordEntry) => number | undefined;
 }
 
 /**
- * Position after a listing without records: above 0, which says that nothing is known and is answered with all there is each time,
- * and below the revision of any record, which is 1 or more.
+ * Revision after a listing without records. It is above 0, which stands for a set that has received nothing
+ * and requests all records, and below the revision of any record, which is at least 1.
  */
 const EMPTY_LISTING_REVISION = 0.5;
 
@@ -46,9 +49,9 @@
   private readonly records = new Map<string, RecordEntry>();
   private readonly versions = new Map<string, number>();
   private era = 0;
-  /** Revision of the newest record seen in the era. */
+  /** Revision of the newest record received in the era. */
   private newestRevision = 0;
-  /** Revision up to which every change of the kind in the era is known. */
+  /** Revision up to which all changes of the era have been received. */
   private completeRevision = 0;
   private namesDigest = 0;
   private listed = false;
@@ -60,29 +63,29 @@
     private readonly options: RecordSetOptions = {},
   ) {}
 
-  /** Whether all records have been seen once. */
+  /** Whether a complete listing has been received. */
   get isListed(): boolean {
     return this.listed;
   }
 
-  /** How far this daemon has come. */
+  /** Position that this daemon has reached. */
   get position(): SourcePosition & StorePosition {
     const { source, era, newestRevision: revision, namesDigest: names } = this;
     const version = this.newestVersion;
     return { source, era, revision, names, ...(version === undefined ? {} : { version }) };
   }
 
-  /** Revision of a record as it is known here; undefined where there is none of that name. */
+  /** Returns the revision of a stored record; undefined when there is none of that name. */
   revisionOf(name: string): number | undefined {
     return this.records.get(name)?.revision;
   }
 
   /**
-   * Makes the set hold just the records of a listing; one older than what is known changes nothing. A listing of
-   * several pages may hold records newer than its revision, and lack others as new: the watch from there brings them.
-   * That of a restored store may be older than what was known before: a record goes back only where it carries no version.
+   * Replaces all records by a listing, unless the listing is older than the set. A listing of several pages
+   * may include some records newer than its revision and lack others; the watch from that revision delivers
+   * them. A listing of a restored store may be older than the set: only records without a version revert.
    *
-   * @returns whether it was taken.
+   * @returns Whether the listing was applied.
    */
   replaceAll(listing: readonly RecordEntry[], at: StorePosition): boolean {
     if (compareStorePositions(at, { era: this.era, revision: this.newestRevision }) < 0) return false;
@@ -105,7 +108,7 @@
     return true;
   }
 
-  /** Enters a record unless one as new is known. */
+  /** Stores a record unless the set has one that is as new. */
   put(record: RecordEntry): void {
     const existing = this.records.get(record.name);
     if (existing === undefined || this.isNewer(record, existing)) {
@@ -115,7 +118,11 @@
     this.advanceTo(record.revision);
   }
 
-  /** A record is gone. @param revision That of its removal: a newer record of the name stays. */
+  /**
+   * Removes a record.
+   *
+   * @param revision Revision of the removal; a newer record of the name is retained.
+   */
   remove(name: string, revision = Infinity): void {
     const existing = this.records.get(name);
     if (existing === undefined || existing.revision > revision) return;
@@ -125,12 +132,12 @@
     this.handlers.onGone(name);
   }
 
-  /** All changes of the era up to a revision have been entered. */
+  /** Marks all changes of the era up to a revision as received. */
   noteComplete(revision: number): void {
     this.completeRevision = Math.max(this.completeRevision, revision);
   }
 
-  /** What a daemon at a position lacks; undefined when it lacks nothing that is known here. */
+  /** Returns what a daemon at a position lacks; undefined when there is nothing to send. */
   updateFor(position: SourcePosition): RecordUpdate | undefined {
     const era = position.era ?? this.era;
     if (!this.listed || era > this.era) return undefined;
@@ -146,18 +153,18 @@
     return this.update(records, sameNames ? undefined : complete);
   }
 
-  /** Takes what another daemon knows beyond this one. */
+  /** Merges an update from another daemon. */
   merge(update: RecordUpdate): void {
     const { era = this.era, revision, records, names } = update;
     if (era < this.era) return;
     if (!this.listed || era > this.era) {
-      // Only an answer to a daemon that knew nothing of the era holds everything.
+      // Only an update for a daemon without any record of the era is complete.
       if (names?.length === records.length) this.replaceAll(records, { era, revision });
       return;
     }
     const previouslyCompleteTo = this.completeRevision;
     for (const record of records) {
-      // What was there up to then and is not held here has gone since.
+      // A record from before that revision that is absent here has been removed since.
       if (record.revision > previouslyCompleteTo || this.records.has(record.name)) this.put(record);
     }
     this.noteComplete(revision);
@@ -181,7 +188,7 @@
     this.completeRevision = 0;
   }
 
-  /** The records of a listing, or those known here where their own version is higher. */
+  /** Returns the records of a listing, or the stored ones where their own version is higher. */
   private withNewerVersions(listing: readonly RecordEntry[], revision: number): RecordEntry[] {
     const listed = new Map(listing.map((record) => [record.name, record]));
     for (const [name, version] of this.versions) {
@@ -202,7 +209,7 @@
     return version > existingVersion;
   }
 
-  /** @param than Highest version that another daemon has; undefined where it told of none. */
+  /** @param than Highest version that another daemon reports; undefined where it reports none. */
   private hasNewerVersion({ name }: RecordEntry, than: number | undefined): boolean {
     const version = this.versions.get(name);
     return version !== undefined && than !== undefined && version > than;
--- a/packages/exchange/src/record-transfer.ts
+++ b/packages/exchange/src/record-transfer.ts
@@ -1,4 +1,6 @@
-/** What daemons send each other of the records that they follow: positions asked from, and updates in answer. */
+/**
+ * Transfers store records between daemons: a daemon sends its positions and receives the updates after them.
+ */
 import {
   compareStorePositions,
   type SentUpdate,
@@ -11,17 +13,16 @@
 import type { RecordSet } from './record-set.js';
 import { SentUpdates } from './sent-updates.js';
 
-/** Options of {@link RecordTransfer}. */
 export interface RecordTransferOptions {
   readonly sets: readonly RecordSet[];
-  /** Kinds of records whose changes are passed on at once. */
+  /** Kinds of records whose changes are forwarded immediately. */
   readonly urgentSources: readonly string[];
   readonly clock: Clock;
 }
 
 const INITIAL_POSITION: StorePosition = { era: 0, revision: 0 };
 
-/** Transfer of one daemon's records. */
+/** Transfers the records of one daemon. */
 export class RecordTransfer {
   private readonly packer = new RecordPacker();
   private readonly sentUpdates: SentUpdates;
@@ -30,12 +31,12 @@
     this.sentUpdates = new SentUpdates(options.clock);
   }
 
-  /** How far this daemon has come, by kind. */
+  /** Positions of this daemon, by kind. */
   positions(): SourcePosition[] {
     return this.options.sets.map((set) => set.position);
   }
 
-  /** How far this daemon has come with the urgent kinds: the furthest of them. */
+  /** Newest position among the urgent kinds. */
   newestUrgentPosition(): StorePosition {
     const urgent = this.options.sets.filter((set) => this.isUrgent(set.source));
     return urgent
@@ -46,7 +47,7 @@
       );
   }
 
-  /** Whether a daemon at other positions has an urgent record that is newer than the ones here. */
+  /** Whether a daemon at the given positions has a newer urgent record than this one. */
   isOutdatedBy(positions: readonly SourcePosition[]): boolean {
     return positions.some((position) => {
       const own = this.recordSetOf(position.source)?.position;
@@ -54,7 +55,7 @@
     });
   }
 
-  /** Whether a daemon at other positions lacks an urgent record, or has none at all. */
+  /** Whether a daemon at the given positions lacks an urgent record, or has no records of a kind at all. */
   hasUrgentUpdateFor(positions: readonly SourcePosition[]): boolean {
     return positions.some((position) => {
       const own = this.recordSetOf(position.source)?.position;
@@ -64,9 +65,10 @@
   }
 
   /**
-   * What a daemon at other positions lacks.
+   * Returns the updates for a daemon at the given positions.
    *
-   * @param reader Set for a daemon that asks again and again: it is not sent the same anew while it comes.
+   * @param reader Name of a daemon that asks repeatedly; an update that may still be in transit is not sent
+   * to it again.
    */
   updatesFor(positions: readonly SourcePosition[], reader?: string): SentUpdate[] {
     return positions.flatMap((position) => {
@@ -77,7 +79,11 @@
     });
   }
 
-  /** Takes what another daemon sent. @throws what {@link unpack} throws. */
+  /**
+   * Merges updates from another daemon.
+   *
+   * @throws Errors of {@link unpack}.
+   */
   merge(updates: readonly SentUpdate[]): void {
     for (const update of updates) this.recordSetOf(update.source)?.merge(unpack(update));
   }
--- a/packages/exchange/src/sent-updates.ts
+++ b/packages/exchange/src/sent-updates.ts
@@ -1,10 +1,13 @@
-/** What was sent to daemons that ask again and again, so that a slow one is not sent the same anew while it comes. */
+/**
+ * Tracks updates sent to daemons that ask repeatedly, so that an update in transit on a slow link is not sent
+ * again.
+ */
 import type { SourcePosition } from '@woodbarrow/protocol';
 import type { Clock } from '@woodbarrow/runtime';
 
 /**
- * A daemon that asks from the same position again is sent the same only after this long, in milliseconds: the time that
- * an answer may take on a slow link, and less than its patience with a relay.
+ * Milliseconds after which an update is sent again to a daemon that asks from the same position: the time
+ * that a response may take on a slow link, and shorter than the timeout of an attach call.
  */
 const RESEND_INTERVAL_MS = 1000;
 
@@ -13,20 +16,20 @@
   readonly at: number;
 }
 
-/** Updates sent lately, by daemon and kind of record. */
+/** Recently sent updates, by daemon and kind of record. */
 export class SentUpdates {
   private readonly sent = new Map<string, SentAnswer>();
 
   constructor(private readonly clock: Clock) {}
 
-  /** Whether an update may be sent to a daemon at a position now; counts it as sent. */
+  /** Whether an update may be sent to a daemon at a position now; records it as sent if so. */
   maySend(reader: string, position: SourcePosition): boolean {
     if (!this.isDue(reader, position)) return false;
     this.sent.set(keyOf(reader, position), { position, at: this.clock.monotonic() });
     return true;
   }
 
-  /** Whether an update may be sent to a daemon at a position now. */
+  /** Whether an update may be sent to a daemon at a position now, without recording it. */
   isDue(reader: string, position: SourcePosition): boolean {
     const previous = this.sent.get(keyOf(reader, position));
     if (previous === undefined || !isSamePosition(previous.position, position)) return true;
--- a/packages/exchange/src/staleness-tracker.ts
+++ b/packages/exchange/src/staleness-tracker.ts
@@ -1,9 +1,9 @@
-/** How long others have been known to have a newer record than this daemon. */
+/** Tracks for how long other daemons have had newer records than this one. */
 import type { RecordPosition } from '@woodbarrow/protocol';
 import type { Clock } from '@woodbarrow/runtime';
 import { isNewerPosition, type OwnPosition } from './record-position.js';
 
-/** Compares this daemon's position with those that others tell, in any order. */
+/** Compares this daemon's position with the positions of others, observed in any order. */
 export class BehindTracker {
   private newest: OwnPosition | undefined;
   private staleSince = 0;
@@ -13,7 +13,7 @@
     private readonly ownPosition: () => OwnPosition,
   ) {}
 
-  /** Another daemon has come this far. One that is itself behind says nothing about this daemon. */
+  /** Observes another daemon's position. One that is not newer is ignored. */
   note(position: RecordPosition): void {
     const ownPosition = this.ownPosition();
     if (!isNewerPosition(position, ownPosition)) return;
@@ -27,12 +27,12 @@
     return this.newest !== undefined && isNewerPosition(this.newest, this.ownPosition());
   }
 
-  /** Milliseconds since which this daemon has been behind; 0 when it is not. */
+  /** Milliseconds for which this daemon has been stale; 0 when it is not. */
   get behindMs(): number {
     return this.isBehind ? this.clock.monotonic() - this.staleSince : 0;
   }
 
-  /** Begins to measure anew. */
+  /** Restarts the measurement of the stale time. */
   restart(): void {
     this.staleSince = this.clock.monotonic();
   }
--- a/packages/exchange/src/state-report.ts
+++ b/packages/exchange/src/state-report.ts
@@ -1,8 +1,8 @@
-/** Reports as they stand in messages. */
+/** Conversion of load reports to and from their form in messages. */
 import type { LoadReport } from '@woodbarrow/backends';
 import type { RelayedClaim, StateReport } from '@woodbarrow/protocol';
 
-/** Puts a report into the form of a message. */
+/** Converts a load report and claims to a message. */
 export function toStateReport({ loads, demand }: LoadReport, claims: readonly RelayedClaim[]): StateReport {
   return {
     loads: loads.map((load) => ({
@@ -18,7 +18,7 @@
   };
 }
 
-/** Work and demand in a message. */
+/** Converts a message to a load report. */
 export function toLoadReport({ loads, demand }: StateReport): LoadReport {
   return {
     loads: loads.map((entry) => ({
--- a/packages/membership/src/gossip-buffer.ts
+++ b/packages/membership/src/gossip-buffer.ts
@@ -1,4 +1,4 @@
-/** News to pass on: each item is sent a limited number of times, the least-sent first. */
+/** Buffer of member records to gossip: each is sent a limited number of times, the least-sent first. */
 import type { MemberRecord } from '@woodbarrow/protocol';
 
 interface BufferedUpdate {
@@ -6,19 +6,21 @@
   transmissions: number;
 }
 
-/** Transmissions of one item are this many times the logarithm of the number of members. */
+/** Each record is sent this many times the binary logarithm of the number of members. */
 const TRANSMISSION_FACTOR = 3;
 
-/** Buffers member news for piggybacking on probes. */
+/** Buffers member records for piggybacking on probes. */
 export class GossipBuffer {
   private readonly updates = new Map<string, BufferedUpdate>();
 
-  /** Adds or replaces the news about one member. */
+  /** Adds a record, replacing a buffered one of the same member. */
   add(record: MemberRecord): void {
     this.updates.set(record.id, { record, transmissions: 0 });
   }
 
-  /** Up to `limit` items; each is dropped once it has been sent often enough for `memberCount` members. */
+  /**
+   * Returns up to `limit` records; a record is dropped after enough transmissions for `memberCount` members.
+   */
   take(limit: number, memberCount: number): MemberRecord[] {
     const maxTransmissions = TRANSMISSION_FACTOR * Math.ceil(Math.log2(memberCount + 1));
     const chosen = [...this.updates.values()]
--- a/packages/membership/src/index.ts
+++ b/packages/membership/src/index.ts
@@ -1,4 +1,4 @@
-/** Membership: who runs, who has left, who has failed. */
+/** Group membership with failure detection. */
 export * from './member-table.js';
 export * from './membership-options.js';
 export * from './membership.js';
--- a/packages/membership/src/local-health.ts
+++ b/packages/membership/src/local-health.ts
@@ -1,22 +1,25 @@
-/** How far a daemon should trust its own observations: a slow daemon blames itself first. */
+/** Local health score of a daemon: a slow daemon extends its timeouts before it suspects others. */
 
 const MAX_SCORE = 8;
 
-/** Score from 0 (healthy) to 8; time-outs are multiplied by one more than the score. */
+/** Score from 0 (healthy) to 8; timeouts are multiplied by the score plus one. */
 export class LocalHealth {
   private score = 0;
 
-  /** Factor for time-outs. */
+  /** Factor for timeouts. */
   get multiplier(): number {
     return this.score + 1;
   }
 
-  /** Something went right: a probe was answered. */
+  /** Improves the score after an answered probe. */
   improve(): void {
     this.score = Math.max(0, this.score - 1);
   }
 
-  /** Something suggests that this daemon is slow: it missed its own schedule, or was suspected. */
+  /**
+   * Worsens the score when this daemon seems slow: it overran its schedule, a probe failed, or it was
+   * suspected.
+   */
   worsen(by = 1): void {
     this.score = Math.min(MAX_SCORE, this.score + by);
   }
--- a/packages/membership/src/member-table.ts
+++ b/packages/membership/src/member-table.ts
@@ -1,8 +1,8 @@
-/** What one daemon believes of all others, and the rule by which news replaces older beliefs. */
+/** Member records of one daemon, and the rule by which newer records replace older ones. */
 import type { MemberRecord, MemberStatus } from '@woodbarrow/protocol';
 import { hashText } from '@woodbarrow/runtime';
 
-/** Number of digests in a view exchange; views are compared bucket by bucket. */
+/** Number of digest buckets; a view exchange transfers only the buckets that differ. */
 export const DIGEST_BUCKETS = 16;
 
 const STATUS_RANK: Readonly<Record<MemberStatus, number>> = {
@@ -13,7 +13,7 @@
   left: 4,
 };
 
-/** Whether a member still runs, as far as is known. */
+/** Whether a member counts as running: alive, leaving or suspected. */
 export function isPresent(record: MemberRecord): boolean {
   return record.status === 'alive' || record.status === 'leaving' || record.status === 'suspect';
 }
@@ -21,7 +21,7 @@
 /** Whether `candidate` is newer than `known`. */
 export function supersedes(candidate: MemberRecord, known: MemberRecord): boolean {
   if (candidate.instance !== known.instance) return candidate.instance > known.instance;
-  // A member that has left never comes back under the same instance.
+  // A member that has left never becomes present again under the same instance.
   if (known.status === 'left') return false;
   if (candidate.status === 'left') return true;
   if (candidate.refutation !== known.refutation) return candidate.refutation > known.refutation;
@@ -34,24 +34,24 @@
   changedAt: number;
 }
 
-/** The view of one daemon. */
+/** Membership view of one daemon. */
 export class MemberTable {
   private readonly entries = new Map<string, TableEntry>();
   private readonly bucketDigests: number[] = new Array<number>(DIGEST_BUCKETS).fill(0);
   private sortedPresent: readonly MemberRecord[] | undefined;
   private sortedEligible: readonly MemberRecord[] | undefined;
 
-  /** Number of records, absent members included. */
+  /** Number of records, including those of absent members. */
   get size(): number {
     return this.entries.size;
   }
 
-  /** The record of a member, if there is one. */
+  /** Returns the record of a member; undefined when there is none. */
   get(id: string): MemberRecord | undefined {
     return this.entries.get(id)?.record;
   }
 
-  /** Members that are present, ordered by id. The array is shared: do not change it. */
+  /** Present members ordered by id. The array is shared and must not be modified. */
   present(): readonly MemberRecord[] {
     this.sortedPresent ??= this.all()
       .filter(isPresent)
@@ -59,18 +59,17 @@
     return this.sortedPresent;
   }
 
-  /** Present members that are neither leaving nor suspected, ordered by id; shared in the same way. */
+  /** Present members that are neither leaving nor suspected, ordered by id. The array is shared. */
   eligible(): readonly MemberRecord[] {
     this.sortedEligible ??= this.present().filter((member) => member.status === 'alive');
     return this.sortedEligible;
   }
 
-  /** All records. */
   all(): MemberRecord[] {
     return [...this.entries.values()].map((entry) => entry.record);
   }
 
-  /** Takes in a record when it is newer than what is known. Returns whether it was. */
+  /** Stores a record if it is newer than the stored one; returns whether it was. */
   apply(record: MemberRecord, now: number): boolean {
     const known = this.entries.get(record.id);
     if (known !== undefined && !supersedes(record, known.record)) return false;
@@ -82,14 +81,14 @@
     return true;
   }
 
-  /** Forgets absent members whose record has not changed for `ageMs`. */
+  /** Removes absent members whose record has not changed for `ageMs`. */
   forgetAbsent(now: number, ageMs: number): void {
     for (const [id, entry] of this.entries) {
       if (!isPresent(entry.record) && now - entry.changedAt > ageMs) this.entries.delete(id);
     }
   }
 
-  /** Suspected members whose suspicion began more than `ageMs` ago. */
+  /** Returns the suspected members whose suspicion began more than `ageMs` ago. */
   expiredSuspects(now: number, ageMs: number): MemberRecord[] {
     const expired: MemberRecord[] = [];
     for (const { record, changedAt } of this.entries.values()) {
@@ -98,24 +97,24 @@
     return expired;
   }
 
-  /** Counts every suspicion as begun now, for a daemon that was itself stopped for a while. */
+  /** Restarts all suspicions, after this daemon itself was suspended. */
   restartSuspicions(now: number): void {
     for (const entry of this.entries.values()) {
       if (entry.record.status === 'suspect') entry.changedAt = now;
     }
   }
 
-  /** Digest of the present members. Equal views have equal digests. */
+  /** Digest of the present members; equal views have equal digests. */
   digest(): number {
     return this.bucketDigests.reduce((total, digest) => (total ^ digest) >>> 0, 0);
   }
 
-  /** Digests by bucket. */
+  /** Digest of each bucket. */
   digests(): readonly number[] {
     return [...this.bucketDigests];
   }
 
-  /** All records of some buckets. */
+  /** Returns all records in the given buckets. */
   recordsInBuckets(buckets: ReadonlySet<number>): MemberRecord[] {
     return this.all().filter((record) => buckets.has(bucketOf(record.id)));
   }
@@ -128,7 +127,7 @@
   }
 }
 
-/** Bucket of a member in a view exchange. */
+/** Returns the digest bucket of a member. */
 export function bucketOf(id: string): number {
   return hashText(id) % DIGEST_BUCKETS;
 }
--- a/packages/membership/src/membership-options.ts
+++ b/packages/membership/src/membership-options.ts
@@ -2,52 +2,53 @@
 import type { PeerNetwork } from '@woodbarrow/peering';
 import type { Clock, Random } from '@woodbarrow/runtime';
 
-/** Who this daemon is. */
+/** Identity of this daemon. */
 export interface MemberIdentity {
-  /** Unique name, kept over restarts. */
+  /** Unique name, the same after a restart. */
   readonly id: string;
   readonly zone: string;
   readonly region: string;
-  /** What its machine bears, in hundredths of a core. @default 100 */
+  /** Capacity of its machine, in hundredths of a core. @default 100 */
   readonly capacity?: number;
-  /** Higher for each later run of the same daemon, for example the time of its start. */
+  /** Identifies the run; higher for each later run of the same daemon, for example its start time. */
   readonly instance: number;
 }
 
 /** Timing of failure detection. All in milliseconds. */
 export interface MembershipTimings {
-  /** Pause between two probes. @default 1000 */
+  /** Interval between two probes. @default 1000 */
   readonly probeIntervalMs: number;
-  /** Wait for a direct answer. @default 400 */
+  /** Timeout of a direct probe. @default 400 */
   readonly probeTimeoutMs: number;
-  /** Wait for an answer by way of others. @default 800 */
+  /** Timeout of an indirect probe. @default 800 */
   readonly indirectTimeoutMs: number;
-  /** Time a suspected member has to refute, for ten members; grows with their logarithm. @default 3000 */
+  /**
+   * Time that a suspected member has to refute, for ten members; grows with the logarithm of their number.
+   * @default 3000
+   */
   readonly suspicionMs: number;
-  /** Pause between attempts to reach an absent or unknown member. @default 5000 */
+  /** Average pause between attempts to reach an absent or unknown member. @default 5000 */
   readonly reconnectIntervalMs: number;
-  /** Time after which an absent member is forgotten. @default 600000 */
+  /** Time after which the record of an absent member is removed. @default 600000 */
   readonly forgetAfterMs: number;
 }
 
-/** Options of {@link Membership}. */
 export interface MembershipOptions {
   readonly identity: MemberIdentity;
   readonly peers: PeerNetwork;
   readonly clock: Clock;
   readonly random: Random;
-  /** Peer addresses to join through; asked again whenever the daemon is alone. */
+  /** Returns the peer addresses of members to join through; also used to reconnect to absent members. */
   readonly seeds: () => readonly string[];
   readonly timings?: Partial<MembershipTimings>;
   /** A number sent with each probe. @default 0 */
   readonly attachment?: () => number;
-  /** Era in which the attachment counts, sent with it. @default none is sent */
+  /** Era of the attachment, sent with it. @default not sent */
   readonly attachmentEra?: () => number;
-  /** Called with what a background task threw. */
+  /** Called when a background task throws. */
   readonly onTaskFailure?: (name: string, error: unknown) => void;
 }
 
-/** Defaults of {@link MembershipTimings}. */
 export const DEFAULT_MEMBERSHIP_TIMINGS: MembershipTimings = {
   probeIntervalMs: 1000,
   probeTimeoutMs: 400,
--- a/packages/membership/src/membership.ts
+++ b/packages/membership/src/membership.ts
@@ -1,6 +1,6 @@
 /**
- * Membership with suspicion-based failure detection (SWIM with the Lifeguard refinements):
- * probes with indirect probes, refutation by number, local health, bucketed view exchange.
+ * Membership with suspicion-based failure detection (SWIM with the Lifeguard refinements): probes with
+ * indirect probes, refutation by number, local health, bucketed view exchange.
  */
 import Emittery from 'emittery';
 import {
@@ -24,9 +24,8 @@
 } from './membership-options.js';
 import { ProbeTargets } from './probe-targets.js';
 
-/** Events of {@link Membership}. */
 export interface MembershipEvents {
-  /** A member is present that was not, or runs anew. */
+  /** A member became present or restarted. */
   up: MemberRecord;
   /** A member is no longer present. */
   down: MemberRecord;
@@ -41,7 +40,6 @@
   };
 }
 
-/** Counters of {@link Membership}. */
 export interface MembershipCounters {
   probesSent: number;
   probesFailed: number;
@@ -52,19 +50,19 @@
 }
 
 const INDIRECT_PROBE_COUNT = 3;
-/** Bounds the bytes of a probe whatever happens: a record takes about 150 bytes. */
+/** Bounds the size of a probe message; a record takes about 150 bytes. */
 const UPDATES_PER_MESSAGE = 5;
-/** View exchanges start only after the digests have differed on this many probes in a row. */
+/** Number of consecutive probes with differing digests after which views are exchanged. */
 const DIFFERENCES_BEFORE_EXCHANGE = 4;
-/** Time after its start in which a member compares views at every probe. */
+/** Milliseconds after its start in which a member exchanges views at the first differing digest. */
 const STARTUP_PERIOD_MS = 15_000;
 const LEAVE_FAN_OUT = 5;
-/** Capacity of a member that tells none: one core. */
+/** Capacity of a member without a configured one, in hundredths of a core. */
 const DEFAULT_CAPACITY = 100;
-/** A schedule overrun by this factor means that this daemon was stopped, not the others. */
+/** A schedule overrun by this factor means that this daemon was suspended, rather than the others. */
 const OVERRUN_FACTOR = 3;
 
-/** The view of one daemon, kept up to date by probing. */
+/** Membership view of one daemon, maintained by probing. */
 export class Membership {
   readonly events = new Emittery<MembershipEvents>();
   readonly counters: MembershipCounters = {
@@ -103,12 +101,12 @@
     this.tasks = new TaskGroup(options.clock, options.onTaskFailure ?? (() => undefined));
   }
 
-  /** This daemon's own record. */
+  /** Record of this daemon. */
   get local(): MemberRecord {
     return this.self;
   }
 
-  /** Members that are present, this daemon included, ordered by id. */
+  /** Present members, including this daemon, ordered by id. */
   present(): readonly MemberRecord[] {
     return this.table.present();
   }
@@ -118,12 +116,12 @@
     return this.table.eligible();
   }
 
-  /** Members that have not said that they leave for good, be they present or lost. */
+  /** Members that have not left, present or not. */
   known(): readonly MemberRecord[] {
     return this.table.all().filter(({ status }) => status !== 'left');
   }
 
-  /** What is known of one member. */
+  /** Returns the record of a member; undefined when there is none. */
   get(id: string): MemberRecord | undefined {
     return this.table.get(id);
   }
@@ -161,18 +159,18 @@
     );
   }
 
-  /** Tells others that this daemon is about to leave: it is given no new roles. */
+  /** Announces that this daemon is about to leave, so that it is given no new roles. */
   async announceLeaving(): Promise<void> {
     await this.announce('leaving');
   }
 
-  /** Tells others that this daemon has left, and stops. */
+  /** Announces that this daemon has left, and stops. */
   async leave(): Promise<void> {
     await this.announce('left');
     await this.tasks.stop();
   }
 
-  /** Stops without a word, as a crash would. */
+  /** Stops without an announcement, as a crash would. */
   abort(): void {
     this.tasks.abort();
   }
@@ -214,7 +212,10 @@
     this.suspect(target);
   }
 
-  /** A daemon that was itself stopped must not read its own silence as that of others. */
+  /**
+   * Detects that this daemon was suspended, and restarts its suspicions: responses missing in that time are
+   * not failures of others.
+   */
   private detectOverrun(): void {
     const now = this.options.clock.monotonic();
     const longest = (this.timings.probeTimeoutMs + this.timings.indirectTimeoutMs) * this.health.multiplier;
@@ -308,7 +309,7 @@
     this.emitChange(before, record);
   }
 
-  /** Answers a false word about this daemon with a higher refutation number. */
+  /** Refutes a false status or address of this daemon with a higher refutation number. */
   private refute(record: MemberRecord): void {
     const isFalse = record.status !== this.self.status || record.address !== this.self.address;
     const isCurrent = record.instance === this.self.instance && record.refutation >= this.self.refutation;
@@ -335,17 +336,21 @@
     await this.exchangeViews(address, this.table.digests());
   }
 
-  /** A daemon that has just started knows little, and does not wait for gossip to bring the rest. */
+  /**
+   * A daemon that has just started has an incomplete view, and exchanges views sooner instead of waiting for
+   * gossip.
+   */
   private isRecentlyStarted(): boolean {
     return this.options.clock.monotonic() - this.startedAt < STARTUP_PERIOD_MS;
   }
 
-  /** Fetches what differs from another member and sends back what it lacks. */
+  /** Fetches the records that differ in another member's view, and sends it the ones that it lacks. */
   private async exchangeViews(address: string, bucketDigests: readonly number[]): Promise<void> {
     this.counters.viewExchanges += 1;
     const request: SyncRequest = { self: this.self, bucketDigests };
     const answer = await this.options.peers.call(address, syncMethod, request);
-    // What another view already holds is not news: those who lack it will compare views themselves.
+    // Not gossiped: the record is already in another view, and members that lack it exchange views
+    // themselves.
     for (const record of answer.members) this.applyRecord(record, false);
     const own = this.table.recordsInBuckets(new Set(answer.differing));
     if (own.length > 0) await this.options.peers.call(address, updateMethod, { updates: own });
@@ -362,13 +367,13 @@
   }
 
   private reconnectPauseMs(): number {
-    // Newcomers that start together find each other in small groups first, which must meet soon.
+    // Members that start together first form small groups, which must merge quickly.
     const isUrgent = this.table.present().length <= 1 || this.isRecentlyStarted();
     const pause = isUrgent ? this.timings.probeIntervalMs / 2 : this.timings.reconnectIntervalMs;
     return this.options.random.between(pause * 0.8, pause * 1.2);
   }
 
-  /** Tries a seed or an absent member, so that views meet again after a cut. */
+  /** Contacts a seed or an absent member, so that views merge again after a network partition. */
   private async reconnect(): Promise<void> {
     const presentAddresses = new Set(this.table.present().map((member) => member.address));
     const absent = this.table
--- a/packages/membership/src/probe-targets.ts
+++ b/packages/membership/src/probe-targets.ts
@@ -1,11 +1,13 @@
-/** Which member to probe next: mostly neighbours, now and then another zone or region. */
+/** Selects the next member to probe: mostly from the same zone, sometimes from another zone or region. */
 import type { MemberRecord } from '@woodbarrow/protocol';
 import type { Random } from '@woodbarrow/runtime';
 
 const SAME_ZONE_SHARE = 0.7;
 const SAME_REGION_SHARE = 0.9;
 
-/** Goes through the members of each distance in random rounds, so that each is probed in bounded time. */
+/**
+ * Iterates over the members of each distance in random rounds, so that each is probed within a bounded time.
+ */
 export class ProbeTargets {
   private readonly rounds = new Map<string, string[]>();
 
@@ -14,7 +16,7 @@
     private readonly random: Random,
   ) {}
 
-  /** The next member to probe, or undefined when there is nobody. */
+  /** Returns the next member to probe; undefined when there are no other members. */
   next(present: readonly MemberRecord[]): MemberRecord | undefined {
     const others = present.filter((member) => member.id !== this.self.id);
     const draw = this.random.next();
--- a/packages/peering/src/peer-network.ts
+++ b/packages/peering/src/peer-network.ts
@@ -1,4 +1,4 @@
-/** Calls between daemons: one connection for each peer, one task for each connection. */
+/** Remote calls between daemons, with one outgoing connection to each peer. */
 import { WoodbarrowError, isErrorKind, toWoodbarrowError } from '@woodbarrow/errors';
 import {
   PROTOCOL_VERSION,
@@ -18,25 +18,23 @@
 } from '@woodbarrow/runtime';
 import { TrafficCounters } from './traffic-counters.js';
 
-/** Options of {@link PeerNetwork}. */
 export interface PeerNetworkOptions {
   readonly transport: Transport;
   readonly clock: Clock;
   /** Address to listen on, `ip:port`. */
   readonly address: Address;
-  /** Name of the deployment; peers of another one are refused. */
+  /** Name of the deployment; connections from other deployments are refused. */
   readonly deployment: string;
-  /** Milliseconds to wait for a connection. @default 1000 */
+  /** Timeout of a connection attempt in milliseconds. @default 1000 */
   readonly connectTimeoutMs?: number;
 }
 
-/** Options of {@link PeerNetwork.call}. */
 export interface CallOptions {
-  /** Milliseconds to wait for the answer. @default 2000 */
+  /** Timeout of the call in milliseconds. @default 2000 */
   readonly timeoutMs?: number;
 }
 
-/** Answers a call; what it throws reaches the caller as an error of the same kind. */
+/** Handles a call; an error that it throws reaches the caller with the same kind. */
 export type PeerHandler<Request, Response> = (request: Request) => Promise<Response> | Response;
 
 const DEFAULT_CALL_TIMEOUT_MS = 2000;
@@ -48,19 +46,19 @@
   readonly cancelTimer: () => void;
 }
 
-/** One outgoing connection and the calls under way on it. */
+/** One outgoing connection and the pending calls on it. */
 class Peer {
   readonly pending = new Map<number, PendingCall>();
   nextId = 1;
-  /** Monotonic time of the last frame from the other side. */
+  /** Monotonic time of the last received frame. */
   lastReceivedAt = -Infinity;
 
   constructor(readonly connection: Connection) {}
 }
 
-/** Sends calls to peers and answers theirs. */
+/** Sends calls to peers and handles theirs. */
 export class PeerNetwork {
-  /** Bytes and messages in and out. */
+  /** Bytes and messages sent and received. */
   readonly traffic = new TrafficCounters();
   private readonly handlers = new Map<string, PeerHandler<object, object>>();
   private readonly peers = new Map<Address, Promise<Peer>>();
@@ -70,7 +68,7 @@
 
   constructor(private readonly options: PeerNetworkOptions) {}
 
-  /** Address that peers reach this daemon at. Known after {@link start}. */
+  /** Address at which peers reach this daemon; final after {@link start}. */
   get address(): Address {
     return this.listener?.address ?? this.options.address;
   }
@@ -82,7 +80,7 @@
     });
   }
 
-  /** Registers the answer to a method. */
+  /** Registers the handler of a method. */
   handle<Request, Response>(
     method: PeerMethod<Request, Response>,
     handler: PeerHandler<Request, Response>,
@@ -93,8 +91,8 @@
   /**
    * Calls a peer.
    *
-   * @throws WoodbarrowError `peer_unreachable` when the request was certainly not received, `peer_timeout`
-   * when no answer came, or the kind that the peer's handler threw.
+   * @throws WoodbarrowError `peer_unreachable` when the peer cannot have received the request, `peer_timeout`
+   * when no response arrived, or the kind that the peer's handler threw.
    */
   async call<Request, Response>(
     address: Address,
@@ -113,7 +111,7 @@
     return body as Response;
   }
 
-  /** Stops listening and ends all connections. */
+  /** Stops listening and closes all connections. */
   async close(): Promise<void> {
     this.closed = true;
     for (const connection of this.accepted) connection.close();
@@ -131,7 +129,7 @@
     request: Request,
   ): Promise<Response> {
     const handler = this.handlers.get(method.name);
-    if (handler === undefined) throw new WoodbarrowError('internal', `no handler for ${method.name}`);
+    if (handler === undefined) throw new WoodbarrowError('internal', `no handler for method ${method.name}`);
     return (await handler(request as object)) as Response;
   }
 
@@ -147,13 +145,14 @@
   }
 
   private async open(address: Address): Promise<Peer> {
-    if (this.closed) throw new WoodbarrowError('peer_unreachable', 'this daemon has closed its peer links');
+    if (this.closed)
+      throw new WoodbarrowError('peer_unreachable', 'the peer network of this daemon is closed');
     const timeoutMs = this.options.connectTimeoutMs ?? DEFAULT_CONNECT_TIMEOUT_MS;
     let connection: Connection;
     try {
       connection = await this.options.transport.connect(address, timeoutMs);
     } catch (error) {
-      throw new WoodbarrowError('peer_unreachable', `cannot reach ${address}`, { cause: error });
+      throw new WoodbarrowError('peer_unreachable', `cannot connect to ${address}`, { cause: error });
     }
     const peer = new Peer(connection);
     this.transmit(
@@ -183,7 +182,7 @@
       const sentAt = clock.monotonic();
       const cancelTimer = clock.schedule(timeoutMs, () => {
         peer.pending.delete(id);
-        // A connection on which nothing came back may be half open; the next call opens a new one.
+        // A connection without any response may be half open; the next call opens a new one.
         if (peer.lastReceivedAt < sentAt) peer.connection.close();
         reject(
           new WoodbarrowError(
@@ -197,7 +196,7 @@
     });
   }
 
-  /** Task of one outgoing connection. */
+  /** Reads the responses of one outgoing connection until it closes. */
   private async readAnswers(address: Address, peer: Peer): Promise<void> {
     try {
       for await (const frame of peer.connection.frames) {
@@ -215,7 +214,9 @@
     peer.connection.close();
     for (const call of peer.pending.values()) {
       call.cancelTimer();
-      call.reject(new WoodbarrowError('peer_timeout', `connection to ${address} ended before the answer`));
+      call.reject(
+        new WoodbarrowError('peer_timeout', `connection to ${address} closed before the response arrived`),
+      );
     }
     peer.pending.clear();
   }
@@ -237,7 +238,7 @@
     call.reject(new WoodbarrowError(kind, envelope.message));
   }
 
-  /** Task of one accepted connection. */
+  /** Serves the requests of one accepted connection until it closes. */
   private async serve(connection: Connection): Promise<void> {
     this.accepted.add(connection);
     let hasHandshake = false;
@@ -271,7 +272,7 @@
   private async answer(connection: Connection, request: RequestEnvelope): Promise<void> {
     try {
       const handler = this.handlers.get(request.method);
-      if (handler === undefined) throw new WoodbarrowError('not_found', `no method ${request.method}`);
+      if (handler === undefined) throw new WoodbarrowError('not_found', `unknown method ${request.method}`);
       const body = await handler(request.body);
       this.transmit(connection, { type: 'response', id: request.id, body }, 'answer');
     } catch (thrown) {
--- a/packages/peering/src/simulated-cluster.ts
+++ b/packages/peering/src/simulated-cluster.ts
@@ -1,4 +1,4 @@
-/** A time-skipping environment for tests: processes on a virtual clock, each with its peer links. */
+/** Simulated cluster for tests: processes on a virtual clock, each with its peer network. */
 import {
   Random,
   SimulatedNetwork,
@@ -8,16 +8,15 @@
 } from '@woodbarrow/runtime';
 import { PeerNetwork } from './peer-network.js';
 
-/** Options of {@link SimulatedCluster}. */
 export interface SimulatedClusterOptions {
   readonly seed: number;
-  /** Milliseconds one way within a zone. @default 0.5 */
+  /** One-way latency within a zone in milliseconds. @default 0.5 */
   readonly sameZoneMs?: number;
-  /** Milliseconds one way between zones. @default 2 */
+  /** One-way latency between zones in milliseconds. @default 2 */
   readonly crossZoneMs?: number;
 }
 
-/** One process with its peer links, listening. */
+/** A process with its listening peer network. */
 export interface SimulatedNode {
   readonly process: SimulatedProcess;
   readonly peers: PeerNetwork;
@@ -43,7 +42,7 @@
     this.transports = new SimulatedTransportHub(this.network);
   }
 
-  /** Starts a process. A name that was used before stands for a new run at the same address. */
+  /** Starts a process. A name used before denotes a new run at the same address. */
   async add(name: string, zone = 'alpha', region = 'region'): Promise<SimulatedNode> {
     const process = new SimulatedProcess(this.world, { name, zone, region });
     const peers = new PeerNetwork({
@@ -56,12 +55,12 @@
     return { process, peers, random: this.random.fork() };
   }
 
-  /** Lets `durationMs` of virtual time pass. */
+  /** Advances the virtual time by `durationMs`. */
   async advance(durationMs: number): Promise<void> {
     await this.world.run(this.world.now + durationMs);
   }
 
-  /** Lets time pass until a promise settles; rejects after `limitMs` of virtual time. */
+  /** Advances the virtual time until a promise settles; rejects after `limitMs` of virtual time. */
   async settle<T>(promise: Promise<T>, limitMs = 60_000): Promise<T> {
     let settled = false;
     const tracked = promise.finally(() => {
@@ -69,7 +68,7 @@
     });
     tracked.catch(() => undefined);
     await this.world.run(this.world.now + limitMs, () => settled);
-    if (!settled) throw new Error(`nothing within ${String(limitMs)} virtual ms`);
+    if (!settled) throw new Error(`promise did not settle within ${String(limitMs)} virtual ms`);
     return tracked;
   }
 }
--- a/packages/peering/src/traffic-counters.ts
+++ b/packages/peering/src/traffic-counters.ts
@@ -1,4 +1,4 @@
-/** Bytes and messages between daemons, in total and by method. */
+/** Counters of the traffic between daemons, in total and by method. */
 
 /** Traffic of one method. */
 export interface MethodTraffic {
@@ -8,19 +8,19 @@
   bytesReceived: number;
 }
 
-/** Counters of one daemon's peer links. Bytes are of frames, without transport headers. */
+/** Traffic counters of one daemon. Bytes are those of frames, without transport headers. */
 export class TrafficCounters {
   bytesSent = 0;
   bytesReceived = 0;
   messagesSent = 0;
   messagesReceived = 0;
-  /** Frames that could not be decoded; their connection was ended. */
+  /** Frames that could not be decoded; their connections were closed. */
   malformedFrames = 0;
-  /** Answers to calls that had been given up. */
+  /** Responses to calls that had already timed out. */
   lateAnswers = 0;
-  /** Connections of another deployment or protocol version. */
+  /** Connections refused for another deployment or protocol version. */
   refusedConnections = 0;
-  /** By method; answers are counted under `answer`. */
+  /** Traffic by method; responses are counted under `answer`. */
   readonly byMethod = new Map<string, MethodTraffic>();
 
   /** Counts a sent message. */
