--- a/packages/coordination/test/claims.test.ts
+++ b/packages/coordination/test/claims.test.ts
@@ -77,7 +77,7 @@
 }
 
 describe('claims', () => {
-  it('are granted to one claimant; a repeat hears of the run and then gets its answer', async () => {
+  it('are granted to one claimant; another one gets "running" and, once finished, the answer', async () => {
     const test = new LedgerCluster();
     await test.start();
     expect((await test.claim('b', 'router-1')).outcome).to.equal('granted');
@@ -101,7 +101,7 @@
     expect((await test.claim('c', 'router-2')).outcome).to.equal('granted');
   });
 
-  it('outlive a change of leader', async () => {
+  it('remain after a change of leader', async () => {
     const test = new LedgerCluster();
     await test.start();
     await test.claim('b', 'router-1');
@@ -109,24 +109,24 @@
     expect((await test.claim('c', 'router-2')).outcome).to.equal('running');
   });
 
-  it('of a minority are recorded at a majority before they are granted again', async () => {
+  it('that reached only a minority of voters are written to a majority before they are granted again', async () => {
     const test = new LedgerCluster();
     await test.start();
     const client = test.client('a');
     const ask = (key: string) =>
       client.claim({ key, claimant: 'one', fingerprint: 'f', lifetimeMs: LIFETIME_MS }, 2000);
-    // So that the client knows the leader before it is cut off.
+    // The client must know the leader before the partition.
     await test.cluster.settle(ask('another'));
-    // The claim reaches the leader's own voter only.
+    // The claim reaches only the leader's own voter.
     const heal = test.cluster.network.cut(
       (from, to) => from !== to && (from.name === 'a' || to.name === 'a'),
     );
     await test.cluster.settle(ask('key').catch(() => undefined));
-    // Long enough for the transport to give up what it still had to deliver.
+    // Long enough for the transport to drop its undelivered messages.
     await test.cluster.advance(20_000);
     heal();
     await test.moveTo('a');
-    // Granted again by a leader that read it back, it must be known to every later leader.
+    // A claim that a new leader read back and granted again must be known to every later leader.
     const again = await test.claim('c', 'one');
     test.node('a').process.kill();
     await test.moveTo('b');
@@ -135,7 +135,7 @@
     expect(granted).to.have.length(1);
   });
 
-  it('are answered "unknown" by a ledger that may have forgotten, unless the key is younger', async () => {
+  it('get "unknown" from a ledger that may lack earlier claims, unless the key is newer than the ledger', async () => {
     const test = new LedgerCluster();
     await test.start();
     const old = test.sets?.current;
@@ -149,12 +149,12 @@
     expect((await test.claim('c', 'router-1', { ageMs: 100 })).outcome).to.equal('granted');
   });
 
-  it('are answered by a leader whose first write of a take-over failed', async () => {
+  it('are answered by a new leader whose first write failed', async () => {
     const test = new LedgerCluster();
     for (const name of ['a', 'b', 'c']) await test.add(name);
     const heals: (() => void)[] = [];
     test.candidateOf('a').events.on('acquired', () => {
-      // The others hear nothing for a moment, just when the new leader writes for the first time.
+      // The new leader is partitioned from the others when it writes for the first time.
       heals.push(
         test.cluster.network.cut((from, to) => from !== to && (from.name === 'a' || to.name === 'a')),
       );
@@ -167,7 +167,7 @@
     expect((await test.claim('b', 'router-1')).outcome).to.equal('granted');
   });
 
-  it('cannot be asked without a leader: the outcome is unknown', async () => {
+  it('fail with outcome_unknown while there is no leader', async () => {
     const test = new LedgerCluster();
     await test.start();
     for (const name of ['a', 'b']) test.node(name).process.kill();
--- a/packages/coordination/test/example.ts
+++ b/packages/coordination/test/example.ts
@@ -1,12 +1,12 @@
 /**
- * An example of embedding: three processes elect a leader, who replicates a value; when it dies, the next leader has it.
- * Run on a virtual clock by example.test.ts; on real machines `SimulatedCluster` gives way to a `PeerNetwork` over
- * `TcpTransport` and `SystemClock`.
+ * Example of embedding: three processes elect a leader, which replicates a value; after it crashes, the next
+ * leader has the value. example.test.ts runs it on a virtual clock. On real machines, use a `PeerNetwork`
+ * over `TcpTransport` and `SystemClock` instead of `SimulatedCluster`.
  */
 import { SimulatedCluster } from '@woodbarrow/peering';
 import { LeaseCandidate, LeaseVoter, type Lease, type VoterSets } from '../src/index.js';
 
-/** Runs the example; resolves with what the second leader read. */
+/** Runs the example; resolves with the value that the second leader read. */
 export async function electAndFailOver(): Promise<object | undefined> {
   const cluster = new SimulatedCluster({ seed: 42 });
   const names = ['one', 'two', 'three'];
--- a/packages/coordination/test/lease-simulation.ts
+++ b/packages/coordination/test/lease-simulation.ts
@@ -1,4 +1,4 @@
-/** Machines that stand for one lease of a simulated store, renew it, and act whenever they may. */
+/** Simulation of machines that compete for one store lease, renew it, and act while they may. */
 import { isDeepStrictEqual } from 'node:util';
 import { expect } from 'chai';
 import type { StorePosition } from '@woodbarrow/protocol';
@@ -20,7 +20,7 @@
 export const LIFETIME_MS = 1200;
 export const PAUSE_MS = 300;
 
-/** What may go wrong with a call, each with its share of the calls. */
+/** Faults of store calls, each with its share of the calls. */
 export interface StoreFaults {
   readonly refused: number;
   readonly answerLost: number;
@@ -29,7 +29,7 @@
 
 export const NO_FAULTS: StoreFaults = { refused: 0, answerLost: 0, appliedLate: 0 };
 
-/** The record as the store keeps it. */
+/** The record as it is stored. */
 interface StoredRecord {
   readonly record: LeaseRecord;
   readonly revision: number;
@@ -38,10 +38,10 @@
 /** Era of a store that has not been restored. */
 const FIRST_ERA = 0;
 
-/** A linearizable store on virtual time; calls take time both ways. */
+/** A linearizable store in virtual time; calls and responses take time. */
 class SimulatedStore {
   faults = NO_FAULTS;
-  /** Machines that it does not answer. */
+  /** Machines whose calls fail. */
   readonly unreachableMachines = new Set<string>();
   private stored: StoredRecord | undefined;
   private revision = 0;
@@ -52,19 +52,19 @@
     private readonly random: Random,
   ) {}
 
-  /** The record as it is, to be restored; undefined before the first. */
+  /** Returns the current record for a later restore; undefined before the first write. */
   takeCopy(): StoredRecord | undefined {
     return this.stored;
   }
 
-  /** Becomes what it was: writes since are gone, their revisions are given out again, and the era rises. */
+  /** Restores a copy: later writes are lost, their revisions are reused, and the era increases. */
   restore(copy: StoredRecord | undefined): void {
     this.stored = copy;
     this.revision = copy?.revision ?? 0;
     this.era += 1;
   }
 
-  /** The store as seen by one process. */
+  /** Returns the client of one process. */
   client(process: SimulatedProcess): LeaseRecordStore {
     const observed = { era: FIRST_ERA, since: -Infinity };
     const noteEra = (era: number): void => {
@@ -86,7 +86,7 @@
     };
   }
 
-  /** A write that changes nothing leaves the revision as it is. */
+  /** A write that changes nothing keeps the revision. */
   private write(record: LeaseRecord): StoredRecord {
     if (this.stored !== undefined && isDeepStrictEqual(this.stored.record, record)) return this.stored;
     this.revision += 1;
@@ -126,7 +126,7 @@
   }
 }
 
-/** One act of a holder. */
+/** One action of a holder. */
 interface HolderAction {
   readonly at: number;
   readonly machine: string;
@@ -141,21 +141,21 @@
   readonly lease: StoreLease;
 }
 
-/** Time that a word between machines takes at most, in milliseconds. */
+/** Maximum delay of a message between machines, in milliseconds. */
 const MAX_MESSAGE_DELAY_MS = 60;
-/** Time after which a machine that has not answered is not waited for, in milliseconds. */
+/** Time after which a machine stops waiting for an answer, in milliseconds. */
 const ANSWER_TIMEOUT_MS = 200;
 
-/** Machines that stand for the lease, renew it, and act whenever they may. */
+/** Machines that compete for the lease, renew it, and act while they may. */
 export class LeaseSimulation {
   readonly world = new SimulatedWorld();
   readonly random: Random;
   readonly store: SimulatedStore;
   readonly actions: HolderAction[] = [];
   readonly runsByMachine = new Map<string, Run>();
-  /** Machines that no word reaches or leaves; the store still answers them. */
+  /** Machines without contact to the others; the store still answers them. */
   readonly partitioned = new Set<string>();
-  /** What each machine was last told of the holder's confirmed writes. */
+  /** Last report of the holder's confirmed write that each machine received. */
   private readonly reported = new Map<string, LeaseConfirmation>();
   private runCount = 0;
 
@@ -169,7 +169,7 @@
     this.store = new SimulatedStore(this.world, this.random.fork());
   }
 
-  /** Starts a machine's process, or starts it again after its end. */
+  /** Starts or restarts the process of a machine. */
   start(machine: string, handover = true): SimulatedProcess {
     this.runsByMachine.get(machine)?.process.kill();
     const clockRate = this.random.between(0.995, 1.005);
@@ -194,14 +194,14 @@
     return process;
   }
 
-  /** Ends the process of a machine. */
+  /** Kills the process of a machine. */
   kill(machine: string): void {
     this.runsByMachine.get(machine)?.process.kill();
   }
 
-  /** A machine gives the lease back, if it holds it. */
+  /** Releases the lease if the machine holds it. */
   release(machine: string): void {
-    // The store may be in trouble: then others wait for the lifetime.
+    // The store may be faulty; the others then wait for the lifetime.
     void this.runsByMachine
       .get(machine)
       ?.lease.release()
@@ -214,7 +214,7 @@
     return others.map(([id, { instance }]) => ({ id, instance }));
   }
 
-  /** Asks a witness and hands its answer over, or undefined when none comes in time. */
+  /** Sends a request to a witness; calls back with the answer, or with undefined after the timeout. */
   private ask<T>(
     from: string,
     witness: WitnessId,
@@ -265,7 +265,7 @@
     });
   }
 
-  /** Has the holder of a record refused by most of its witnesses. */
+  /** Asks the witnesses of a record to refuse its holder; resolves with undefined without a majority. */
   private refuse(
     machine: string,
     { record, era, revision }: StoredLease,
@@ -292,7 +292,7 @@
     });
   }
 
-  /** Takes the lease, also from a holder that its witnesses refuse. */
+  /** Tries to acquire the lease, if necessary after its holder was refused. */
   private async acquire(machine: string, lease: StoreLease): Promise<void> {
     const result = await lease.tryAcquire(this.reported.get(machine));
     if (result.kind === 'held') return;
@@ -304,7 +304,7 @@
     if (refused !== undefined) await lease.tryAcquire(undefined, refused);
   }
 
-  /** Has whoever holds the lease refused by every machine that was ever started, be it killed since. */
+  /** Asks every machine that was ever started, even if killed since, to refuse any holder. */
   private async refuseEverywhere(
     machine: string,
     position: StorePosition,
@@ -338,9 +338,9 @@
           this.reportConfirmation(machine, lease);
         } else await this.acquire(machine, lease);
       } catch {
-        // Asked again at the next step.
+        // Retried in the next step.
       }
-      // Holders renew rarely: contact and time alone must stop them.
+      // Holders renew rarely, so that only contact and time can stop them.
       const pauseMs =
         this.hasWitnesses && lease.isHeld ? this.random.between(600, 1400) : this.random.between(50, 250);
       process.schedule(pauseMs, () => void step());
@@ -348,7 +348,7 @@
     process.schedule(this.random.between(0, 50), () => void step());
   }
 
-  /** The holder tells all others of its last confirmed write; the word takes a while. */
+  /** Reports the last confirmed write to all others, with a delay. */
   private reportConfirmation(sender: string, lease: StoreLease): void {
     const { position } = lease;
     const agoMs = lease.confirmedAgoMs();
@@ -369,7 +369,7 @@
     });
   }
 
-  /** Fences only rise, and two machines never act within the pause of each other. */
+  /** Asserts that fences never decrease and that actions of two machines are at least the pause apart. */
   checkInvariants(pauseMs: number): void {
     for (let index = 1; index < this.actions.length; index += 1) {
       const before = this.actions[index - 1] as HolderAction;
@@ -382,13 +382,15 @@
   }
 }
 
-/** Lifetime of a lease that witnesses must end, in milliseconds. */
+/** Lifetime of a lease that only its witnesses can end during a test, in milliseconds. */
 export const LONG_LIFETIME_MS = 60_000;
 
-/** Four machines after two seconds, one of which holds the lease for long. */
-export async function startWithHolder(seed: number): Promise<{ lease: LeaseSimulation; holder: string }> {
-  const lease = new LeaseSimulation(seed, true, LONG_LIFETIME_MS);
-  for (const machine of ['a', 'b', 'c', 'd']) lease.start(machine);
-  await lease.world.run(2000);
-  return { lease, holder: lease.actions[0]?.machine ?? '' };
+/** Runs four machines with witnesses for two seconds; one of them then holds a lease with a long lifetime. */
+export async function startWithHolder(
+  seed: number,
+): Promise<{ simulation: LeaseSimulation; holder: string }> {
+  const simulation = new LeaseSimulation(seed, true, LONG_LIFETIME_MS);
+  for (const machine of ['a', 'b', 'c', 'd']) simulation.start(machine);
+  await simulation.world.run(2000);
+  return { simulation, holder: simulation.actions[0]?.machine ?? '' };
 }
--- a/packages/coordination/test/lease.test.ts
+++ b/packages/coordination/test/lease.test.ts
@@ -74,7 +74,7 @@
 }
 
 describe('leases', () => {
-  it('are held by one candidate at a time, and found by asking the voters', async () => {
+  it('are held by at most one candidate at a time, which a locator finds through the voters', async () => {
     for (let seed = 1; seed <= 10; seed += 1) {
       const test = await threeVoters(seed);
       test.willing = new Set(['a', 'b', 'c']);
@@ -90,7 +90,7 @@
     }
   });
 
-  it('pass on with their records when the holder dies, under a higher fence', async () => {
+  it('pass on with their records and a higher fence when the holder crashes', async () => {
     const test = await threeVoters();
     test.willing = new Set(['a']);
     await test.cluster.advance(5000);
@@ -108,7 +108,7 @@
     expect(second.nextOrderNumber()).to.be.greaterThan(first.nextOrderNumber());
   });
 
-  it('are not valid for a holder that wakes from a pause, and its writes fail', async () => {
+  it('are not valid for a holder that resumes after a pause, and its writes fail', async () => {
     const test = await threeVoters();
     test.willing = new Set(['a']);
     await test.cluster.advance(5000);
@@ -126,7 +126,7 @@
     expect(await test.cluster.settle(write)).to.equal('refused');
   });
 
-  it('end with a pause longer than they last, and are acquired anew under a higher fence', async () => {
+  it('end when the holder is paused for longer than their duration, and are acquired again under a higher fence', async () => {
     const test = await threeVoters();
     test.willing = new Set(['a']);
     await test.cluster.advance(5000);
@@ -142,19 +142,19 @@
     expect(test.held('a').fence).to.be.greaterThan(first.fence);
   });
 
-  it('cannot be had without a majority of voters of the same run', async () => {
+  it('cannot be acquired without a majority of voters of the same run', async () => {
     const test = await threeVoters();
     test.willing = new Set(['a']);
     for (const name of ['b', 'c']) {
       test.member(name).node.process.kill();
       await test.add(name, 2);
     }
-    // The set still names the earlier runs of b and c.
+    // The voter set still names the earlier runs of b and c.
     await test.cluster.advance(15_000);
     expect(test.holders()).to.deep.equal([]);
   });
 
-  it('bring their records into the next epoch by sealing a majority of the old one', async () => {
+  it('carry their records into the next epoch by sealing a majority of the previous one', async () => {
     const test = await threeVoters();
     test.willing = new Set(['a']);
     await test.cluster.advance(5000);
@@ -177,7 +177,7 @@
     expect(await test.cluster.settle(late)).to.equal('refused');
   });
 
-  it('say that they are incomplete when the old epoch cannot be sealed', async () => {
+  it('are incomplete when the previous epoch cannot be sealed', async () => {
     const test = await threeVoters();
     test.willing = new Set(['a']);
     await test.cluster.advance(5000);
--- a/packages/coordination/test/rendezvous.test.ts
+++ b/packages/coordination/test/rendezvous.test.ts
@@ -5,7 +5,7 @@
 const names = fc.uniqueArray(fc.string({ minLength: 1, maxLength: 8 }), { minLength: 2, maxLength: 12 });
 
 describe('rendezvous hashing', () => {
-  it('keeps the order of the others when one leaves, whatever the order of the list', () => {
+  it('keeps the order of the others when a candidate is removed, for any order of the list', () => {
     fc.assert(
       fc.property(fc.string(), names, fc.nat(), (key, ids, index) => {
         const candidates = ids.map((id) => ({ id }));
@@ -22,7 +22,7 @@
     );
   });
 
-  it('spreads keys', () => {
+  it('distributes keys evenly', () => {
     const candidates = ['a', 'b', 'c', 'd'].map((id) => ({ id }));
     const counts = new Map<string, number>();
     for (let key = 0; key < 4000; key += 1) {
--- a/packages/exchange/test/coordinator-directory.test.ts
+++ b/packages/exchange/test/coordinator-directory.test.ts
@@ -13,7 +13,7 @@
   address: '10.0.0.1:80',
 };
 
-describe('what others told of themselves, after a suspension of this machine', () => {
+describe('reports of other daemons after a suspension of this machine', () => {
   let world: SimulatedWorld;
   let machine: SimulatedProcess;
 
@@ -27,7 +27,7 @@
     await world.run(world.now + CLAIM_LIFETIME_MS + 1);
   }
 
-  it('a claim of a zone has lapsed', async () => {
+  it('expire a claim of a zone', async () => {
     const directory = new CoordinatorDirectory(machine, 'd');
     directory.accept('relay', 'relay', [CLAIM]);
     expect(directory.of('z')?.memberId).to.equal('holder');
@@ -35,7 +35,7 @@
     expect(directory.of('z')).to.equal(undefined);
   });
 
-  it("the holder's last confirmation is not taken for older than it is: its lifetime is waited out in full", async () => {
+  it("do not make the holder's last confirmation appear older, so its lifetime is waited for in full", async () => {
     const directory = new CoordinatorDirectory(machine, 'd');
     directory.accept('relay', 'relay', [CLAIM]);
     const before = machine.monotonic() - (directory.lastConfirmation('z')?.at ?? 0);
@@ -43,7 +43,7 @@
     expect(machine.monotonic() - (directory.lastConfirmation('z')?.at ?? 0)).to.equal(before);
   });
 
-  it('word that a relay follows the store has lapsed', async () => {
+  it('expire the report that a relay follows the store', async () => {
     const watch = new FollowerTracker(machine);
     watch.recordReport('relay', true);
     expect(watch.isFollowing('relay')).to.equal(true);
--- a/packages/exchange/test/crash-mark-transfer.test.ts
+++ b/packages/exchange/test/crash-mark-transfer.test.ts
@@ -25,7 +25,7 @@
     );
   });
 
-  it('sends marks to a daemon that knows others, and none to one that knows the same', () => {
+  it('sends marks to a daemon with a different digest, and none to one with the same', () => {
     expect(transfer.reportFor('x')).to.deep.equal({ digest: 0 });
     digest = 7;
     expect(transfer.hasUpdateFor('x')).to.equal(true);
@@ -35,7 +35,7 @@
     expect(transfer.reportFor('x')).to.deep.equal({ digest: 7 });
   });
 
-  it('sends the same to a daemon that goes on to know others only once in a second, and what is newer at once', async () => {
+  it('repeats the same marks to a daemon with a different digest at most once a second, and sends newer ones at once', async () => {
     digest = 7;
     transfer.reportFor('x');
     transfer.receive('x', { digest: 5 });
--- a/packages/exchange/test/record-packer.test.ts
+++ b/packages/exchange/test/record-packer.test.ts
@@ -13,11 +13,11 @@
 const UPDATE = { source: 'settings', revision: 8, records: [LARGE, SMALL], names: ['main', 'worker'] };
 
 describe('packed records', () => {
-  it('come out as they went in', () => {
+  it('are unpacked to the original records', () => {
     expect(unpack(new RecordPacker().pack(UPDATE))).to.deep.equal(UPDATE);
   });
 
-  it('are a fraction of their size where they are large, and packed once for all receivers', () => {
+  it('are a fraction of the size of large records, and are packed only once for all receivers', () => {
     const packer = new RecordPacker();
     const [first, small] = packer.pack(UPDATE).records;
     expect(first?.packed?.byteLength).to.be.below(JSON.stringify(LARGE.value).length / 5);
@@ -25,14 +25,14 @@
     expect(packer.pack(UPDATE).records[0]).to.equal(first);
   });
 
-  it('that are not well formed are refused', () => {
+  it('are refused when malformed', () => {
     const records = [{ name: 'main', revision: 1, packed: Buffer.from('no deflated text') }];
     expect(() => unpack({ source: 'settings', revision: 1, records })).to.throw();
   });
 });
 
 describe('SentUpdates', () => {
-  it('sends a daemon the same again only after a while, and what follows at once', async () => {
+  it('repeats the same update to a daemon only after the resend interval, and sends a newer one at once', async () => {
     const world = new SimulatedWorld();
     const sent = new SentUpdates(new SimulatedProcess(world, { name: 'd', zone: 'z', region: 'r' }));
     const position = { source: 'settings', revision: 3, names: 1 };
--- a/packages/exchange/test/record-set.test.ts
+++ b/packages/exchange/test/record-set.test.ts
@@ -3,11 +3,11 @@
 import type { RecordEntry, StorePosition } from '@woodbarrow/protocol';
 import { RecordSet } from '../src/index.js';
 
-/** A set and what its receiver was told. */
+/** A record set and the records that its handlers received. */
 class ObservedSet {
   readonly received = new Map<string, unknown>();
   listings = 0;
-  /** Names of which it was told an older value after a newer one; values rise with revisions. */
+  /** Names for which a lower value was received after a higher one; values increase with revisions. */
   readonly regressions: string[] = [];
   private readonly newestReceived = new Map<string, number>();
   readonly set: RecordSet;
@@ -61,7 +61,7 @@
     return [...this.state.records.values()];
   }
 
-  /** Changes after a position; undefined where it is not of this era, or lies ahead. */
+  /** Returns the changes after a position; undefined if it is of another era or newer than the store. */
   changesAfter({ era, revision }: StorePosition): readonly RecordEntry[] | undefined {
     if (era !== this.era || revision > this.state.revision) return undefined;
     return this.state.changes.filter((change) => change.revision > revision);
@@ -73,7 +73,7 @@
     this.putNewest(name);
   }
 
-  /** Writes what was last written under a name. */
+  /** Writes the last written value of a name again. */
   putNewest(name: string): void {
     const revision = this.state.revision + 1;
     const record = { name, revision, value: this.newestValues.get(name) };
@@ -116,7 +116,7 @@
   }
 }
 
-/** Takes what `to` lacks from `from`. */
+/** Merges into `to` what it lacks from `from`. */
 function fetchUpdate(to: ObservedSet, from: ObservedSet): void {
   const update = from.set.updateFor(to.set.position);
   if (update !== undefined) to.set.merge(update);
@@ -147,7 +147,7 @@
 );
 
 describe('RecordSet', () => {
-  it('ends like the store for all, whoever listed, watched or fetched from whom, and never goes back', () => {
+  it('converges to the store without regressions, for any order of listing, watching and fetching', () => {
     fc.assert(
       fc.property(operations, (steps) => {
         const store = new Map<string, { name: string; revision: number; value: number }>();
@@ -199,7 +199,7 @@
     );
   });
 
-  it('ends alike for all over restorations of the store, and never takes a version back', () => {
+  it('converges over restores of the store, and never reverts to a lower version', () => {
     fc.assert(
       fc.property(operationsWithRestorations, (steps) => {
         const store = new RestorableStore();
@@ -216,7 +216,7 @@
           else store.restore();
           expect(sets.flatMap(({ regressions }) => regressions)).to.deep.equal([]);
         }
-        // Whoever wrote what the copy lacks writes it again.
+        // The writers of the records that the copy lacks write them again.
         for (const name of store.writtenNames) store.putNewest(name);
         for (const watcher of watchers) watcher.list();
         fetchUpdate(third, first);
@@ -227,7 +227,7 @@
     );
   });
 
-  it('begins anew with the listing of a restored store, also where its revisions are lower', () => {
+  it('starts over with the listing of a restored store, even if its revisions are lower', () => {
     const [follower, other] = [new ObservedSet(), new ObservedSet()];
     follower.set.replaceAll([{ name: 'a', revision: 161, value: 'before' }], { era: 1, revision: 161 });
     fetchUpdate(other, follower);
@@ -239,7 +239,7 @@
     expect(other.set.position).to.deep.include({ era: 2, revision: 110 });
   });
 
-  it('takes nothing from before the restoration, be it a listing or the word of another daemon', () => {
+  it('ignores listings and updates from before a restore', () => {
     const [follower, late] = [new ObservedSet(), new ObservedSet()];
     late.set.replaceAll([{ name: 'a', revision: 161, value: 'before' }], { era: 1, revision: 161 });
     follower.set.replaceAll([{ name: 'a', revision: 90, value: 'copy' }], { era: 2, revision: 109 });
@@ -252,7 +252,7 @@
     expect([...follower.received]).to.deep.equal([['a', 'copy']]);
   });
 
-  it('tells a daemon that has read an older version from a copy of the newer one, which goes before it', () => {
+  it('sends the newer version of a record to a daemon that read an older one from a restored copy', () => {
     const versionOf = (record: RecordEntry): number => Number(record.value);
     const [knows, late] = [new ObservedSet(versionOf), new ObservedSet(versionOf)];
     knows.set.replaceAll([{ name: 'a', revision: 161, value: 20 }], { era: 1, revision: 161 });
@@ -266,7 +266,7 @@
     expect([...late.received]).to.deep.equal([['a', 20]]);
   });
 
-  it('counts a daemon that knows no eras as in the same one', () => {
+  it('treats a position without an era as one of the same era', () => {
     const follower = new ObservedSet();
     follower.set.replaceAll([{ name: 'a', revision: 4, value: 'here' }], { era: 3, revision: 4 });
     expect(follower.set.updateFor({ source: 'things', revision: 2, names: 0 })?.records).to.have.length(1);
@@ -278,7 +278,7 @@
     expect([...follower.received.keys()]).to.deep.equal(['a', 'b']);
   });
 
-  it('sends nothing to a set that has it all, and only the names when one is gone', () => {
+  it('sends nothing to a set that is up to date, and only the names after a removal', () => {
     const [from, to] = [new ObservedSet(), new ObservedSet()];
     const record = (name: string, revision: number) => ({ name, revision, value: revision });
     from.set.replaceAll([record('a', 1), record('b', 2)], { era: 0, revision: 2 });
@@ -291,21 +291,21 @@
     expect(to.listings).to.equal(1);
   });
 
-  it('does not take the word of a set that is behind', () => {
-    const [behind, ahead] = [new ObservedSet(), new ObservedSet()];
-    behind.set.replaceAll([], { era: 0, revision: 5 });
-    ahead.set.replaceAll([{ name: 'a', revision: 7, value: 1 }], { era: 0, revision: 7 });
-    expect(behind.set.updateFor(ahead.set.position)).to.equal(undefined);
+  it('has no update for a set that is newer', () => {
+    const [stale, newer] = [new ObservedSet(), new ObservedSet()];
+    stale.set.replaceAll([], { era: 0, revision: 5 });
+    newer.set.replaceAll([{ name: 'a', revision: 7, value: 1 }], { era: 0, revision: 7 });
+    expect(stale.set.updateFor(newer.set.position)).to.equal(undefined);
   });
 
-  it('does not take a record up again that it knows to be gone', () => {
-    const [behind, ahead] = [new ObservedSet(), new ObservedSet()];
+  it('does not restore a record that has been removed', () => {
+    const [stale, newer] = [new ObservedSet(), new ObservedSet()];
     const record = (name: string, revision: number) => ({ name, revision, value: revision });
-    behind.set.replaceAll([record('a', 1), record('b', 2)], { era: 0, revision: 2 });
-    // In the meantime b was removed, at revision 3.
-    ahead.set.replaceAll([record('a', 1)], { era: 0, revision: 3 });
-    fetchUpdate(ahead, behind);
-    expect([...ahead.received.keys()]).to.deep.equal(['a']);
+    stale.set.replaceAll([record('a', 1), record('b', 2)], { era: 0, revision: 2 });
+    // Meanwhile b was removed at revision 3.
+    newer.set.replaceAll([record('a', 1)], { era: 0, revision: 3 });
+    fetchUpdate(newer, stale);
+    expect([...newer.received.keys()]).to.deep.equal(['a']);
   });
 
   it('does not remove a record for an older removal of its name', () => {
@@ -317,7 +317,7 @@
     expect([...follower.received.keys()]).to.deep.equal([]);
   });
 
-  it('knows no more than its listing says, whose later pages may be newer', () => {
+  it('is complete only up to the revision of its listing, whose later pages may be newer', () => {
     const [listing, follower] = [new ObservedSet(), new ObservedSet()];
     // Between two pages of the listing, b was created at revision 8 and c at revision 9.
     const created = { name: 'b', revision: 8, value: 8 };
--- a/packages/membership/test/membership.test.ts
+++ b/packages/membership/test/membership.test.ts
@@ -52,7 +52,7 @@
     return member;
   }
 
-  /** Sizes of all views. */
+  /** Number of present members in each view. */
   sizes(): number[] {
     return [...this.members.values()].map(({ membership }) => membership.present().length);
   }
@@ -64,7 +64,7 @@
 }
 
 describe('membership', () => {
-  it('lets all members find each other and agree', async () => {
+  it('converges to the same view on all members', async () => {
     const test = new MemberCluster(1);
     await test.start(12);
     expect(new Set(test.sizes())).to.deep.equal(new Set([12]));
@@ -72,7 +72,7 @@
     expect(new Set(digests).size).to.equal(1);
   });
 
-  it('lets members that start together find all others within seconds', async () => {
+  it('converges within seconds when members start together', async () => {
     for (let seed = 1; seed <= 10; seed += 1) {
       const test = new MemberCluster(seed);
       await test.startTogether(9);
@@ -81,7 +81,7 @@
     }
   });
 
-  it('notices a dead member and a restarted one', async () => {
+  it('detects a crashed member and its restart', async () => {
     const test = new MemberCluster(2);
     await test.start(8);
     const before = test.membership('m1').get('m5')?.instance ?? 0;
@@ -94,7 +94,7 @@
     expect(test.membership('m1').get('m5')?.instance).to.be.greaterThan(before);
   });
 
-  it('keeps a member that pauses for less than the suspicion, by its refutation', async () => {
+  it('retains a member that is paused for less than the suspicion time, since it refutes', async () => {
     const test = new MemberCluster(3);
     await test.start(8);
     test.member('m4').node.process.pause(2500);
@@ -102,7 +102,7 @@
     expect(new Set(test.sizes())).to.deep.equal(new Set([8]));
   });
 
-  it('does not lose others to a member that was itself stopped for long', async () => {
+  it('does not remove others from the view of a member that was itself paused for long', async () => {
     const test = new MemberCluster(4);
     await test.start(8);
     test.member('m4').node.process.pause(30_000);
@@ -112,7 +112,7 @@
     expect(new Set(test.sizes())).to.deep.equal(new Set([8]));
   });
 
-  it('agrees again after a cut between zones heals', async () => {
+  it('converges again after a partition between zones heals', async () => {
     const test = new MemberCluster(5);
     await test.start(10);
     const heal = test.cluster.network.cut((from, to) => from.zone !== to.zone);
@@ -123,7 +123,7 @@
     expect(new Set(test.sizes())).to.deep.equal(new Set([10]));
   });
 
-  it('hears of a planned leave at once, and never takes the same run back', async () => {
+  it('excludes a leaving member from roles, and then removes the member that left', async () => {
     const test = new MemberCluster(6);
     await test.start(8);
     await test.cluster.settle(test.membership('m3').announceLeaving());
@@ -146,7 +146,7 @@
     expect(new Set(test.sizes())).to.deep.equal(new Set([7]));
   });
 
-  it('orders news by run, then refutation, then status', () => {
+  it('orders records by run, then refutation, then status', () => {
     const base = {
       id: 'm',
       address: 'm:1',
--- a/packages/peering/test/peer-network.test.ts
+++ b/packages/peering/test/peer-network.test.ts
@@ -19,7 +19,7 @@
 }
 
 describe('peer network', () => {
-  it('carries calls, answers and failures of a kind', async () => {
+  it('delivers calls, responses and errors with their kind', async () => {
     const cluster = new SimulatedCluster({ seed: 1 });
     const first = await cluster.add('first');
     const second = await cluster.add('second');
@@ -37,18 +37,18 @@
     expect(await cluster.settle(missing)).to.equal('not_found');
   });
 
-  it('says whether a request can have been received', async () => {
+  it('reports whether the peer may have received a request', async () => {
     const cluster = new SimulatedCluster({ seed: 1 });
     const first = await cluster.add('first');
-    const nobody = kindOf(first.peers.call('nobody:1', greet, { text: 'x' }));
-    expect(await cluster.settle(nobody)).to.equal('peer_unreachable');
+    const unreachable = kindOf(first.peers.call('nobody:1', greet, { text: 'x' }));
+    expect(await cluster.settle(unreachable)).to.equal('peer_unreachable');
     const second = await cluster.add('second');
     second.peers.handle(greet, () => new Promise<Greeting>(() => undefined));
-    const silent = kindOf(first.peers.call(second.peers.address, greet, { text: 'x' }));
-    expect(await cluster.settle(silent)).to.equal('peer_timeout');
+    const unanswered = kindOf(first.peers.call(second.peers.address, greet, { text: 'x' }));
+    expect(await cluster.settle(unanswered)).to.equal('peer_timeout');
   });
 
-  it('counts the time for a connection into the time for the call', async () => {
+  it('includes the time to connect in the timeout of a call', async () => {
     const cluster = new SimulatedCluster({ seed: 1 });
     const first = await cluster.add('first');
     const second = await cluster.add('second');
@@ -60,7 +60,7 @@
     expect(cluster.world.now - startedAt).to.be.at.most(301);
   });
 
-  it('opens a new connection after one on which nothing came back', async () => {
+  it('opens a new connection after one without any response', async () => {
     const cluster = new SimulatedCluster({ seed: 1 });
     const { process } = await cluster.add('first');
     let connections = 0;
@@ -68,7 +68,7 @@
       listen: (address) => Promise.resolve({ address, close: () => Promise.resolve() }),
       connect: (remote) => {
         connections += 1;
-        // The other machine is gone without a word: frames vanish and no reset comes.
+        // The other machine is lost without a reset: frames are dropped unansweredly.
         const frames = new AsyncQueue<Uint8Array>();
         const close = (): void => {
           frames.close();
@@ -85,7 +85,7 @@
     }
   });
 
-  it('works over TCP, and refuses another deployment', async () => {
+  it('works over TCP, and refuses connections of another deployment', async () => {
     const clock = new SystemClock();
     const options = { transport: new TcpTransport(), clock, address: '127.0.0.1:0' };
     const server = new PeerNetwork({ ...options, deployment: 'one' });
@@ -100,7 +100,7 @@
     await Promise.all([server.close(), friend.close(), stranger.close()]);
   });
 
-  it('refuses frames that are no envelopes', () => {
+  it('rejects frames that are not envelopes', () => {
     expect(() => decodeEnvelope(new Uint8Array([1, 2, 3]))).to.throw(MalformedFrameError);
     const envelope = {
       type: 'request',
