--- a/packages/coordination/src/lease-voter.ts
+++ b/packages/coordination/src/lease-voter.ts
@@ -1,4 +1,4 @@
-/** The voters' side of leases: grants, replicated records, and the end of epochs. */
+/** Voter side of a majority lease: grants, replicated records and sealing of epochs. */
 import {
   acquireMethod,
   describeLeaseMethod,
@@ -20,36 +20,35 @@
 import type { PeerNetwork } from '@woodbarrow/peering';
 import type { Clock } from '@woodbarrow/runtime';
 
-/** What a voter keeps of one group in one epoch. It is lost when the process ends, and the seat with it. */
-interface GroupState {
+/** State of one group in one epoch. It is in memory only, so a restarted process no longer holds the seat. */
+interface VoterGroupState {
   readonly set: VoterSet;
   term: number;
   holder: string | undefined;
   holderAddress: string | undefined;
-  /** Monotonic time at which the lease lapses. */
+  /** Monotonic time at which the lease expires. */
   expiresAt: number;
   sealed: boolean;
   readonly records: Map<string, LeaseRecord>;
-  /** State of the epoch before, ended by this one; kept for the holder that brings its records along. */
-  readonly previous: GroupState | undefined;
+  /** State of the previous epoch, retained for the holder that copies its records. */
+  readonly previous: VoterGroupState | undefined;
 }
 
-/** Options of {@link LeaseVoter}. */
 export interface LeaseVoterOptions {
   readonly peers: PeerNetwork;
   readonly clock: Clock;
   readonly id: string;
-  /** Run of this process; seats of earlier runs are refused. */
+  /** Run of this process; requests for seats of earlier runs are refused. */
   readonly instance: number;
 }
 
-/** Votes in any group whose voter set names this run of this daemon. */
+/** Votes in each group whose voter set contains this run of this daemon. */
 export class LeaseVoter {
-  private readonly groups = new Map<string, GroupState>();
+  private readonly groups = new Map<string, VoterGroupState>();
 
   constructor(private readonly options: LeaseVoterOptions) {}
 
-  /** Starts answering. */
+  /** Registers the request handlers. */
   start(): void {
     const { peers } = this.options;
     peers.handle(acquireMethod, (request) => this.acquire(request));
@@ -60,38 +59,38 @@
   }
 
   private acquire(request: AcquireRequest): AcquireResponse {
-    if (request.set !== undefined) this.adopt(request.set);
-    const refusal = this.refusalOf(request.seat);
+    if (request.set !== undefined) this.adoptVoterSet(request.set);
+    const refusal = this.seatRefusal(request.seat);
     if (refusal !== undefined) return { outcome: refusal, term: 0, remainingMs: 0 };
-    const state = this.groups.get(request.seat.group) as GroupState;
+    const state = this.groups.get(request.seat.group) as VoterGroupState;
     const now = this.options.clock.monotonic();
     if (request.renewal) return this.renew(state, request, now);
-    if (state.holder !== undefined && state.expiresAt > now) return answerOf(state, 'held', now);
-    if (request.term <= state.term) return answerOf(state, 'old_term', now);
+    if (state.holder !== undefined && state.expiresAt > now) return responseFor(state, 'held', now);
+    if (request.term <= state.term) return responseFor(state, 'old_term', now);
     state.term = request.term;
     state.holder = request.holder;
     state.holderAddress = request.holderAddress;
     state.expiresAt = now + request.durationMs;
-    return { ...answerOf(state, 'granted', now), records: [...state.records.values()] };
+    return { ...responseFor(state, 'granted', now), records: [...state.records.values()] };
   }
 
-  private renew(state: GroupState, request: AcquireRequest, now: number): AcquireResponse {
+  private renew(state: VoterGroupState, request: AcquireRequest, now: number): AcquireResponse {
     const same = state.term === request.term && state.holder === request.holder;
-    // A lapsed lease may be renewed while no other was granted: no one else can have held it.
-    if (!same) return answerOf(state, 'held', now);
+    // An expired lease may be renewed while no other was granted, since nothing else can have held it.
+    if (!same) return responseFor(state, 'held', now);
     state.expiresAt = now + request.durationMs;
-    return answerOf(state, 'granted', now);
+    return responseFor(state, 'granted', now);
   }
 
   private write(request: WriteRequest): boolean {
-    if (this.refusalOf(request.seat) !== undefined) return false;
-    const state = this.groups.get(request.seat.group) as GroupState;
+    if (this.seatRefusal(request.seat) !== undefined) return false;
+    const state = this.groups.get(request.seat.group) as VoterGroupState;
     if (request.term !== state.term) return false;
     for (const record of request.records) {
       const known = state.records.get(record.key);
       if (known !== undefined && !isNewer(record, known)) continue;
-      // A deletion leaves no trace. An older copy at another voter may come back after a change of holder:
-      // keepers of records must therefore take a returned record for the cautious case.
+      // A deletion leaves no tombstone, so an older copy at another voter may reappear after a change of
+      // holder. Users of the records must handle a reappeared record conservatively.
       if (record.value === null) state.records.delete(record.key);
       else state.records.set(record.key, record);
     }
@@ -99,8 +98,8 @@
   }
 
   private release(request: ReleaseRequest): Record<string, never> {
-    if (this.refusalOf(request.seat) !== undefined) return {};
-    const state = this.groups.get(request.seat.group) as GroupState;
+    if (this.seatRefusal(request.seat) !== undefined) return {};
+    const state = this.groups.get(request.seat.group) as VoterGroupState;
     if (request.term === state.term) {
       state.holder = undefined;
       state.holderAddress = undefined;
@@ -123,7 +122,7 @@
   private describe(group: string): DescribeLeaseResponse {
     const state = this.groups.get(group);
     if (state === undefined) return { epoch: 0, remainingMs: 0 };
-    const { remainingMs, holder, holderAddress } = answerOf(state, 'held', this.options.clock.monotonic());
+    const { remainingMs, holder, holderAddress } = responseFor(state, 'held', this.options.clock.monotonic());
     return {
       epoch: state.set.epoch,
       remainingMs,
@@ -132,8 +131,8 @@
     };
   }
 
-  /** Takes up a seat in a newer epoch. Records do not come along: the new holder brings them. */
-  private adopt(set: VoterSet): void {
+  /** Takes a seat in a newer epoch, without the records: the new holder copies them. */
+  private adoptVoterSet(set: VoterSet): void {
     const known = this.groups.get(set.group);
     if (known !== undefined && known.set.epoch >= set.epoch) return;
     const seated = set.voters.some(
@@ -148,12 +147,12 @@
       expiresAt: 0,
       sealed: false,
       records: new Map(),
-      // One epoch back is enough: each holder brings along all that the epoch before knew.
+      // One previous epoch suffices, since each holder copies all records of the epoch before.
       previous: known === undefined ? undefined : { ...known, previous: undefined },
     });
   }
 
-  private refusalOf(seat: Seat): VoteOutcome | undefined {
+  private seatRefusal(seat: Seat): VoteOutcome | undefined {
     if (seat.instance !== this.options.instance) return 'not_a_voter';
     const state = this.groups.get(seat.group);
     if (state === undefined || state.set.epoch < seat.epoch) return 'unknown_epoch';
@@ -162,12 +161,12 @@
   }
 }
 
-/** Whether one record was written after another. */
+/** Whether `record` was written after `known`. */
 export function isNewer(record: LeaseRecord, known: LeaseRecord): boolean {
   return record.term > known.term || (record.term === known.term && record.sequence > known.sequence);
 }
 
-function answerOf(state: GroupState, outcome: VoteOutcome, now: number): AcquireResponse {
+function responseFor(state: VoterGroupState, outcome: VoteOutcome, now: number): AcquireResponse {
   const remainingMs = Math.max(0, state.expiresAt - now);
   const held = remainingMs > 0 && state.holder !== undefined;
   return {
--- a/packages/exchange/src/coordinator-directory.ts
+++ b/packages/exchange/src/coordinator-directory.ts
@@ -1,4 +1,4 @@
-/** Which daemon coordinates which zone, from what the coordinators claim again and again. */
+/** Tracks which daemon coordinates which zone, from the claims that coordinators repeat. */
 import type { ReportScope } from '@woodbarrow/backends';
 import {
   compareStorePositions,
@@ -13,97 +13,97 @@
   readonly memberId: string;
   readonly address: string;
   readonly fence: number;
-  /** Loads from the weight store that it had under way when it last told. */
+  /** Number of loads from the weight store that were in progress at its last report. */
   readonly storeLoads: number;
-  /** Loads that it had under way when it last told, with the time left now. */
+  /** Loads that were in progress at its last report, with the remaining time as of now. */
   readonly loading: readonly LoadUnderWay[];
 }
 
-/** Milliseconds after which a claim that is not repeated is no longer believed. */
+/** Milliseconds after which a claim that is not repeated expires. */
 export const CLAIM_LIFETIME_MS = 1300;
 
-/** For whom a source of claims speaks. */
+/** Whose claims a source reports. */
 export type ClaimScope = ReportScope | 'own';
 
 interface SourceClaims {
   readonly scope: ClaimScope;
-  /** When it told, in elapsed time. */
+  /** Time of the report, in elapsed time. */
   readonly at: number;
   readonly claims: readonly RelayedClaim[];
 }
 
-/** A confirmation of a zone's lease that its holder told, with the position of the lease's record. */
-export interface ToldConfirmation extends StorePosition {
-  /** Monotonic time at which the confirming write had begun at the latest. */
+/** A reported confirmation of a zone's lease, with the position of the lease's record. */
+export interface ReportedConfirmation extends StorePosition {
+  /** Latest possible start of the confirming write, in monotonic time. */
   readonly at: number;
 }
 
-/** Claims by the source that told them. */
+/** Claims by the source that reported them. */
 export class CoordinatorDirectory {
   private readonly sources = new Map<string, SourceClaims>();
-  /** Newest confirmation of each zone's lease, kept when its claims lapse. */
-  private readonly confirmations = new Map<string, ToldConfirmation>();
+  /** Newest confirmation of each zone's lease; retained when the claims expire. */
+  private readonly confirmations = new Map<string, ReportedConfirmation>();
 
   constructor(
     private readonly clock: Clock,
     private readonly selfId: string,
   ) {}
 
-  /** Takes the claims that a source tells of; zones that it told before and does not now are free. */
+  /** Replaces the claims of a source. Zones that it no longer reports become unclaimed. */
   accept(source: string, scope: ClaimScope, claims: readonly RelayedClaim[]): void {
-    // Others may still tell of claims of this daemon's former run.
-    const believed = scope === 'own' ? claims : claims.filter((claim) => claim.holder !== this.selfId);
+    // Others may still report claims of an earlier run of this daemon.
+    const accepted = scope === 'own' ? claims : claims.filter((claim) => claim.holder !== this.selfId);
     const at = this.clock.monotonic();
-    this.sources.set(source, { scope, at: this.clock.elapsed(), claims: believed });
-    for (const claim of believed) this.noteConfirmation(claim, at);
+    this.sources.set(source, { scope, at: this.clock.elapsed(), claims: accepted });
+    for (const claim of accepted) this.recordConfirmation(claim, at);
   }
 
-  private noteConfirmation(
+  private recordConfirmation(
     { zone, leaseEra, leaseRevision, confirmedAgoMs }: RelayedClaim,
     at: number,
   ): void {
     const position = { era: leaseEra ?? 0, revision: leaseRevision };
-    const known = this.confirmations.get(zone);
-    const order = known === undefined ? 1 : compareStorePositions(position, known);
+    const previous = this.confirmations.get(zone);
+    const order = previous === undefined ? 1 : compareStorePositions(position, previous);
     if (order < 0) return;
-    // Claims are passed on, so the write began no later than this, and perhaps earlier.
+    // Claims are relayed, so the write began at this time or earlier.
     const beganAt = at - confirmedAgoMs;
-    const earliest = known !== undefined && order === 0 ? Math.min(known.at, beganAt) : beganAt;
+    const earliest = previous !== undefined && order === 0 ? Math.min(previous.at, beganAt) : beganAt;
     this.confirmations.set(zone, { ...position, at: earliest });
   }
 
-  /** The last confirmation of a zone's lease that its holder told, also when its claim has lapsed. */
-  lastConfirmation(zone: string): ToldConfirmation | undefined {
+  /** Last reported confirmation of a zone's lease, even if its claim has expired. */
+  lastConfirmation(zone: string): ReportedConfirmation | undefined {
     return this.confirmations.get(zone);
   }
 
-  /** The coordinator of a zone, when one has claimed it lately. */
+  /** Returns the coordinator of a zone; undefined without an unexpired claim. */
   of(zone: string): Coordinator | undefined {
     let best: RelayedClaim | undefined;
-    let toldAt = 0;
+    let receivedAt = 0;
     for (const { claims, at } of this.freshSources()) {
       const claim = claims.find((candidate) => candidate.zone === zone);
       if (claim === undefined || claim.fence < (best?.fence ?? -Infinity)) continue;
       best = claim;
-      toldAt = at;
+      receivedAt = at;
     }
     if (best === undefined) return undefined;
     const { holder, address, fence, storeLoads } = best;
-    const ageMs = this.clock.elapsed() - toldAt;
+    const ageMs = this.clock.elapsed() - receivedAt;
     const loading = best.loading.map(({ model, readyInMs }) => ({ model, readyInMs: readyInMs - ageMs }));
     return { memberId: holder, address, fence, storeLoads, loading };
   }
 
-  /** Fresh claims told by sources of the given scopes. */
+  /** Unexpired claims of the sources of the given scopes. */
   claims(scopes: readonly ClaimScope[]): RelayedClaim[] {
-    const told: RelayedClaim[] = [];
+    const fresh: RelayedClaim[] = [];
     for (const { scope, claims } of this.freshSources()) {
-      if (scopes.includes(scope)) told.push(...claims);
+      if (scopes.includes(scope)) fresh.push(...claims);
     }
-    return told;
+    return fresh;
   }
 
-  /** Drops what others told, when it is to come another way. */
+  /** Removes the claims that other daemons reported; used when reports start to arrive by another path. */
   dropReports(): void {
     for (const [source, { scope }] of this.sources) {
       if (scope !== 'own') this.sources.delete(source);
@@ -112,8 +112,8 @@
 
   private *freshSources(): Generator<SourceClaims> {
     const oldest = this.clock.elapsed() - CLAIM_LIFETIME_MS;
-    for (const [source, told] of this.sources) {
-      if (told.at >= oldest) yield told;
+    for (const [source, entry] of this.sources) {
+      if (entry.at >= oldest) yield entry;
       else this.sources.delete(source);
     }
   }
--- a/packages/exchange/src/record-transfer.ts
+++ b/packages/exchange/src/record-transfer.ts
@@ -1,4 +1,6 @@
-/** What daemons send each other of the records that they follow: positions asked from, and updates in answer. */
+/**
+ * Transfers store records between daemons: a daemon sends its positions and receives the updates after them.
+ */
 import {
   compareStorePositions,
   type SentUpdate,
@@ -6,83 +8,87 @@
   type StorePosition,
 } from '@woodbarrow/protocol';
 import type { Clock } from '@woodbarrow/runtime';
-import { RecordPacker, unpack } from './packed-records.js';
-import { isAhead } from './record-position.js';
+import { RecordPacker, unpack } from './record-packer.js';
+import { isNewerPosition } from './record-position.js';
 import type { RecordSet } from './record-set.js';
 import { SentUpdates } from './sent-updates.js';
 
-/** Options of {@link RecordTransfer}. */
 export interface RecordTransferOptions {
   readonly sets: readonly RecordSet[];
-  /** Kinds of records whose changes are passed on at once. */
+  /** Kinds of records whose changes are forwarded immediately. */
   readonly urgentSources: readonly string[];
   readonly clock: Clock;
 }
 
-const NOTHING_SEEN: StorePosition = { era: 0, revision: 0 };
+const INITIAL_POSITION: StorePosition = { era: 0, revision: 0 };
 
-/** Transfer of one daemon's records. */
+/** Transfers the records of one daemon. */
 export class RecordTransfer {
   private readonly packer = new RecordPacker();
-  private readonly sent: SentUpdates;
+  private readonly sentUpdates: SentUpdates;
 
   constructor(private readonly options: RecordTransferOptions) {
-    this.sent = new SentUpdates(options.clock);
+    this.sentUpdates = new SentUpdates(options.clock);
   }
 
-  /** How far this daemon has come, by kind. */
+  /** Positions of this daemon, by kind. */
   positions(): SourcePosition[] {
     return this.options.sets.map((set) => set.position);
   }
 
-  /** How far this daemon has come with the urgent kinds: the furthest of them. */
-  newestUrgent(): StorePosition {
+  /** Newest position among the urgent kinds. */
+  newestUrgentPosition(): StorePosition {
     const urgent = this.options.sets.filter((set) => this.isUrgent(set.source));
     return urgent
       .map((set) => set.position)
       .reduce<StorePosition>(
         (newest, position) => (compareStorePositions(position, newest) > 0 ? position : newest),
-        NOTHING_SEEN,
+        INITIAL_POSITION,
       );
   }
 
-  /** Whether a daemon at other positions has an urgent record that is newer than the ones here. */
+  /** Whether a daemon at the given positions has a newer urgent record than this one. */
   isOutdatedBy(positions: readonly SourcePosition[]): boolean {
     return positions.some((position) => {
-      const own = this.setOf(position.source)?.position;
-      return own !== undefined && this.isUrgent(position.source) && isAhead(position, own);
+      const own = this.recordSetOf(position.source)?.position;
+      return own !== undefined && this.isUrgent(position.source) && isNewerPosition(position, own);
     });
   }
 
-  /** Whether a daemon at other positions lacks an urgent record, or has none at all. */
-  hasUrgentFor(positions: readonly SourcePosition[]): boolean {
+  /** Whether a daemon at the given positions lacks an urgent record, or has no records of a kind at all. */
+  hasUrgentUpdateFor(positions: readonly SourcePosition[]): boolean {
     return positions.some((position) => {
-      const own = this.setOf(position.source)?.position;
+      const own = this.recordSetOf(position.source)?.position;
       if (own === undefined || (position.revision > 0 && !this.isUrgent(position.source))) return false;
-      return isAhead(own, { ...position, era: position.era ?? own.era });
+      return isNewerPosition(own, { ...position, era: position.era ?? own.era });
     });
   }
 
   /**
-   * What a daemon at other positions lacks.
+   * Returns the updates for a daemon at the given positions.
    *
-   * @param reader Set for a daemon that asks again and again: it is not sent the same anew while it comes.
+   * @param reader Name of a daemon that asks repeatedly; an update that may still be in transit is not sent
+   * to it again.
    */
   updatesFor(positions: readonly SourcePosition[], reader?: string): SentUpdate[] {
     return positions.flatMap((position) => {
-      const update = this.setOf(position.source)?.updateFor(position);
+      const update = this.recordSetOf(position.source)?.updateFor(position);
       if (update === undefined) return [];
-      if (reader !== undefined && !this.sent.maySend(reader, position)) return [];
+      if (reader !== undefined && !this.sentUpdates.maySend(reader, position)) return [];
       return [this.packer.pack(update)];
     });
   }
 
-  /** Takes what another daemon sent. @throws what {@link unpack} throws. */
+  /**
+   * Merges updates from another daemon.
+   *
+   * @throws Errors of {@link unpack}.
+   */
   merge(updates: readonly SentUpdate[]): void {
-    for (const update of updates) this.setOf(update.source)?.merge(unpack(update));
+    for (const update of updates) this.recordSetOf(update.source)?.merge(unpack(update));
   }
 
-  private setOf(source: string): RecordSet | undefined {
+  private recordSetOf(source: string): RecordSet | undefined {
     return this.options.sets.find((set) => set.source === source);
   }
 
--- a/packages/membership/src/probe-targets.ts
+++ b/packages/membership/src/probe-targets.ts
@@ -1,11 +1,13 @@
-/** Which member to probe next: mostly neighbours, now and then another zone or region. */
+/** Selects the next member to probe: mostly from the same zone, sometimes from another zone or region. */
 import type { MemberRecord } from '@woodbarrow/protocol';
 import type { Random } from '@woodbarrow/runtime';
 
 const SAME_ZONE_SHARE = 0.7;
 const SAME_REGION_SHARE = 0.9;
 
-/** Goes through the members of each distance in random rounds, so that each is probed in bounded time. */
+/**
+ * Iterates over the members of each distance in random rounds, so that each is probed within a bounded time.
+ */
 export class ProbeTargets {
   private readonly rounds = new Map<string, string[]>();
 
@@ -14,20 +16,20 @@
     private readonly random: Random,
   ) {}
 
-  /** The next member to probe, or undefined when there is nobody. */
+  /** Returns the next member to probe; undefined when there are no other members. */
   next(present: readonly MemberRecord[]): MemberRecord | undefined {
     const others = present.filter((member) => member.id !== this.self.id);
     const draw = this.random.next();
     const sameZone = others.filter((member) => member.zone === this.self.zone);
-    if (draw < SAME_ZONE_SHARE && sameZone.length > 0) return this.take('zone', sameZone);
+    if (draw < SAME_ZONE_SHARE && sameZone.length > 0) return this.nextInRound('zone', sameZone);
     const otherZone = others.filter((member) => member.zone !== this.self.zone);
     const sameRegion = otherZone.filter((member) => member.region === this.self.region);
-    if (draw < SAME_REGION_SHARE && sameRegion.length > 0) return this.take('region', sameRegion);
-    if (otherZone.length > 0) return this.take('world', otherZone);
-    return this.take('zone', sameZone);
+    if (draw < SAME_REGION_SHARE && sameRegion.length > 0) return this.nextInRound('region', sameRegion);
+    if (otherZone.length > 0) return this.nextInRound('world', otherZone);
+    return this.nextInRound('zone', sameZone);
   }
 
-  private take(distance: string, candidates: readonly MemberRecord[]): MemberRecord | undefined {
+  private nextInRound(distance: string, candidates: readonly MemberRecord[]): MemberRecord | undefined {
     const byId = new Map(candidates.map((member) => [member.id, member]));
     let round = this.rounds.get(distance) ?? [];
     for (;;) {
--- a/packages/peering/src/peer-network.ts
+++ b/packages/peering/src/peer-network.ts
@@ -1,4 +1,4 @@
-/** Calls between daemons: one connection for each peer, one task for each connection. */
+/** Remote calls between daemons, with one outgoing connection to each peer. */
 import { WoodbarrowError, isErrorKind, toWoodbarrowError } from '@woodbarrow/errors';
 import {
   PROTOCOL_VERSION,
@@ -18,25 +18,23 @@
 } from '@woodbarrow/runtime';
 import { TrafficCounters } from './traffic-counters.js';
 
-/** Options of {@link PeerNetwork}. */
 export interface PeerNetworkOptions {
   readonly transport: Transport;
   readonly clock: Clock;
   /** Address to listen on, `ip:port`. */
   readonly address: Address;
-  /** Name of the deployment; peers of another one are refused. */
+  /** Name of the deployment; connections from other deployments are refused. */
   readonly deployment: string;
-  /** Milliseconds to wait for a connection. @default 1000 */
+  /** Timeout of a connection attempt in milliseconds. @default 1000 */
   readonly connectTimeoutMs?: number;
 }
 
-/** Options of {@link PeerNetwork.call}. */
 export interface CallOptions {
-  /** Milliseconds to wait for the answer. @default 2000 */
+  /** Timeout of the call in milliseconds. @default 2000 */
   readonly timeoutMs?: number;
 }
 
-/** Answers a call; what it throws reaches the caller as an error of the same kind. */
+/** Handles a call; an error that it throws reaches the caller with the same kind. */
 export type PeerHandler<Request, Response> = (request: Request) => Promise<Response> | Response;
 
 const DEFAULT_CALL_TIMEOUT_MS = 2000;
@@ -48,19 +46,19 @@
   readonly cancelTimer: () => void;
 }
 
-/** One outgoing connection and the calls under way on it. */
+/** One outgoing connection and the pending calls on it. */
 class Peer {
   readonly pending = new Map<number, PendingCall>();
   nextId = 1;
-  /** Monotonic time of the last frame from the other side. */
+  /** Monotonic time of the last received frame. */
   lastReceivedAt = -Infinity;
 
   constructor(readonly connection: Connection) {}
 }
 
-/** Sends calls to peers and answers theirs. */
+/** Sends calls to peers and handles theirs. */
 export class PeerNetwork {
-  /** Bytes and messages in and out. */
+  /** Bytes and messages sent and received. */
   readonly traffic = new TrafficCounters();
   private readonly handlers = new Map<string, PeerHandler<object, object>>();
   private readonly peers = new Map<Address, Promise<Peer>>();
@@ -70,7 +68,7 @@
 
   constructor(private readonly options: PeerNetworkOptions) {}
 
-  /** Address that peers reach this daemon at. Known after {@link start}. */
+  /** Address at which peers reach this daemon; final after {@link start}. */
   get address(): Address {
     return this.listener?.address ?? this.options.address;
   }
@@ -82,7 +80,7 @@
     });
   }
 
-  /** Registers the answer to a method. */
+  /** Registers the handler of a method. */
   handle<Request, Response>(
     method: PeerMethod<Request, Response>,
     handler: PeerHandler<Request, Response>,
@@ -93,8 +91,8 @@
   /**
    * Calls a peer.
    *
-   * @throws WoodbarrowError `peer_unreachable` when the request was certainly not received, `peer_timeout`
-   * when no answer came, or the kind that the peer's handler threw.
+   * @throws WoodbarrowError `peer_unreachable` when the peer cannot have received the request, `peer_timeout`
+   * when no response arrived, or the kind that the peer's handler threw.
    */
   async call<Request, Response>(
     address: Address,
@@ -108,12 +106,12 @@
     const startedAt = clock.monotonic();
     const opened = await settleWithin(clock, timeoutMs, this.connectionTo(address));
     if (opened.timedOut) throw new WoodbarrowError('peer_unreachable', `no connection to ${address} in time`);
-    const leftMs = timeoutMs - (clock.monotonic() - startedAt);
-    const body = await this.exchange(opened.value, address, method.name, request as object, leftMs);
+    const remainingMs = timeoutMs - (clock.monotonic() - startedAt);
+    const body = await this.exchange(opened.value, address, method.name, request as object, remainingMs);
     return body as Response;
   }
 
-  /** Stops listening and ends all connections. */
+  /** Stops listening and closes all connections. */
   async close(): Promise<void> {
     this.closed = true;
     for (const connection of this.accepted) connection.close();
@@ -131,29 +129,30 @@
     request: Request,
   ): Promise<Response> {
     const handler = this.handlers.get(method.name);
-    if (handler === undefined) throw new WoodbarrowError('internal', `no handler for ${method.name}`);
+    if (handler === undefined) throw new WoodbarrowError('internal', `no handler for method ${method.name}`);
     return (await handler(request as object)) as Response;
   }
 
   private connectionTo(address: Address): Promise<Peer> {
-    const known = this.peers.get(address);
-    if (known !== undefined) return known;
+    const existing = this.peers.get(address);
+    if (existing !== undefined) return existing;
     const opening = this.open(address);
     this.peers.set(address, opening);
     opening.catch(() => {
-      this.forget(address, opening);
+      this.removePeer(address, opening);
     });
     return opening;
   }
 
   private async open(address: Address): Promise<Peer> {
-    if (this.closed) throw new WoodbarrowError('peer_unreachable', 'this daemon has closed its peer links');
-    const limit = this.options.connectTimeoutMs ?? DEFAULT_CONNECT_TIMEOUT_MS;
+    if (this.closed)
+      throw new WoodbarrowError('peer_unreachable', 'the peer network of this daemon is closed');
+    const timeoutMs = this.options.connectTimeoutMs ?? DEFAULT_CONNECT_TIMEOUT_MS;
     let connection: Connection;
     try {
-      connection = await this.options.transport.connect(address, limit);
+      connection = await this.options.transport.connect(address, timeoutMs);
     } catch (error) {
-      throw new WoodbarrowError('peer_unreachable', `cannot reach ${address}`, { cause: error });
+      throw new WoodbarrowError('peer_unreachable', `cannot connect to ${address}`, { cause: error });
     }
     const peer = new Peer(connection);
     this.transmit(
@@ -165,7 +164,7 @@
     return peer;
   }
 
-  private forget(address: Address, opening: Promise<Peer>): void {
+  private removePeer(address: Address, opening: Promise<Peer>): void {
     if (this.peers.get(address) === opening) this.peers.delete(address);
   }
 
@@ -183,7 +182,7 @@
       const sentAt = clock.monotonic();
       const cancelTimer = clock.schedule(timeoutMs, () => {
         peer.pending.delete(id);
-        // A connection on which nothing came back may be half open; the next call opens a new one.
+        // A connection without any response may be half open; the next call opens a new one.
         if (peer.lastReceivedAt < sentAt) peer.connection.close();
         reject(
           new WoodbarrowError(
@@ -197,7 +196,7 @@
     });
   }
 
-  /** Task of one outgoing connection. */
+  /** Reads the responses of one outgoing connection until it closes. */
   private async readAnswers(address: Address, peer: Peer): Promise<void> {
     try {
       for await (const frame of peer.connection.frames) {
@@ -211,11 +210,13 @@
     }
     const current = this.peers.get(address);
     if (current !== undefined && (await current.catch(() => undefined)) === peer)
-      this.forget(address, current);
+      this.removePeer(address, current);
     peer.connection.close();
     for (const call of peer.pending.values()) {
       call.cancelTimer();
-      call.reject(new WoodbarrowError('peer_timeout', `connection to ${address} ended before the answer`));
+      call.reject(
+        new WoodbarrowError('peer_timeout', `connection to ${address} closed before the response arrived`),
+      );
     }
     peer.pending.clear();
   }
@@ -237,16 +238,16 @@
     call.reject(new WoodbarrowError(kind, envelope.message));
   }
 
-  /** Task of one accepted connection. */
+  /** Serves the requests of one accepted connection until it closes. */
   private async serve(connection: Connection): Promise<void> {
     this.accepted.add(connection);
-    let greeted = false;
+    let hasHandshake = false;
     try {
       for await (const frame of connection.frames) {
         const envelope = decodeEnvelope(frame);
-        if (!greeted) {
-          if (!this.isWelcome(envelope)) break;
-          greeted = true;
+        if (!hasHandshake) {
+          if (!this.acceptsHello(envelope)) break;
+          hasHandshake = true;
         } else if (envelope.type === 'request') {
           this.traffic.received(envelope.method, frame.byteLength);
           void this.answer(connection, envelope);
@@ -259,19 +260,19 @@
     connection.close();
   }
 
-  private isWelcome(envelope: Envelope): boolean {
-    const welcome =
+  private acceptsHello(envelope: Envelope): boolean {
+    const isCompatible =
       envelope.type === 'hello' &&
       envelope.version === PROTOCOL_VERSION &&
       envelope.deployment === this.options.deployment;
-    if (!welcome) this.traffic.refusedConnections += 1;
-    return welcome;
+    if (!isCompatible) this.traffic.refusedConnections += 1;
+    return isCompatible;
   }
 
   private async answer(connection: Connection, request: RequestEnvelope): Promise<void> {
     try {
       const handler = this.handlers.get(request.method);
-      if (handler === undefined) throw new WoodbarrowError('not_found', `no method ${request.method}`);
+      if (handler === undefined) throw new WoodbarrowError('not_found', `unknown method ${request.method}`);
       const body = await handler(request.body);
       this.transmit(connection, { type: 'response', id: request.id, body }, 'answer');
     } catch (thrown) {
