--- a/packages/residency/test/zone-residency.test.ts
+++ b/packages/residency/test/zone-residency.test.ts
@@ -268,11 +268,11 @@
       withinMs: 400,
     };
     const refusedAt = zone.world.now;
-    const told = await zone.settle(coordinator.demand(message));
-    expect(told).to.include({ held: false, reason: 'loading' });
+    const refusal = await zone.settle(coordinator.demand(message));
+    expect(refusal).to.include({ held: false, reason: 'loading' });
     expect(zone.world.now - refusedAt).to.be.lessThan(50);
     for (const model of ['m3', 'm4', 'm5', 'm6']) void demand(coordinator, model);
-    await zone.world.run(zone.world.now + told.retryAfterMs);
+    await zone.world.run(zone.world.now + refusal.retryAfterMs);
     const askedAt = zone.world.now;
     expect(await zone.settle(coordinator.demand(message))).to.include({ held: true });
     expect(zone.world.now - askedAt).to.be.lessThan(100);
