--- a/packages/exchange/src/follower-tracker.ts
+++ b/packages/exchange/src/follower-watch.ts
@@ -12,7 +12,7 @@
 }
 
 /** Reports of relays, as received by one of them. */
-export class FollowerTracker {
+export class FollowerWatch {
   private readonly reports = new Map<string, FollowerReport>();
 
   constructor(private readonly clock: Clock) {}
--- a/packages/exchange/src/index.ts
+++ b/packages/exchange/src/index.ts
@@ -1,5 +1,5 @@
 /** Regular exchange of load, claims and store records between daemons, by way of relays. */
-export * from './staleness-tracker.js';
+export * from './behind.js';
 export * from './change-log.js';
 export * from './coordinator-directory.js';
 export * from './crash-mark-transfer.js';
@@ -9,4 +9,4 @@
 export * from './record-set.js';
 export * from './record-transfer.js';
 export * from './sent-updates.js';
-export * from './follower-tracker.js';
+export * from './follower-watch.js';
--- a/packages/exchange/src/peer-exchange.ts
+++ b/packages/exchange/src/peer-exchange.ts
@@ -24,12 +24,12 @@
   type ZoneClaim,
 } from '@woodbarrow/protocol';
 import { BackgroundService, type Clock } from '@woodbarrow/runtime';
-import { BehindTracker } from './staleness-tracker.js';
+import { BehindTracker } from './behind.js';
 import { ChangeTransfer } from './change-transfer.js';
 import type { CoordinatorDirectory } from './coordinator-directory.js';
 import { CrashMarkTransfer, type SharedCrashMarks } from './crash-mark-transfer.js';
 import { HeldCalls } from './held-calls.js';
-import { FollowerTracker } from './follower-tracker.js';
+import { FollowerWatch } from './follower-watch.js';
 import type { RecordSet } from './record-set.js';
 import { RecordTransfer } from './record-transfer.js';
 import { toLoadReport, toStateReport } from './state-report.js';
@@ -136,12 +136,12 @@
   /** Relay that this daemon is attached to. */
   private attachedRelay: Member | undefined;
   private readonly staleness: BehindTracker;
-  private readonly followerTracker: FollowerTracker;
+  private readonly followerTracker: FollowerWatch;
   private hasLoggedUnattached = false;
 
   constructor(private readonly options: PeerExchangeOptions) {
     super(options.clock, logTaskFailures(options.log));
-    this.followerTracker = new FollowerTracker(options.clock);
+    this.followerTracker = new FollowerWatch(options.clock);
     this.heldCalls = new HeldCalls(options.clock);
     this.crashMarkTransfer = new CrashMarkTransfer(options.crashMarks, options.clock);
     const { clock, records, urgentSources } = options;
--- a/packages/exchange/test/coordinator-directory.test.ts
+++ b/packages/exchange/test/coordinator-directory.test.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai';
 import { SimulatedProcess, SimulatedWorld } from '@woodbarrow/runtime';
-import { CLAIM_LIFETIME_MS, CoordinatorDirectory, FollowerTracker } from '../src/index.js';
+import { CLAIM_LIFETIME_MS, CoordinatorDirectory, FollowerWatch } from '../src/index.js';
 
 const CLAIM = {
   zone: 'z',
@@ -44,7 +44,7 @@
   });
 
   it('expire the report that a relay follows the store', async () => {
-    const watch = new FollowerTracker(machine);
+    const watch = new FollowerWatch(machine);
     watch.recordReport('relay', true);
     expect(watch.isFollowing('relay')).to.equal(true);
     await suspend();
