--- a/packages/quarantine/test/crash-batch-records.test.ts
+++ b/packages/quarantine/test/crash-batch-records.test.ts
@@ -25,7 +25,7 @@
     return [...deployment.entries.values()].filter((entry): entry is CrashBatchRecord => 'ends' in entry);
   }
 
-  /** Ends one process while it runs many contents, spread over all daemons. */
+  /** One process ends under many contents, by way of all daemons. */
   function crashUnderMany(processId: string, count: number): string[] {
     const contents = Array.from({ length: count }, (_, index) => `content-${String(index)}`);
     deployment.ended.add(processId);
@@ -45,7 +45,7 @@
     await deployment.advance(RECORDED_WITHIN_MS);
     const kept = new Set(records().flatMap(({ ends }) => ends.map(({ suspect }) => suspect)));
     expect([...kept]).to.have.members(contents);
-    // One record per content would be sixty writes, and one per daemon twelve.
+    // A record for each content would be sixty calls, one for each daemon that saw an end twelve.
     expect(deployment.entries.size).to.be.at.most(8);
   });
 
@@ -75,7 +75,7 @@
     expect(deployment.daemons[0]?.verdictOf('crashes')).to.include({ ends: 3 });
   });
 
-  it('are written with all crashes so far once the store is available again', async () => {
+  it('are written once the store is back, with all that came meanwhile', async () => {
     deployment.isStoreDown = true;
     const contents = crashUnderMany('w1', 24);
     await deployment.advance(3000);
@@ -86,7 +86,7 @@
     expect([...kept]).to.have.members(contents);
   });
 
-  it('are removed once every content in them has been served', async () => {
+  it('are removed once every content in them has run well', async () => {
     const contents = crashUnderMany('w1', 12);
     await deployment.advance(RECORDED_WITHIN_MS);
     for (const content of contents) daemons[0]?.noteServed(content);
