--- a/packages/forwarding/src/answer-passing.ts
+++ b/packages/forwarding/src/answer-forwarder.ts
@@ -1,21 +1,26 @@
 /** Passes the answer of one back end on to the client, and notes what it tells of the back end. */
 import type { BackEnd } from '@woodbarrow/backends';
 import type { BackendAnswer } from '@woodbarrow/runtime';
-import { ABORTED, orAborted } from './abortable.js';
-import { AnswerRelay, type BrokenResult, type StreamOptions, type StreamResult } from './answer-relay.js';
-import type { EventAnswer, UnbegunAnswer } from './client-answer.js';
-import type { StreamCourse } from './request-ending.js';
+import { ABORTED, raceAbort } from './race-abort.js';
+import {
+  AnswerRelay,
+  type BrokenResult,
+  type StreamRelayOptions,
+  type StreamRelayResult,
+} from './answer-relay.js';
+import type { EventStreamAnswer, PendingAnswer } from './client-answer.js';
+import type { StreamSummary } from './request-completion.js';
 import type { AttemptResult, RequestScope } from './request-scope.js';
-import type { RunForecast } from './run-forecast.js';
+import type { RunTimeEstimate } from './run-time-estimate.js';
 import { isStream, mayRunAgain } from './route.js';
 import type { SendFailures } from './send-failures.js';
 import { StreamPosition } from './stream-position.js';
 
 /** A stream silent for this many times its longest pause in time is taken up elsewhere. */
-const SILENT_GAPS = 2.5;
+const STALL_GAP_MULTIPLE = 2.5;
 /** Part of the client's patience with a gap for which a back end may be silent while no other holds the model. */
-const LONE_SHARE = 0.5;
-const EVENT_STREAM = 'text/event-stream';
+const SOLE_HOLDER_GAP_SHARE = 0.5;
+const EVENT_STREAM_TYPE = 'text/event-stream';
 
 /** An answer, who gave it, and when the request was sent there. */
 export interface SentAnswer {
@@ -26,17 +31,17 @@
 }
 
 /** Why an answer cannot take a stream up. */
-type TakeUpRefusal = 'failure' | 'not_a_stream' | Extract<StreamResult, { kind: 'refused' }>['reason'];
+type ResumeRefusal = 'failure' | 'not_a_stream' | Extract<StreamRelayResult, { kind: 'refused' }>['reason'];
 
 /** Passing of the answers to one request. */
-export class AnswerPassing {
+export class AnswerForwarder {
   private readonly relay: AnswerRelay;
   /** What the client has of the stream; absent where it may run only once. */
   private readonly position: StreamPosition | undefined;
 
   constructor(
     private readonly scope: RequestScope,
-    private readonly forecast: RunForecast,
+    private readonly runTimeEstimate: RunTimeEstimate,
     private readonly failures: SendFailures,
   ) {
     const { context, route, facts } = scope;
@@ -45,17 +50,17 @@
   }
 
   /** Passes an answer on as far as it fits what the client has received. */
-  async passOn(sent: SentAnswer): Promise<AttemptResult> {
+  async forward(sent: SentAnswer): Promise<AttemptResult> {
     const { answer, progress, route } = this.scope;
-    progress.ranOn.add(sent.backEnd.id);
+    progress.mayHaveRunOn.add(sent.backEnd.id);
     const client = answer.state;
     switch (client.kind) {
       case 'not_begun':
-        if (isStream(route.kind) && isEventStream(sent.answer)) return this.passStream(client, sent);
-        if (this.position?.hasBegun === true && isSuccess(sent.answer)) return this.refuseWhole(sent);
-        return this.passWhole(client, sent);
+        if (isStream(route.kind) && isEventStream(sent.answer)) return this.forwardStream(client, sent);
+        if (this.position?.hasBegun === true && isSuccess(sent.answer)) return this.refuseNonStream(sent);
+        return this.forwardBody(client, sent);
       case 'events':
-        return this.takeUp(client, sent);
+        return this.resumeStream(client, sent);
       case 'bytes':
       case 'ended':
         sent.answer.discard();
@@ -67,108 +72,115 @@
    * Lets an answer go on with a stream that has begun, which only a stream can do: the text of a failure, or of anything else, would
    * become a part of the client's answer and end it as complete.
    */
-  private takeUp(client: EventAnswer, sent: SentAnswer): Promise<AttemptResult> {
+  private resumeStream(client: EventStreamAnswer, sent: SentAnswer): Promise<AttemptResult> {
     const { backEnd, answer } = sent;
     const afterEvent = client.lastEventId;
-    this.decide('request_resumed', { backEnd: backEnd.id, afterEvent, status: answer.status });
-    return isEventStream(answer) ? this.passStream(client, sent) : Promise.resolve(this.refuseWhole(sent));
+    this.recordDecision('request_resumed', { backEnd: backEnd.id, afterEvent, status: answer.status });
+    return isEventStream(answer)
+      ? this.forwardStream(client, sent)
+      : Promise.resolve(this.refuseNonStream(sent));
   }
 
   /** What is no stream cannot go on with one, neither here nor at a client that takes it up itself. */
-  private refuseWhole(sent: SentAnswer): AttemptResult {
+  private refuseNonStream(sent: SentAnswer): AttemptResult {
     sent.answer.discard();
-    return this.noteRefused(sent, isSuccess(sent.answer) ? 'not_a_stream' : 'failure');
+    return this.recordRefused(sent, isSuccess(sent.answer) ? 'not_a_stream' : 'failure');
   }
 
-  private async passWhole(client: UnbegunAnswer, sent: SentAnswer): Promise<AttemptResult> {
-    const { context, route, progress, times, ending } = this.scope;
+  private async forwardBody(client: PendingAnswer, sent: SentAnswer): Promise<AttemptResult> {
+    const { context, route, progress, times, completion } = this.scope;
     const { answer, backEnd, sentAt } = sent;
-    const tookMs = context.clock.monotonic() - sentAt;
-    const patienceMs = this.failures.patienceMs(progress.ranOn.size);
-    const processLives = (): Promise<boolean> => this.processLives(backEnd);
-    const result = await this.relay.passWhole(client, answer, patienceMs, processLives);
-    if (result.kind === 'broken') return this.noteBroken(sent, result);
+    const latencyMs = context.clock.monotonic() - sentAt;
+    const idleTimeoutMs = this.failures.answerTimeoutMs(progress.mayHaveRunOn.size);
+    const isProcessAlive = (): Promise<boolean> => this.isProcessAlive(backEnd);
+    const result = await this.relay.relayBody(client, answer, idleTimeoutMs, isProcessAlive);
+    if (result.kind === 'broken') return this.recordBroken(sent, result);
     context.quarantine.noteServed(this.scope.digest);
     const failed = answer.status >= 500;
-    const ratio = failed ? undefined : tookMs / times.expectedMs();
-    this.failures.health().record(backEnd.id, failed ? 'failed_answer' : 'good', ratio);
+    const latencyRatio = failed ? undefined : latencyMs / times.expectedMs();
+    this.failures.health().record(backEnd.id, failed ? 'failed_answer' : 'good', latencyRatio);
     if (result.kind === 'held') {
       if (failed && mayRunAgain(route.kind)) {
         progress.excluded.add(backEnd.id);
-        progress.heldFailure = result.answer;
+        progress.bufferedFailure = result.answer;
         return { kind: 'failure' };
       }
       client.respond(result.answer, result.answer.body);
     }
-    ending.answered(answer.status, backEnd.id);
+    completion.recordAnswered(answer.status, backEnd.id);
     return { kind: 'finished' };
   }
 
-  private async passStream(client: UnbegunAnswer | EventAnswer, sent: SentAnswer): Promise<AttemptResult> {
-    const { context, progress, times, ending } = this.scope;
+  private async forwardStream(
+    client: PendingAnswer | EventStreamAnswer,
+    sent: SentAnswer,
+  ): Promise<AttemptResult> {
+    const { context, progress, times, completion } = this.scope;
     const { answer, backEnd, sentAt } = sent;
     const firstMs = times.elapsedMs();
-    const result = await this.relay.passStream(client, answer, this.streamOptions(sent));
-    if (result.kind === 'broken') return this.noteBroken(sent, result);
-    if (result.kind === 'refused') return this.noteRefused(sent, result.reason, result.firstEvent);
+    const result = await this.relay.relayStream(client, answer, this.streamOptions(sent));
+    if (result.kind === 'broken') return this.recordBroken(sent, result);
+    if (result.kind === 'refused') return this.recordRefused(sent, result.reason, result.firstEvent);
     context.quarantine.noteServed(this.scope.digest);
     // A run that took a stream up in the middle says nothing of whole ones.
-    if (progress.ranOn.size === 1) this.forecast.note(context.clock.monotonic() - sentAt);
-    ending.answered(answer.status, backEnd.id, this.streamCourse(firstMs, result.lastEvent));
+    if (progress.mayHaveRunOn.size === 1) this.runTimeEstimate.recordRun(context.clock.monotonic() - sentAt);
+    completion.recordAnswered(answer.status, backEnd.id, this.streamSummary(firstMs, result.lastEvent));
     return { kind: 'finished' };
   }
 
-  private streamCourse(firstMs: number, lastEvent: string | undefined): StreamCourse {
+  private streamSummary(firstMs: number, lastEvent: string | undefined): StreamSummary {
     const { longestGapMs, firstEventIdOfRun } = this.relay;
     return { firstMs, longestGapMs, firstEvent: firstEventIdOfRun, lastEvent };
   }
 
-  private streamOptions({ backEnd, sentAt }: SentAnswer): StreamOptions {
+  private streamOptions({ backEnd, sentAt }: SentAnswer): StreamRelayOptions {
     const { context, times } = this.scope;
-    const ratio = (context.clock.monotonic() - sentAt) / times.expectedMs();
+    const latencyRatio = (context.clock.monotonic() - sentAt) / times.expectedMs();
     return {
       ...(this.position === undefined ? {} : { position: this.position }),
-      silentAfterMs: () => this.silentAfterMs(backEnd),
-      processLives: () => this.processLives(backEnd),
-      onFollows: () => {
-        this.failures.health().record(backEnd.id, 'good', ratio);
+      idleTimeoutMs: () => this.idleTimeoutMs(backEnd),
+      isProcessAlive: () => this.isProcessAlive(backEnd),
+      onAccepted: () => {
+        this.failures.health().record(backEnd.id, 'good', latencyRatio);
       },
     };
   }
 
-  private silentAfterMs(backEnd: BackEnd): number | undefined {
+  private idleTimeoutMs(backEnd: BackEnd): number | undefined {
     const { route } = this.scope;
     if (route.kind !== 'resumable_stream') return undefined;
     const gapMs = route.targetGapMs ?? route.targetLatencyMs;
     const clientGapMs = route.clientGapMs ?? Infinity;
-    return this.hasAlternative(backEnd) ? gapMs * SILENT_GAPS : Math.max(gapMs, clientGapMs * LONE_SHARE);
+    return this.hasAlternative(backEnd)
+      ? gapMs * STALL_GAP_MULTIPLE
+      : Math.max(gapMs, clientGapMs * SOLE_HOLDER_GAP_SHARE);
   }
 
   /**
    * False where a process has ended, or time is up before that is known. One that was leaving may have ended after its last answer, which
    * counts where another run cannot show whether there is more.
    */
-  private async processLives(backEnd: BackEnd): Promise<boolean> {
+  private async isProcessAlive(backEnd: BackEnd): Promise<boolean> {
     const { context, expired, route } = this.scope;
     const isLeaving = context.directory.get(backEnd.id)?.draining === true;
     if (isLeaving && !mayRunAgain(route.kind)) return true;
-    const fate = await orAborted(context.quarantine.fateOf(backEnd), expired);
+    const fate = await raceAbort(context.quarantine.fateOf(backEnd), expired);
     return fate !== ABORTED && fate !== 'ended';
   }
 
   /** Whether another back end could take the stream up at once. */
   private hasAlternative(backEnd: BackEnd): boolean {
     const { context, facts, service, progress } = this.scope;
-    if (facts.target === undefined || progress.stopped) return false;
+    if (facts.target === undefined || progress.isStopping) return false;
     return context.directory
       .holdersOf(service.name, facts.target)
       .some(({ id }) => id !== backEnd.id && !progress.excluded.has(id));
   }
 
   /** The answer does not go on where the client's has come to: the send has failed, and the client's answer stays as it is. */
-  private noteRefused(
+  private recordRefused(
     { backEnd, answer }: SentAnswer,
-    reason: TakeUpRefusal,
+    reason: ResumeRefusal,
     firstEvent?: string,
   ): AttemptResult {
     const { progress, facts } = this.scope;
@@ -177,22 +189,22 @@
     // Where only the client has named the event, it may be the client that is wrong.
     if (hasBegun) this.failures.health().record(backEnd.id, 'failed_answer');
     const { status } = answer;
-    this.decide('take_up_refused', { backEnd: backEnd.id, reason, status, afterEvent, firstEvent });
+    this.recordDecision('take_up_refused', { backEnd: backEnd.id, reason, status, afterEvent, firstEvent });
     return { kind: 'maybe_run' };
   }
 
-  private noteBroken({ backEnd, sentAt }: SentAnswer, { tornBytes }: BrokenResult): AttemptResult {
+  private recordBroken({ backEnd, sentAt }: SentAnswer, { tornBytes }: BrokenResult): AttemptResult {
     if (this.scope.expired.aborted) return { kind: 'maybe_run' };
     const detail = tornBytes === 0 ? 'the answer broke off' : 'the answer ended inside an event';
     if (tornBytes > 0) {
       const afterEvent = this.scope.answer.lastEventId;
-      this.decide('event_torn', { backEnd: backEnd.id, afterEvent, tornBytes });
+      this.recordDecision('event_torn', { backEnd: backEnd.id, afterEvent, tornBytes });
     }
-    this.failures.noteBroken(backEnd, sentAt, detail);
+    this.failures.recordBroken(backEnd, sentAt, detail);
     return { kind: 'maybe_run' };
   }
 
-  private decide(
+  private recordDecision(
     decision: 'request_resumed' | 'take_up_refused' | 'event_torn',
     facts: Readonly<Record<string, string | number | undefined>>,
   ): void {
@@ -206,5 +218,5 @@
 
 function isEventStream(answer: BackendAnswer): boolean {
   const type = answer.headers['content-type']?.split(';')[0]?.trim().toLowerCase();
-  return isSuccess(answer) && type === EVENT_STREAM;
+  return isSuccess(answer) && type === EVENT_STREAM_TYPE;
 }
--- a/packages/forwarding/src/backend-notices.ts
+++ b/packages/forwarding/src/backend-notices.ts
@@ -16,7 +16,7 @@
  * Rate at which a back end is sent requests that names a lower one: only its answers can say that its need is over. One request in
  * four seconds is within what any limit allows.
  */
-const LEAST_REQUESTS_PER_SECOND = 0.25;
+const MIN_REQUESTS_PER_SECOND = 0.25;
 
 /** Who said it: the back end itself, or another daemon that had heard it. */
 type NoticeSource = 'answer' | 'peer';
@@ -38,7 +38,7 @@
 }
 
 /** Shortest time between two news of a back end that goes on naming a limit, in milliseconds: it may name another in each answer. */
-const NEWS_PAUSE_MS = 1000;
+const MIN_REPORT_INTERVAL_MS = 1000;
 
 /** Notices known to one daemon. */
 export class BackendNotices {
@@ -50,9 +50,9 @@
   readonly pauses: BackendPauses;
   private readonly rateLimits = new Map<string, HeardRateLimit>();
   /** Fields that could not be read and have been logged, by back end. */
-  private readonly toldMalformed = new Map<string, Set<keyof BackendNotice>>();
+  private readonly loggedMalformed = new Map<string, Set<keyof BackendNotice>>();
   /** Monotonic time of the last news of each back end. */
-  private readonly newsAt = new Map<string, number>();
+  private readonly reportedAt = new Map<string, number>();
   private limitsHeard = 0;
   private leavingHeard = 0;
   private pausesHeard = 0;
@@ -72,27 +72,27 @@
    *   last notice cannot take that back.
    */
   hear(backEndId: string, notice: BackendNotice, sentAt: number): void {
-    this.noteMalformed(backEndId, notice);
-    this.hearRateLimit(backEndId, notice.requestsPerSecond, sentAt);
-    if (notice.leaving.kind === 'said') this.hearLeaving(backEndId);
-    this.hearPause(backEndId, notice.pauseMs, sentAt);
+    this.recordMalformed(backEndId, notice);
+    this.recordRateLimit(backEndId, notice.requestsPerSecond, sentAt);
+    if (notice.leaving.kind === 'said') this.recordLeaving(backEndId);
+    this.recordPause(backEndId, notice.pauseMs, sentAt);
   }
 
   /**
    * Takes what another daemon heard. It counts where it is newer; the same limit is not made newer by it, since times told by
    * others come out later than they were.
    */
-  hearFromPeer(backEndId: string, told: HeardRateLimit): void {
-    const known = this.rateLimits.get(backEndId);
-    if (known === undefined && told.requestsPerSecond === undefined) return;
-    if (known !== undefined && !isNewer(told, known)) return;
-    this.enter(backEndId, told, 'peer');
+  hearFromPeer(backEndId: string, reported: HeardRateLimit): void {
+    const current = this.rateLimits.get(backEndId);
+    if (current === undefined && reported.requestsPerSecond === undefined) return;
+    if (current !== undefined && !isNewerChange(reported, current)) return;
+    this.storeRateLimit(backEndId, reported, 'peer');
   }
 
   /** Requests a second that may be sent to a back end by all daemons together; undefined where it names no limit. */
   requestsPerSecond(backEndId: string): number | undefined {
-    const named = this.rateLimits.get(backEndId)?.requestsPerSecond;
-    return named === undefined ? undefined : Math.max(LEAST_REQUESTS_PER_SECOND, named);
+    const limit = this.rateLimits.get(backEndId)?.requestsPerSecond;
+    return limit === undefined ? undefined : Math.max(MIN_REQUESTS_PER_SECOND, limit);
   }
 
   /** What a back end last said; undefined where it has never named a limit. */
@@ -104,8 +104,8 @@
   forget(backEndId: string): void {
     this.pauses.forget(backEndId);
     this.rateLimits.delete(backEndId);
-    this.toldMalformed.delete(backEndId);
-    this.newsAt.delete(backEndId);
+    this.loggedMalformed.delete(backEndId);
+    this.reportedAt.delete(backEndId);
   }
 
   get totals(): NoticeTotals {
@@ -121,66 +121,66 @@
     };
   }
 
-  private setRateLimit(backEndId: string, requestsPerSecond: number): void {
+  private applyRateLimit(backEndId: string, requestsPerSecond: number): void {
     this.limitsHeard += 1;
-    this.enter(backEndId, { requestsPerSecond, heardAt: this.clock.monotonic() }, 'answer');
+    this.storeRateLimit(backEndId, { requestsPerSecond, heardAt: this.clock.monotonic() }, 'answer');
   }
 
-  private endRateLimit(backEndId: string, sentAt: number): void {
-    const known = this.rateLimits.get(backEndId);
-    if (known?.requestsPerSecond === undefined || sentAt < known.heardAt) return;
-    this.enter(backEndId, { heardAt: this.clock.monotonic() }, 'answer');
+  private clearRateLimit(backEndId: string, sentAt: number): void {
+    const current = this.rateLimits.get(backEndId);
+    if (current?.requestsPerSecond === undefined || sentAt < current.heardAt) return;
+    this.storeRateLimit(backEndId, { heardAt: this.clock.monotonic() }, 'answer');
   }
 
-  private enter(backEndId: string, heard: HeardRateLimit, source: NoticeSource): void {
+  private storeRateLimit(backEndId: string, rateLimit: HeardRateLimit, source: NoticeSource): void {
     const before = this.rateLimits.get(backEndId)?.requestsPerSecond;
-    const { requestsPerSecond } = heard;
-    this.rateLimits.set(backEndId, heard);
+    const { requestsPerSecond } = rateLimit;
+    this.rateLimits.set(backEndId, rateLimit);
     if (before === requestsPerSecond) return;
     const event = requestsPerSecond === undefined ? 'back_end_unlimited' : 'back_end_limited';
     this.log.changed(event, { backEnd: backEndId, source, requestsPerSecond, before });
-    const isOtherValue = before !== undefined && requestsPerSecond !== undefined;
-    if (source === 'answer') this.tell(backEndId, heard, isOtherValue);
+    const isAdjustment = before !== undefined && requestsPerSecond !== undefined;
+    if (source === 'answer') this.reportChange(backEndId, rateLimit, isAdjustment);
   }
 
-  private tell(backEndId: string, heard: HeardRateLimit, isOtherValue: boolean): void {
+  private reportChange(backEndId: string, rateLimit: HeardRateLimit, isAdjustment: boolean): void {
     const now = this.clock.monotonic();
-    const lastAt = this.newsAt.get(backEndId) ?? -Infinity;
-    if (isOtherValue && now - lastAt < NEWS_PAUSE_MS) return;
-    this.newsAt.set(backEndId, now);
-    this.onNews(backEndId, heard);
+    const lastAt = this.reportedAt.get(backEndId) ?? -Infinity;
+    if (isAdjustment && now - lastAt < MIN_REPORT_INTERVAL_MS) return;
+    this.reportedAt.set(backEndId, now);
+    this.onNews(backEndId, rateLimit);
   }
 
-  private hearRateLimit(backEndId: string, field: NoticeField<number>, sentAt: number): void {
-    if (field.kind === 'said') this.setRateLimit(backEndId, field.value);
-    else if (field.kind === 'none') this.endRateLimit(backEndId, sentAt);
+  private recordRateLimit(backEndId: string, field: NoticeField<number>, sentAt: number): void {
+    if (field.kind === 'said') this.applyRateLimit(backEndId, field.value);
+    else if (field.kind === 'none') this.clearRateLimit(backEndId, sentAt);
   }
 
-  private hearLeaving(backEndId: string): void {
+  private recordLeaving(backEndId: string): void {
     this.leavingHeard += 1;
     this.onLeaving(backEndId);
   }
 
-  private hearPause(backEndId: string, field: NoticeField<number>, sentAt: number): void {
-    this.pauses.hear(backEndId, field, sentAt);
+  private recordPause(backEndId: string, field: NoticeField<number>, sentAt: number): void {
+    this.pauses.record(backEndId, field, sentAt);
     if (field.kind !== 'said') return;
     this.pausesHeard += 1;
     this.log.changed('back_end_paused', { backEnd: backEndId, forMs: field.value });
   }
 
-  private noteMalformed(backEndId: string, notice: BackendNotice): void {
+  private recordMalformed(backEndId: string, notice: BackendNotice): void {
     for (const [name, field] of Object.entries(notice) as [keyof BackendNotice, NoticeField<unknown>][]) {
       if (field.kind !== 'malformed') continue;
       this.malformed += 1;
-      const told = this.toldMalformed.get(backEndId) ?? new Set();
-      this.toldMalformed.set(backEndId, told);
-      if (told.has(name)) continue;
-      told.add(name);
+      const logged = this.loggedMalformed.get(backEndId) ?? new Set();
+      this.loggedMalformed.set(backEndId, logged);
+      if (logged.has(name)) continue;
+      logged.add(name);
       this.log.warned('notice_malformed', { backEnd: backEndId, notice: name, text: field.text });
     }
   }
 }
 
-function isNewer(told: HeardRateLimit, known: HeardRateLimit): boolean {
-  return told.requestsPerSecond !== known.requestsPerSecond && told.heardAt > known.heardAt;
+function isNewerChange(reported: HeardRateLimit, current: HeardRateLimit): boolean {
+  return reported.requestsPerSecond !== current.requestsPerSecond && reported.heardAt > current.heardAt;
 }
--- a/packages/forwarding/src/backend-pauses.ts
+++ b/packages/forwarding/src/backend-pauses.ts
@@ -7,15 +7,15 @@
 import { FREE_PERMIT, type SendPermit } from './send-permits.js';
 
 /** Longest pause that is kept, in milliseconds: one that asks for more is tried again after it. */
-const LONGEST_PAUSE_MS = 3_600_000;
+const MAX_PAUSE_MS = 3_600_000;
 /** Time after which to look again while the first request after a pause is under way, in milliseconds. */
-const FIRST_REQUEST_LOOK_MS = 100;
+const FIRST_REQUEST_POLL_MS = 100;
 
 interface Pause {
   /** Monotonic. */
   readonly until: number;
   /** The request that goes first is under way. */
-  firstUnderWay: boolean;
+  isFirstInFlight: boolean;
 }
 
 /** Pauses by back end. */
@@ -29,21 +29,21 @@
    *
    * @param sentAt Monotonic time at which the request was sent: what was under way when a pause began cannot end it.
    */
-  hear(backEndId: string, field: NoticeField<number>, sentAt: number): void {
-    const known = this.pauses.get(backEndId);
+  record(backEndId: string, field: NoticeField<number>, sentAt: number): void {
+    const current = this.pauses.get(backEndId);
     if (field.kind === 'said') {
-      const until = this.clock.monotonic() + Math.min(LONGEST_PAUSE_MS, field.value);
-      this.pauses.set(backEndId, { until: Math.max(known?.until ?? 0, until), firstUnderWay: false });
-    } else if (known !== undefined && sentAt >= known.until) this.pauses.delete(backEndId);
+      const until = this.clock.monotonic() + Math.min(MAX_PAUSE_MS, field.value);
+      this.pauses.set(backEndId, { until: Math.max(current?.until ?? 0, until), isFirstInFlight: false });
+    } else if (current !== undefined && sentAt >= current.until) this.pauses.delete(backEndId);
   }
 
   /** Milliseconds until a request may be sent; 0 when it may be now. */
   waitMs(backEndId: string): number {
     const pause = this.pauses.get(backEndId);
     if (pause === undefined) return 0;
-    const leftMs = pause.until - this.clock.monotonic();
-    if (leftMs > 0) return leftMs;
-    return pause.firstUnderWay ? FIRST_REQUEST_LOOK_MS : 0;
+    const remainingMs = pause.until - this.clock.monotonic();
+    if (remainingMs > 0) return remainingMs;
+    return pause.isFirstInFlight ? FIRST_REQUEST_POLL_MS : 0;
   }
 
   /** A permit to send now; undefined during a pause, and while the first request after one is under way. */
@@ -51,9 +51,9 @@
     if (this.waitMs(backEndId) > 0) return undefined;
     const pause = this.pauses.get(backEndId);
     if (pause === undefined) return { ...FREE_PERMIT, isValid: () => !this.pauses.has(backEndId) };
-    pause.firstUnderWay = true;
+    pause.isFirstInFlight = true;
     const end = (): void => {
-      pause.firstUnderWay = false;
+      pause.isFirstInFlight = false;
     };
     const isOpen = (): boolean => (this.pauses.get(backEndId) ?? pause) === pause;
     return { isValid: isOpen, giveBack: end, end };
--- a/packages/forwarding/src/body-reader.ts
+++ b/packages/forwarding/src/body-reader.ts
@@ -6,7 +6,7 @@
   | { readonly kind: 'chunk'; readonly chunk: Uint8Array }
   | { readonly kind: 'end' }
   /** It broke off, or nothing came in time; it is not complete. */
-  | { readonly kind: 'broken'; readonly silent: boolean };
+  | { readonly kind: 'broken'; readonly hasTimedOut: boolean };
 
 /** Tells whether the process behind an answer still runs, or was to end. */
 export type ProcessCheck = () => Promise<boolean>;
@@ -18,23 +18,23 @@
   constructor(
     private readonly answer: BackendAnswer,
     private readonly clock: Clock,
-    private readonly processLives: ProcessCheck,
+    private readonly isProcessAlive: ProcessCheck,
   ) {
     this.iterator = answer.body[Symbol.asyncIterator]();
   }
 
-  /** @param patienceMs Milliseconds to wait; without end when absent. */
-  async next(patienceMs?: number): Promise<BodyStep> {
+  /** @param timeoutMs Milliseconds to wait; without end when absent. */
+  async next(timeoutMs?: number): Promise<BodyStep> {
     try {
-      const step = await this.step(patienceMs);
+      const step = await this.readChunk(timeoutMs);
       if (step === undefined) {
         this.answer.discard();
-        return { kind: 'broken', silent: true };
+        return { kind: 'broken', hasTimedOut: true };
       }
       if (step.done !== true) return { kind: 'chunk', chunk: step.value };
-      return (await this.isWhole()) ? { kind: 'end' } : { kind: 'broken', silent: false };
+      return (await this.isComplete()) ? { kind: 'end' } : { kind: 'broken', hasTimedOut: false };
     } catch {
-      return { kind: 'broken', silent: false };
+      return { kind: 'broken', hasTimedOut: false };
     }
   }
 
@@ -42,14 +42,14 @@
    * A body without a length ends when its connection is closed, and the kernel of a process that was killed closes connections in the
    * same way as one that has finished: only the process itself can tell.
    */
-  private async isWhole(): Promise<boolean> {
-    return !this.answer.endsWithConnection || this.processLives();
+  private async isComplete(): Promise<boolean> {
+    return !this.answer.endsWithConnection || this.isProcessAlive();
   }
 
-  private async step(patienceMs?: number): Promise<IteratorResult<Uint8Array> | undefined> {
+  private async readChunk(timeoutMs?: number): Promise<IteratorResult<Uint8Array> | undefined> {
     const pending = this.iterator.next();
-    if (patienceMs === undefined) return pending;
-    const settled = await settleWithin(this.clock, patienceMs, pending);
+    if (timeoutMs === undefined) return pending;
+    const settled = await settleWithin(this.clock, timeoutMs, pending);
     return settled.timedOut ? undefined : settled.value;
   }
 }
--- a/packages/forwarding/src/caller-access.ts
+++ b/packages/forwarding/src/caller-access.ts
@@ -18,17 +18,17 @@
   /** It may run, in the name of a tenant where it has one. */
   { readonly kind: 'granted'; readonly tenant?: Tenant } | { readonly kind: 'denied' };
 
-const IN_NOBODYS_NAME: CallerAccess = { kind: 'granted' };
+const ANONYMOUS: CallerAccess = { kind: 'granted' };
 const DENIED: CallerAccess = { kind: 'denied' };
 
 /** Looks a request up in the table above. @param keyDigest Digest of its key; undefined where it has none. */
-export function accessOf(
+export function resolveAccess(
   route: Route,
   tenants: TenantTable | undefined,
   keyDigest: string | undefined,
 ): CallerAccess {
-  if (tenants === undefined) return IN_NOBODYS_NAME;
-  if (keyDigest === undefined) return route.isPublic ? IN_NOBODYS_NAME : DENIED;
+  if (tenants === undefined) return ANONYMOUS;
+  if (keyDigest === undefined) return route.isPublic ? ANONYMOUS : DENIED;
   const tenant = tenants.holderOf(keyDigest);
   return tenant === undefined ? DENIED : { kind: 'granted', tenant };
 }
--- a/packages/forwarding/src/client-answer.ts
+++ b/packages/forwarding/src/client-answer.ts
@@ -10,46 +10,46 @@
 import type { Continuation, StreamPosition } from './stream-position.js';
 
 /** State of a client's answer. */
-export type ClientAnswerState = UnbegunAnswer | EventAnswer | ByteAnswer | EndedAnswer;
+export type ClientAnswerState = PendingAnswer | EventStreamAnswer | ByteStreamAnswer | EndedAnswer;
 
 /** Nothing has been written. */
-export interface UnbegunAnswer {
+export interface PendingAnswer {
   readonly kind: 'not_begun';
   /** Gives a whole answer. */
   respond(head: ResponseHead, body: Uint8Array): void;
   /** Begins a series of events. @param position What the client has; absent where no other run may go on. */
-  beginEvents(head: ResponseHead, position?: StreamPosition): EventAnswer;
+  beginEvents(head: ResponseHead, position?: StreamPosition): EventStreamAnswer;
   /** Begins a body that only the back end which sent this head can go on with. */
-  beginBytes(head: ResponseHead): ByteAnswer;
+  beginBytes(head: ResponseHead): ByteStreamAnswer;
 }
 
 /** Events have been passed on; another run may go on right after the last of them. */
-export interface EventAnswer {
+export interface EventStreamAnswer {
   readonly kind: 'events';
   /** Last event passed on. */
   readonly lastEventId: string | undefined;
   /** Another run can be told where to go on. */
-  readonly canBeTakenUp: boolean;
+  readonly canResume: boolean;
   /** The next events come from another run. */
   startRun(): void;
   /** Passes events on up to the first that does not follow, and says what was wrong with that one. */
-  pass(events: readonly StreamEvent[]): PassedEvents;
+  write(events: readonly StreamEvent[]): EventWriteResult;
   /** Ends it as complete. */
   complete(): void;
 }
 
 /** What became of events that were passed on. */
-export interface PassedEvents {
+export interface EventWriteResult {
   /** Whether all of them followed. */
   readonly continuation: Continuation;
   /** Resolves when the client's side can take more; absent where it can at once, as it nearly always can. */
-  readonly taken: Promise<void> | undefined;
+  readonly drained: Promise<void> | undefined;
 }
 
 /** Part of a body has been passed on. */
-export interface ByteAnswer {
+export interface ByteStreamAnswer {
   readonly kind: 'bytes';
-  pass(chunk: Uint8Array): Promise<void> | undefined;
+  write(chunk: Uint8Array): Promise<void> | undefined;
   /** Ends it as complete. */
   complete(): void;
 }
@@ -67,7 +67,7 @@
   private stream: ResponseStream | undefined;
 
   constructor(private readonly exchange: IncomingExchange) {
-    this.current = this.unbegun();
+    this.current = this.pendingState();
   }
 
   get state(): ClientAnswerState {
@@ -80,9 +80,9 @@
   }
 
   /** Whether a further send can still bring about a whole answer. */
-  get mayGoOn(): boolean {
+  get canContinue(): boolean {
     const state = this.current;
-    return state.kind === 'not_begun' || (state.kind === 'events' && state.canBeTakenUp);
+    return state.kind === 'not_begun' || (state.kind === 'events' && state.canResume);
   }
 
   /** Last event that the client has; undefined until a stream has begun. */
@@ -91,15 +91,15 @@
   }
 
   /** Cuts the connection, so that what the client has cannot be taken for complete. */
-  cut(): void {
+  abort(): void {
     if (this.current.kind === 'ended') return;
     this.current = ENDED;
     if (this.stream === undefined) this.exchange.abort();
     else this.stream.abort();
   }
 
-  private unbegun(): UnbegunAnswer {
-    const state: UnbegunAnswer = {
+  private pendingState(): PendingAnswer {
+    const state: PendingAnswer = {
       kind: 'not_begun',
       respond: (head, body) => {
         this.requireCurrent(state);
@@ -112,22 +112,26 @@
     return state;
   }
 
-  private beginEvents(from: UnbegunAnswer, head: ResponseHead, position?: StreamPosition): EventAnswer {
-    const stream = this.beginStream(from, head);
-    const state: EventAnswer = {
+  private beginEvents(
+    expected: PendingAnswer,
+    head: ResponseHead,
+    position?: StreamPosition,
+  ): EventStreamAnswer {
+    const stream = this.beginStream(expected, head);
+    const state: EventStreamAnswer = {
       kind: 'events',
       get lastEventId() {
         return position?.lastId;
       },
-      get canBeTakenUp() {
-        return position?.canBeTakenUp === true;
+      get canResume() {
+        return position?.canResume === true;
       },
       startRun: () => {
         position?.startRun();
       },
-      pass: (events) => {
+      write: (events) => {
         this.requireCurrent(state);
-        return passEvents(stream, position, events);
+        return writeEvents(stream, position, events);
       },
       complete: () => {
         this.end(state, stream);
@@ -137,11 +141,11 @@
     return state;
   }
 
-  private beginBytes(from: UnbegunAnswer, head: ResponseHead): ByteAnswer {
-    const stream = this.beginStream(from, head);
-    const state: ByteAnswer = {
+  private beginBytes(expected: PendingAnswer, head: ResponseHead): ByteStreamAnswer {
+    const stream = this.beginStream(expected, head);
+    const state: ByteStreamAnswer = {
       kind: 'bytes',
-      pass: (chunk) => {
+      write: (chunk) => {
         this.requireCurrent(state);
         return stream.write(chunk);
       },
@@ -153,14 +157,14 @@
     return state;
   }
 
-  private beginStream(from: UnbegunAnswer, head: ResponseHead): ResponseStream {
-    this.requireCurrent(from);
+  private beginStream(expected: PendingAnswer, head: ResponseHead): ResponseStream {
+    this.requireCurrent(expected);
     this.stream = this.exchange.beginStream(head);
     return this.stream;
   }
 
-  private end(from: ClientAnswerState, stream: ResponseStream): void {
-    this.requireCurrent(from);
+  private end(expected: ClientAnswerState, stream: ResponseStream): void {
+    this.requireCurrent(expected);
     stream.end();
     this.current = ENDED;
   }
@@ -171,19 +175,19 @@
   }
 }
 
-function passEvents(
+function writeEvents(
   stream: ResponseStream,
   position: StreamPosition | undefined,
   events: readonly StreamEvent[],
-): PassedEvents {
-  const fitting: Uint8Array[] = [];
+): EventWriteResult {
+  const accepted: Uint8Array[] = [];
   let continuation: Continuation = 'follows';
   for (const event of events) {
-    continuation = position?.take(event) ?? 'follows';
+    continuation = position?.accept(event) ?? 'follows';
     if (continuation !== 'follows') break;
-    fitting.push(event.bytes);
+    accepted.push(event.bytes);
   }
-  const [first] = fitting;
-  if (first === undefined) return { continuation, taken: undefined };
-  return { continuation, taken: stream.write(fitting.length === 1 ? first : Buffer.concat(fitting)) };
+  const [first] = accepted;
+  if (first === undefined) return { continuation, drained: undefined };
+  return { continuation, drained: stream.write(accepted.length === 1 ? first : Buffer.concat(accepted)) };
 }
--- a/packages/forwarding/src/event-splitter.ts
+++ b/packages/forwarding/src/event-splitter.ts
@@ -14,7 +14,7 @@
 
 const LINE_FEED = 0x0a;
 const CARRIAGE_RETURN = 0x0d;
-const NOTHING = Buffer.alloc(0);
+const EMPTY = Buffer.alloc(0);
 const ID_LINE = /^id(?:: ?(.*?))?\r?$/m;
 const EVENT_LINE = /^(?:data|id)(?::|\r?$)/m;
 /** A line that is neither blank nor a comment. */
@@ -22,24 +22,24 @@
 
 /** Splitter of one body. */
 export class EventSplitter {
-  private rest: Buffer = NOTHING;
+  private pending: Buffer = EMPTY;
   /** Where in the rest its last line begins: what lies before has no end of a block, and is not looked through again. */
   private lineStart = 0;
 
   /** Bytes held of an unfinished event; comments alone are none. */
-  get partialBytes(): number {
-    return FIELD_LINE.test(this.rest.toString('latin1')) ? this.rest.byteLength : 0;
+  get incompleteEventBytes(): number {
+    return FIELD_LINE.test(this.pending.toString('latin1')) ? this.pending.byteLength : 0;
   }
 
   /** Bytes behind the last block: of an unfinished event, or comments. */
   get remainder(): Uint8Array {
-    return this.rest;
+    return this.pending;
   }
 
   /** Adds bytes; returns the blocks that are complete now. */
   push(chunk: Uint8Array): StreamEvent[] {
     const added = Buffer.from(chunk.buffer, chunk.byteOffset, chunk.byteLength);
-    const data = this.rest.byteLength === 0 ? added : Buffer.concat([this.rest, added]);
+    const data = this.pending.byteLength === 0 ? added : Buffer.concat([this.pending, added]);
     const events: StreamEvent[] = [];
     let start = 0;
     let { lineStart } = this;
@@ -52,7 +52,7 @@
       index = data.indexOf(LINE_FEED, lineStart);
     }
     this.lineStart = lineStart - start;
-    this.rest = start === data.byteLength ? NOTHING : Buffer.from(data.subarray(start));
+    this.pending = start === data.byteLength ? EMPTY : Buffer.from(data.subarray(start));
     return events;
   }
 }
--- a/packages/forwarding/src/notice-gate.ts
+++ b/packages/forwarding/src/notice-gate.ts
@@ -22,11 +22,11 @@
       pause.giveBack();
       return undefined;
     }
-    return both(pause, rateLimit);
+    return combine(pause, rateLimit);
   }
 }
 
-function both(first: SendPermit, second: SendPermit): SendPermit {
+function combine(first: SendPermit, second: SendPermit): SendPermit {
   return {
     isValid: () => first.isValid() && second.isValid(),
     giveBack: () => {
--- a/packages/forwarding/src/plain-selector.ts
+++ b/packages/forwarding/src/plain-selector.ts
@@ -27,26 +27,26 @@
 
   /** @param excluded Back ends that have refused or failed this request. */
   select(service: ServiceDefinition, health: BackendHealth, excluded: ReadonlySet<string>): BackendChoice {
-    const open = this.directory.ofService(service.name).filter((backEnd) => !backEnd.draining);
-    const willing = open.filter((backEnd) => !excluded.has(backEnd.id));
-    const mayTake = this.connections.checkOf(service);
-    const usable = willing.filter(({ id }) => mayTake(id) && this.permits.waitMs(id) === 0);
-    const ids = open.map((backEnd) => backEnd.id);
+    const available = this.directory.ofService(service.name).filter((backEnd) => !backEnd.draining);
+    const eligible = available.filter((backEnd) => !excluded.has(backEnd.id));
+    const hasConnection = this.connections.limiterFor(service);
+    const usable = eligible.filter(({ id }) => hasConnection(id) && this.permits.waitMs(id) === 0);
+    const ids = available.map((backEnd) => backEnd.id);
     const best = leastBy(usable, (backEnd) => this.costOf(backEnd, health, ids));
-    if (best === undefined) return this.refuse(open, willing);
+    if (best === undefined) return this.refuse(available, eligible);
     return { kind: 'send', backEnd: best, reason: 'least_loaded' };
   }
 
   /**
-   * @param open Back ends that are not draining, of which none can be sent to now.
-   * @param willing Those of them that have not refused or failed the request.
+   * @param available Back ends that are not draining, of which none can be sent to now.
+   * @param eligible Those of them that have not refused or failed the request.
    */
-  private refuse(open: readonly BackEnd[], willing: readonly BackEnd[]): BackendChoice {
-    if (open.length === 0) return refusal('no_backend', NO_BACKEND_RETRY_MS);
-    const asked = willing.length === 0 ? open : willing;
-    const waits = asked.map(({ id }) => this.permits.waitMs(id));
+  private refuse(available: readonly BackEnd[], eligible: readonly BackEnd[]): BackendChoice {
+    if (available.length === 0) return refusal('no_backend', NO_BACKEND_RETRY_MS);
+    const candidates = eligible.length === 0 ? available : eligible;
+    const waits = candidates.map(({ id }) => this.permits.waitMs(id));
     if (waits.every((waitMs) => waitMs > 0)) return refusal('not_accepting', Math.min(...waits));
-    return refusal(willing.length === 0 ? 'all_excluded' : 'connections_exhausted', NO_BACKEND_RETRY_MS);
+    return refusal(eligible.length === 0 ? 'all_excluded' : 'connections_exhausted', NO_BACKEND_RETRY_MS);
   }
 
   private costOf(backEnd: BackEnd, health: BackendHealth, ids: readonly string[]): number {
--- a/packages/forwarding/src/prompt-affinity.ts
+++ b/packages/forwarding/src/prompt-affinity.ts
@@ -4,7 +4,7 @@
 import type { PromptPart } from './wire-dialect.js';
 
 /** Chains of parts remembered for each worker; the least recently used are dropped. */
-const REMEMBERED_CHAINS = 400;
+const MAX_PREFIXES_PER_WORKER = 400;
 
 /** A prompt as chains: the key of each prefix and the tokens up to its end. */
 export interface PromptChain {
@@ -13,7 +13,7 @@
 }
 
 /** Builds the chain of a prompt. A kept part serves the same model and adapter only. */
-export function chainOf(target: ModelTarget, parts: readonly PromptPart[]): PromptChain {
+export function buildPromptChain(target: ModelTarget, parts: readonly PromptPart[]): PromptChain {
   const keys: string[] = [];
   const tokens: number[] = [];
   let key = targetKey(target);
@@ -29,31 +29,31 @@
 
 /** Memory of sent prompts. */
 export class PromptAffinity {
-  private readonly sent = new Map<string, Map<string, true>>();
+  private readonly sentPrefixes = new Map<string, Map<string, true>>();
 
   /** Notes that a worker reads a prompt. */
   record(backEndId: string, chain: PromptChain): void {
-    let known = this.sent.get(backEndId);
-    if (known === undefined) {
-      known = new Map();
-      this.sent.set(backEndId, known);
+    let prefixes = this.sentPrefixes.get(backEndId);
+    if (prefixes === undefined) {
+      prefixes = new Map();
+      this.sentPrefixes.set(backEndId, prefixes);
     }
     for (const key of chain.keys) {
-      known.delete(key);
-      known.set(key, true);
+      prefixes.delete(key);
+      prefixes.set(key, true);
     }
-    for (const key of known.keys()) {
-      if (known.size <= REMEMBERED_CHAINS) break;
-      known.delete(key);
+    for (const key of prefixes.keys()) {
+      if (prefixes.size <= MAX_PREFIXES_PER_WORKER) break;
+      prefixes.delete(key);
     }
   }
 
   /** Tokens of a prompt that a worker probably keeps. */
-  keptTokens(backEndId: string, chain: PromptChain): number {
-    const known = this.sent.get(backEndId);
-    if (known === undefined) return 0;
+  cachedTokens(backEndId: string, chain: PromptChain): number {
+    const prefixes = this.sentPrefixes.get(backEndId);
+    if (prefixes === undefined) return 0;
     for (let index = chain.keys.length - 1; index >= 0; index -= 1) {
-      if (known.has(chain.keys[index] as string)) return chain.tokens[index] as number;
+      if (prefixes.has(chain.keys[index] as string)) return chain.tokens[index] as number;
     }
     return 0;
   }
@@ -62,7 +62,7 @@
    * The worker that all daemons send a prompt's shared parts to when nothing else speaks against it, so that
    * they need not tell each other what they sent.
    */
-  preferred<T extends Candidate>(workers: readonly T[], chain: PromptChain): T | undefined {
+  preferredWorker<T extends Candidate>(workers: readonly T[], chain: PromptChain): T | undefined {
     // The last part is the request's own.
     const shared = chain.keys[chain.keys.length - 2] ?? chain.keys[0];
     return shared === undefined ? undefined : ownerByRendezvous(shared, workers);
@@ -71,13 +71,13 @@
   /** Drops what is known of a worker: its incarnation ended, or it unloaded the model. */
   forget(backEndId: string, model?: string): void {
     if (model === undefined) {
-      this.sent.delete(backEndId);
+      this.sentPrefixes.delete(backEndId);
       return;
     }
-    const known = this.sent.get(backEndId);
-    if (known === undefined) return;
-    for (const key of known.keys()) {
-      if (key.startsWith(`${model}|`) || key.startsWith(`${model}/`)) known.delete(key);
+    const prefixes = this.sentPrefixes.get(backEndId);
+    if (prefixes === undefined) return;
+    for (const key of prefixes.keys()) {
+      if (key.startsWith(`${model}|`) || key.startsWith(`${model}/`)) prefixes.delete(key);
     }
   }
 }
--- a/packages/forwarding/src/abortable.ts
+++ b/packages/forwarding/src/race-abort.ts
@@ -4,7 +4,7 @@
 export const ABORTED = Symbol('aborted');
 
 /** Settles as the promise does, or with {@link ABORTED} where the signal aborts first. */
-export async function orAborted<T>(promise: Promise<T>, signal: AbortSignal): Promise<T | typeof ABORTED> {
+export async function raceAbort<T>(promise: Promise<T>, signal: AbortSignal): Promise<T | typeof ABORTED> {
   if (signal.aborted) return ABORTED;
   let stop: () => void = () => undefined;
   const aborted = new Promise<typeof ABORTED>((resolve) => {
--- a/packages/forwarding/src/replica-selector.ts
+++ b/packages/forwarding/src/replica-selector.ts
@@ -14,27 +14,27 @@
 import { refusal, type BackendChoice } from './backend-choice.js';
 import type { BackendHealth } from './backend-health.js';
 import type { ConnectionShare } from './connection-share.js';
-import { chainOf, type PromptAffinity, type PromptChain } from './prompt-affinity.js';
-import type { ResidencyClient } from './residency-port.js';
+import { buildPromptChain, type PromptAffinity, type PromptChain } from './prompt-affinity.js';
+import type { ResidencyClient } from './residency-client.js';
 import { shortestWaitMs, type SendPermits } from './send-permits.js';
 import type { RequestFacts } from './wire-dialect.js';
 
 /** Prompt tokens that a worker is assumed to read in a millisecond until measured. */
-export const ASSUMED_TOKENS_PER_MS = 40;
+export const PREFILL_TOKENS_PER_MS = 40;
 /** Time that a request under way adds to each token of the others, times their usual tokens, in milliseconds. */
-const COST_PER_REQUEST_MS = 2;
-const OTHER_ZONE_MS = 3;
-const AVOIDED_MS = 100_000;
-const OUTLIER_MS = 10_000;
+const RUNNING_REQUEST_COST_MS = 2;
+const OTHER_ZONE_COST_MS = 3;
+const AVOIDED_COST_MS = 100_000;
+const OUTLIER_COST_MS = 10_000;
 /** Cost of a worker whose prompt cache is full: running requests would be preempted. */
-const MEMORY_FULL_MS = 2000;
+const CACHE_FULL_COST_MS = 2000;
 /** Part of the target latency that waiting may take before another replica is asked for. */
-const CROWDED_SHARE = 0.35;
+const REPLICA_REQUEST_WAIT_SHARE = 0.35;
 /** Part of a worker's cache or slots in use at which another replica is asked for. */
-const NEARLY_FULL = 0.8;
+const REPLICA_REQUEST_USAGE_SHARE = 0.8;
 /** Part of the prompt's shared tokens that the preferred worker is presumed to keep. */
-const PRESUMED_KEPT_SHARE = 0.6;
-const RETRY_AFTER_UNAVAILABLE_MS = 250;
+const PRESUMED_CACHED_SHARE = 0.6;
+const UNAVAILABLE_RETRY_MS = 250;
 
 /** A request for a model. */
 export interface ReplicaRequest {
@@ -67,15 +67,16 @@
 
   /** Resolves once a worker holds what the request needs, or when none will in time. */
   async select(request: ReplicaRequest, health: BackendHealth): Promise<BackendChoice> {
-    const chain = chainOf(request.target, request.facts.promptParts);
+    const chain = buildPromptChain(request.target, request.facts.promptParts);
     if (request.signal.aborted) return refusal('client_gone', 0);
     const best = this.cheapest(this.usable(request, request.target), request, chain, health);
-    if (best !== undefined && !health.isAvoided(best.id)) return this.send(best, request, chain, 'resident');
+    if (best !== undefined && !health.isAvoided(best.id))
+      return this.sendChoice(best, request, chain, 'resident');
     const withinMs = request.startBy - this.clock.monotonic();
     if (withinMs <= 0) {
       return best === undefined
-        ? refusal('model_too_late', RETRY_AFTER_UNAVAILABLE_MS)
-        : this.send(best, request, chain, 'last_resort');
+        ? refusal('model_too_late', UNAVAILABLE_RETRY_MS)
+        : this.sendChoice(best, request, chain, 'last_resort');
     }
     const outcome = await this.residency.request(
       {
@@ -84,18 +85,18 @@
         priority: request.priority,
         targetMs: Math.max(0, request.targetBy - this.clock.monotonic()),
         withinMs,
-        without: this.unusable(request, health),
+        without: this.unusableIds(request, health),
       },
       request.signal,
     );
     if (request.signal.aborted) return refusal('client_gone', 0);
     const loaded = outcome.held ? this.directory.get(outcome.backEndId) : undefined;
-    if (loaded !== undefined && this.mayTake(loaded, request)) {
-      return this.send(loaded, request, chain, 'loaded');
+    if (loaded !== undefined && this.canSendTo(loaded, request)) {
+      return this.sendChoice(loaded, request, chain, 'loaded');
     }
-    if (best !== undefined) return this.send(best, request, chain, 'last_resort');
+    if (best !== undefined) return this.sendChoice(best, request, chain, 'last_resort');
     if (!outcome.held) return this.refuse(request, outcome.retryAfterMs);
-    return refusal(this.whyNotUsable(outcome.backEndId, request), RETRY_AFTER_UNAVAILABLE_MS);
+    return refusal(this.unusableReason(outcome.backEndId, request), UNAVAILABLE_RETRY_MS);
   }
 
   /** Nobody will hold the target in time. Those that hold it now may accept requests again sooner. */
@@ -107,14 +108,17 @@
   }
 
   /** Why a worker that holds the target cannot be sent to: it declined or is leaving, or this daemon's connections to it are used up. */
-  private whyNotUsable(backEndId: string, request: ReplicaRequest): 'all_excluded' | 'connections_exhausted' {
+  private unusableReason(
+    backEndId: string,
+    request: ReplicaRequest,
+  ): 'all_excluded' | 'connections_exhausted' {
     const backEnd = this.directory.get(backEndId);
     const isOpen = backEnd !== undefined && !backEnd.draining && !request.excluded.has(backEndId);
     return isOpen ? 'connections_exhausted' : 'all_excluded';
   }
 
   /** Workers that declined or failed this request, those that cannot be reached now, and those that accept nothing now. */
-  private unusable(request: ReplicaRequest, health: BackendHealth): string[] {
+  private unusableIds(request: ReplicaRequest, health: BackendHealth): string[] {
     const avoided = this.directory
       .ofService(request.service.name)
       .map((backEnd) => backEnd.id)
@@ -122,22 +126,27 @@
     return [...new Set([...request.excluded, ...avoided])].sort();
   }
 
-  private send(backEnd: BackEnd, request: ReplicaRequest, chain: PromptChain, reason: string): BackendChoice {
+  private sendChoice(
+    backEnd: BackEnd,
+    request: ReplicaRequest,
+    chain: PromptChain,
+    reason: string,
+  ): BackendChoice {
     this.affinity.record(backEnd.id, chain);
-    if (reason === 'resident') this.askForReplicaIfCrowded(backEnd, request);
+    if (reason === 'resident') this.requestReplicaIfOverloaded(backEnd, request);
     return { kind: 'send', backEnd, reason };
   }
 
-  private mayTake(backEnd: BackEnd, request: ReplicaRequest): boolean {
+  private canSendTo(backEnd: BackEnd, request: ReplicaRequest): boolean {
     if (backEnd.draining || request.excluded.has(backEnd.id)) return false;
     return this.connections.allows(request.service, backEnd.id);
   }
 
   private usable(request: ReplicaRequest, target: ModelTarget): BackEnd[] {
-    const mayTake = this.connections.checkOf(request.service);
+    const hasConnection = this.connections.limiterFor(request.service);
     return this.directory
       .holdersOf(request.service.name, target)
-      .filter(({ id }) => !request.excluded.has(id) && mayTake(id) && this.permits.waitMs(id) === 0);
+      .filter(({ id }) => !request.excluded.has(id) && hasConnection(id) && this.permits.waitMs(id) === 0);
   }
 
   private cheapest(
@@ -147,7 +156,7 @@
     health: BackendHealth,
   ): BackEnd | undefined {
     const ids = holders.map((holder) => holder.id);
-    const preferred = this.affinity.preferred(holders, chain)?.id;
+    const preferred = this.affinity.preferredWorker(holders, chain)?.id;
     return leastBy(holders, (holder) =>
       this.costOf(holder, request, chain, health, ids, holder.id === preferred),
     );
@@ -164,29 +173,30 @@
     const load = this.loads.of(backEnd.id);
     const { facts, engine } = request;
     const shared = chain.tokens[chain.tokens.length - 2] ?? 0;
-    const presumed = isPreferred ? shared * PRESUMED_KEPT_SHARE : 0;
-    const kept = Math.min(
+    const presumedTokens = isPreferred ? shared * PRESUMED_CACHED_SHARE : 0;
+    const cachedTokens = Math.min(
       facts.promptTokens,
-      Math.max(this.affinity.keptTokens(backEnd.id, chain), presumed),
+      Math.max(this.affinity.cachedTokens(backEnd.id, chain), presumedTokens),
     );
-    const unread = load.unreadTokens + facts.promptTokens - kept;
+    const uncachedTokens = load.unreadTokens + facts.promptTokens - cachedTokens;
     let cost =
-      (unread / ASSUMED_TOKENS_PER_MS + load.requests * COST_PER_REQUEST_MS) * health.slowness(backEnd.id);
-    const held = load.heldTokens + facts.promptTokens + facts.outputTokens;
-    if (held > engine.cacheTokens || load.requests >= engine.slots) cost += MEMORY_FULL_MS;
-    if (backEnd.zone !== this.zone) cost += OTHER_ZONE_MS;
-    if (health.isAvoided(backEnd.id)) cost += AVOIDED_MS;
-    if (health.isOutlier(backEnd.id, ids)) cost += OUTLIER_MS;
+      (uncachedTokens / PREFILL_TOKENS_PER_MS + load.requests * RUNNING_REQUEST_COST_MS) *
+      health.slowness(backEnd.id);
+    const reservedTokens = load.heldTokens + facts.promptTokens + facts.outputTokens;
+    if (reservedTokens > engine.cacheTokens || load.requests >= engine.slots) cost += CACHE_FULL_COST_MS;
+    if (backEnd.zone !== this.zone) cost += OTHER_ZONE_COST_MS;
+    if (health.isAvoided(backEnd.id)) cost += AVOIDED_COST_MS;
+    if (health.isOutlier(backEnd.id, ids)) cost += OUTLIER_COST_MS;
     return cost;
   }
 
-  private askForReplicaIfCrowded(backEnd: BackEnd, request: ReplicaRequest): void {
+  private requestReplicaIfOverloaded(backEnd: BackEnd, request: ReplicaRequest): void {
     const load = this.loads.of(backEnd.id);
-    const waitMs = load.unreadTokens / ASSUMED_TOKENS_PER_MS;
+    const waitMs = load.unreadTokens / PREFILL_TOKENS_PER_MS;
     const isFull =
-      load.heldTokens > request.engine.cacheTokens * NEARLY_FULL ||
-      load.requests > request.engine.slots * NEARLY_FULL;
-    if (isFull || waitMs > request.targetLatencyMs * CROWDED_SHARE) {
+      load.heldTokens > request.engine.cacheTokens * REPLICA_REQUEST_USAGE_SHARE ||
+      load.requests > request.engine.slots * REPLICA_REQUEST_USAGE_SHARE;
+    if (isFull || waitMs > request.targetLatencyMs * REPLICA_REQUEST_WAIT_SHARE) {
       this.residency.requestReplica(request.service.name, request.target.model, request.priority);
     }
   }
--- a/packages/forwarding/src/request-allowance.ts
+++ b/packages/forwarding/src/request-allowance.ts
@@ -24,7 +24,7 @@
   }
 
   /** Obtains the right to run once, unless it is there. @param withinMs Milliseconds for which it is of use to wait. */
-  async obtain(withinMs: number): Promise<AllowanceRefusal | undefined> {
+  async acquire(withinMs: number): Promise<AllowanceRefusal | undefined> {
     const { tenant } = this;
     if (tenant?.quota === undefined || this.isValid) return undefined;
     const units = unitsOf(tenant.quota, this.facts);
@@ -35,12 +35,12 @@
   }
 
   /** The request has run, or may have: another run needs another right. */
-  spend(): void {
+  consume(): void {
     this.ticket = undefined;
   }
 
   /** The request does not run any more: what it has not used is for others. */
-  giveBack(): void {
+  refund(): void {
     this.ticket?.giveBack();
     this.ticket = undefined;
   }
--- a/packages/forwarding/src/request-ending.ts
+++ b/packages/forwarding/src/request-completion.ts
@@ -8,8 +8,8 @@
 /** Time after which to come back to another daemon, in milliseconds. */
 const STOPPING_RETRY_MS = 10;
 
-/** What {@link RequestEnding} needs of the request. */
-export interface EndingOptions {
+/** What {@link RequestCompletion} needs of the request. */
+export interface CompletionOptions {
   readonly answer: ClientAnswer;
   readonly requestId: string;
   readonly routeName: string;
@@ -22,14 +22,14 @@
 }
 
 /** A whole answer of a back end, held back. */
-export interface HeldAnswer {
+export interface BufferedAnswer {
   readonly status: number;
   readonly headers: readonly string[];
   readonly body: Uint8Array;
 }
 
 /** Course of a stream as its pieces came from the back end; times in milliseconds. */
-export interface StreamCourse {
+export interface StreamSummary {
   /** From the arrival of the request to the head of the answer. */
   readonly firstMs: number;
   /** Longest pause between two pieces. */
@@ -41,14 +41,14 @@
 }
 
 /** Ends one request, exactly once. */
-export class RequestEnding {
-  constructor(private readonly options: EndingOptions) {}
+export class RequestCompletion {
+  constructor(private readonly options: CompletionOptions) {}
 
   /** Answers that the request was not run and never will be. @param retryAfterMs 0 when nothing is known. */
   refuse(kind: ErrorKind, cause: string, retryAfterMs: number): void {
     if (!this.answerError(kind, retryAfterMs)) return;
-    this.end('refused');
-    this.decide('request_refused', {
+    this.recordOutcome('refused');
+    this.recordDecision('request_refused', {
       kind,
       cause,
       retryAfterMs: Math.round(retryAfterMs),
@@ -64,34 +64,34 @@
   /** Answers that the request may have run. */
   fail(kind: ErrorKind, cause: string): void {
     if (!this.answerError(kind, 0)) return;
-    this.end('failed');
-    this.decide('request_failed', { answer: kind, cause });
+    this.recordOutcome('failed');
+    this.recordDecision('request_failed', { answer: kind, cause });
   }
 
   /** A back end's failure is the last word. */
-  passFailure(held: HeldAnswer): void {
-    if (!this.give(held, held.body)) return;
-    this.end('failure_passed_on');
+  forwardFailure(failure: BufferedAnswer): void {
+    if (!this.respond(failure, failure.body)) return;
+    this.recordOutcome('failure_passed_on');
   }
 
   /** Cuts an answer that has begun and cannot be completed. */
-  breakOff(cause: string): void {
-    this.options.answer.cut();
-    this.end('broken_off');
-    this.decide('request_failed', { answer: 'broken_off', cause });
+  abortAnswer(cause: string): void {
+    this.options.answer.abort();
+    this.recordOutcome('broken_off');
+    this.recordDecision('request_failed', { answer: 'broken_off', cause });
   }
 
   /** The client has gone. */
-  abandoned(): void {
-    this.options.answer.cut();
-    this.end('abandoned');
-    this.decide('request_abandoned', {});
+  recordAbandoned(): void {
+    this.options.answer.abort();
+    this.recordOutcome('abandoned');
+    this.recordDecision('request_abandoned', {});
   }
 
   /** A back end's answer has been passed on whole. @param stream Set for a series of events. */
-  answered(status: number, backEndId: string, stream?: StreamCourse): void {
-    this.end(status < 500 ? 'served' : 'failure_passed_on');
-    this.decide('request_answered', {
+  recordAnswered(status: number, backEndId: string, stream?: StreamSummary): void {
+    this.recordOutcome(status < 500 ? 'served' : 'failure_passed_on');
+    this.recordDecision('request_answered', {
       status,
       backEnd: backEndId,
       tookMs: Math.round(this.options.elapsedMs()),
@@ -109,25 +109,25 @@
     const { dialect, requestId } = this.options;
     const retryAfterSeconds = retryAfterMs > 0 ? retryAfterMs / 1000 : undefined;
     const headers = dialect.ownHeaders(requestId, retryAfterSeconds);
-    return this.give({ status: answerFor(kind).status, headers }, encodeText(`${kind}\n`));
+    return this.respond({ status: answerFor(kind).status, headers }, encodeText(`${kind}\n`));
   }
 
   /** Gives a whole answer where none has begun; one that has begun can only be cut. Returns whether it was given. */
-  private give(head: ResponseHead, body: Uint8Array): boolean {
+  private respond(head: ResponseHead, body: Uint8Array): boolean {
     const { state } = this.options.answer;
     if (state.kind === 'not_begun') state.respond(head, body);
-    else this.breakOff('an answer had begun');
+    else this.abortAnswer('an answer had begun');
     return state.kind === 'not_begun';
   }
 
-  private decide(
+  private recordDecision(
     decision: 'request_refused' | 'request_failed' | 'request_abandoned' | 'request_answered',
     facts: DecisionFacts,
   ): void {
     this.options.journal.decided(decision, this.options.requestId, { ...facts, sends: this.options.sends() });
   }
 
-  private end(outcome: string): void {
+  private recordOutcome(outcome: string): void {
     this.options.journal.ended(this.options.routeName, outcome, this.options.elapsedMs());
   }
 }
--- a/packages/forwarding/src/request-journal.ts
+++ b/packages/forwarding/src/request-journal.ts
@@ -25,4 +25,4 @@
 }
 
 /** Drops everything. */
-export const silentJournal: RequestJournal = { decided: () => undefined, ended: () => undefined };
+export const noopJournal: RequestJournal = { decided: () => undefined, ended: () => undefined };
--- a/packages/forwarding/src/request-scope.ts
+++ b/packages/forwarding/src/request-scope.ts
@@ -3,7 +3,7 @@
 import type { IncomingExchange } from '@woodbarrow/runtime';
 import type { ClientAnswer } from './client-answer.js';
 import type { ForwardingContext } from './forwarding-context.js';
-import type { HeldAnswer, RequestEnding } from './request-ending.js';
+import type { BufferedAnswer, RequestCompletion } from './request-completion.js';
 import type { RequestTimes } from './request-times.js';
 import type { Route } from './route.js';
 import type { Tenant } from './tenant.js';
@@ -25,7 +25,7 @@
   readonly digest: string;
   readonly times: RequestTimes;
   readonly answer: ClientAnswer;
-  readonly ending: RequestEnding;
+  readonly completion: RequestCompletion;
   readonly progress: RequestProgress;
   /** Aborts when time is up or the client has gone. */
   readonly expired: AbortSignal;
@@ -36,14 +36,14 @@
   /** Back ends that are not asked again. */
   readonly excluded = new Set<string>();
   /** Back ends on which it may have run. */
-  readonly ranOn = new Set<string>();
+  readonly mayHaveRunOn = new Set<string>();
   /** Sends so far, whatever came of them. */
   sends = 0;
   isSending = false;
   /** This daemon stops: no further send is begun. */
-  stopped = false;
+  isStopping = false;
   /** A back end's failure, given to the client if nothing better comes. */
-  heldFailure: HeldAnswer | undefined;
+  bufferedFailure: BufferedAnswer | undefined;
 }
 
 /** What one send came to. */
--- a/packages/forwarding/src/request-send.ts
+++ b/packages/forwarding/src/request-sender.ts
@@ -1,24 +1,24 @@
 /** One send of a request to a chosen back end, and what came of it. */
 import type { BackEnd, ModelTarget, WorkTicket } from '@woodbarrow/backends';
-import { AnswerPassing } from './answer-passing.js';
+import { AnswerForwarder } from './answer-forwarder.js';
 import type { BackendChoice } from './backend-choice.js';
 import type { BackendNotice } from './backend-notice.js';
 import type { AttemptResult, RequestScope } from './request-scope.js';
-import type { RunForecast } from './run-forecast.js';
+import type { RunTimeEstimate } from './run-time-estimate.js';
 import { sendAttempt, type SendOutcome } from './send-attempt.js';
 import { SendFailures } from './send-failures.js';
 
 /** Sends of one request. */
-export class RequestSend {
+export class RequestSender {
   private readonly failures: SendFailures;
-  private readonly passing: AnswerPassing;
+  private readonly answerForwarder: AnswerForwarder;
 
   constructor(
     private readonly scope: RequestScope,
-    private readonly forecast: RunForecast,
+    private readonly runTimeEstimate: RunTimeEstimate,
   ) {
     this.failures = new SendFailures(scope);
-    this.passing = new AnswerPassing(scope, forecast, this.failures);
+    this.answerForwarder = new AnswerForwarder(scope, runTimeEstimate, this.failures);
   }
 
   /** Sends the request, and passes an answer on. */
@@ -33,10 +33,10 @@
     if (expired.aborted) abort();
     progress.sends += 1;
     progress.isSending = true;
-    const expectedMs = this.forecast.expectedMs();
+    const expectedMs = this.runTimeEstimate.expectedMs();
     const ticket = context.loads.start(backEnd.id, facts.target, { ...facts, expectedMs });
     const sentAt = context.clock.monotonic();
-    this.noteSent(choice);
+    this.recordSent(choice);
     try {
       const outcome = await this.send(backEnd, controller, sentAt);
       return await this.conclude(outcome, backEnd, ticket, sentAt);
@@ -51,7 +51,7 @@
     }
   }
 
-  private noteSent({ backEnd, reason }: BackendChoice & { kind: 'send' }): void {
+  private recordSent({ backEnd, reason }: BackendChoice & { kind: 'send' }): void {
     const { context, facts, times } = this.scope;
     context.journal.decided('request_sent', facts.id, {
       backEnd: backEnd.id,
@@ -59,13 +59,13 @@
       reason,
       running: context.loads.of(backEnd.id).requests,
       recordAgeMs: Math.round(context.directory.recordAgeMs(backEnd.id)),
-      leftMs: Math.round(times.leftMs()),
+      leftMs: Math.round(times.remainingMs()),
     });
   }
 
   private send(backEnd: BackEnd, controller: AbortController, sentAt: number): Promise<SendOutcome> {
     const { exchange, context, facts, progress, body } = this.scope;
-    const patienceMs = this.failures.patienceMs(progress.ranOn.size + 1);
+    const timeoutMs = this.failures.answerTimeoutMs(progress.mayHaveRunOn.size + 1);
     const plan = {
       backEnd,
       requestId: facts.id,
@@ -77,7 +77,7 @@
       onNotice: (notice: BackendNotice) => {
         context.notices.hear(backEnd.id, notice, sentAt);
       },
-      ...(patienceMs === undefined ? {} : { patienceMs }),
+      ...(timeoutMs === undefined ? {} : { timeoutMs }),
     };
     return sendAttempt(plan, context.client, context.dialect, context.clock);
   }
@@ -86,7 +86,7 @@
     const { context, exchange, times, priority, tenant, answer } = this.scope;
     const resumeAfter = answer.lastEventId;
     return context.dialect.requestHeaders(exchange.rawHeaders, {
-      remainingMs: Math.max(1, Math.floor(times.leftMs())),
+      remainingMs: Math.max(1, Math.floor(times.remainingMs())),
       backEndName: backEnd.name,
       priority,
       ...(tenant === undefined ? {} : { tenant: tenant.name }),
@@ -104,25 +104,25 @@
     switch (outcome.kind) {
       case 'answered':
         ticket.begun();
-        return this.passing.passOn({ answer: outcome.answer, backEnd, sentAt });
+        return this.answerForwarder.forward({ answer: outcome.answer, backEnd, sentAt });
       case 'declined':
-        return this.noteDeclined(backEnd, outcome.verdict);
+        return this.recordDeclined(backEnd, outcome.verdict);
       case 'unreachable':
-        this.failures.note(backEnd, 'unreachable', outcome.detail);
+        this.failures.recordFailure(backEnd, 'unreachable', outcome.detail);
         return { kind: 'not_run', arrived: false };
       case 'silent':
-        this.failures.note(backEnd, 'timed_out', 'no answer in time');
-        progress.ranOn.add(backEnd.id);
+        this.failures.recordFailure(backEnd, 'timed_out', 'no answer in time');
+        progress.mayHaveRunOn.add(backEnd.id);
         return { kind: 'maybe_run' };
       case 'broken':
-        progress.ranOn.add(backEnd.id);
-        if (!expired.aborted) this.failures.noteBroken(backEnd, sentAt, outcome.detail);
+        progress.mayHaveRunOn.add(backEnd.id);
+        if (!expired.aborted) this.failures.recordBroken(backEnd, sentAt, outcome.detail);
         else if (!exchange.signal.aborted) this.failures.health().record(backEnd.id, 'timed_out');
         return { kind: 'maybe_run' };
     }
   }
 
-  private noteDeclined(
+  private recordDeclined(
     backEnd: BackEnd,
     verdict: 'not_run' | 'other_incarnation' | 'not_resident',
   ): AttemptResult {
@@ -140,6 +140,6 @@
 
 /** With an adapter wanted, the model may still be there. */
 function missingTarget(backEnd: BackEnd, target: ModelTarget): ModelTarget {
-  const modelRecorded = backEnd.models.some((held) => held.name === target.model);
-  return modelRecorded ? target : { model: target.model };
+  const hasModelRecord = backEnd.models.some((held) => held.name === target.model);
+  return hasModelRecord ? target : { model: target.model };
 }
--- a/packages/forwarding/src/request-times.ts
+++ b/packages/forwarding/src/request-times.ts
@@ -1,19 +1,19 @@
 /** The limits in time of one request, all counted from its arrival. */
 import type { Clock } from '@woodbarrow/runtime';
-import { ASSUMED_TOKENS_PER_MS } from './replica-selector.js';
+import { PREFILL_TOKENS_PER_MS } from './replica-selector.js';
 import type { Route } from './route.js';
 import type { RequestFacts } from './wire-dialect.js';
 
 /** Patience with the first answer, as a multiple of the target latency, where the request may run again. */
-const PATIENCE_TARGETS = 1.5;
+const ANSWER_TIMEOUT_LATENCY_MULTIPLE = 1.5;
 /** Part of the time left that one send may take, where the request may run again. */
-const PATIENCE_SHARE = 0.5;
+const ANSWER_TIMEOUT_SHARE = 0.5;
 /** Expected time of a plain request, for health only, in milliseconds. */
-const PLAIN_EXPECTED_MS = 20;
+const EXPECTED_PLAIN_ANSWER_MS = 20;
 /** Expected time to a first token beside the reading of the prompt, for health only, in milliseconds. */
-const FIRST_TOKEN_EXPECTED_MS = 15;
+const EXPECTED_FIRST_TOKEN_OVERHEAD_MS = 15;
 /** Part of the allowed time by which a request for a model must have been sent. */
-const START_SHARE = 0.9;
+const START_DEADLINE_SHARE = 0.9;
 
 /** Times of one request, in milliseconds. */
 export class RequestTimes {
@@ -31,37 +31,40 @@
   }
 
   /** Time in which an answer must have begun. */
-  leftMs(): number {
-    return Math.max(0, this.limitMs() - this.elapsedMs());
+  remainingMs(): number {
+    return Math.max(0, this.allowedMs() - this.elapsedMs());
   }
 
   /** Time until the route's time-out, at which even an answer in progress ends. */
-  untilTimeoutMs(): number {
+  routeTimeoutRemainingMs(): number {
     return this.route.timeoutMs - this.elapsedMs();
   }
 
   /** How long one send may take without an answer before another back end is tried. */
-  patienceMs(): number {
-    return Math.min(this.leftMs() * PATIENCE_SHARE, this.route.targetLatencyMs * PATIENCE_TARGETS);
+  answerTimeoutMs(): number {
+    return Math.min(
+      this.remainingMs() * ANSWER_TIMEOUT_SHARE,
+      this.route.targetLatencyMs * ANSWER_TIMEOUT_LATENCY_MULTIPLE,
+    );
   }
 
   /** Time to the head of an answer that would be usual. */
   expectedMs(): number {
-    if (this.facts.target === undefined) return PLAIN_EXPECTED_MS;
-    return FIRST_TOKEN_EXPECTED_MS + this.facts.promptTokens / ASSUMED_TOKENS_PER_MS;
+    if (this.facts.target === undefined) return EXPECTED_PLAIN_ANSWER_MS;
+    return EXPECTED_FIRST_TOKEN_OVERHEAD_MS + this.facts.promptTokens / PREFILL_TOKENS_PER_MS;
   }
 
   /** Monotonic time by which a request for a model must have been sent. */
   startBy(): number {
-    const allowedMs = Math.max(this.elapsedMs(), this.limitMs());
+    const allowedMs = Math.max(this.elapsedMs(), this.allowedMs());
     const limitMs = Math.min(allowedMs, this.route.clientGapMs ?? Infinity);
-    return this.arrivedAt + limitMs * START_SHARE - this.expectedMs();
+    return this.arrivedAt + limitMs * START_DEADLINE_SHARE - this.expectedMs();
   }
 
   /** Monotonic time by which a stream that broke off now must have been sent on: its client waits for an event. */
   resumeBy(): number {
-    const gapMs = Math.min(this.leftMs(), this.route.clientGapMs ?? Infinity);
-    return this.clock.monotonic() + gapMs * START_SHARE - this.expectedMs();
+    const gapMs = Math.min(this.remainingMs(), this.route.clientGapMs ?? Infinity);
+    return this.clock.monotonic() + gapMs * START_DEADLINE_SHARE - this.expectedMs();
   }
 
   /** Monotonic time by which a request for a model must have been sent for an answer in time. */
@@ -69,7 +72,7 @@
     return this.arrivedAt + this.route.targetLatencyMs - this.expectedMs();
   }
 
-  private limitMs(): number {
+  private allowedMs(): number {
     return Math.min(this.facts.waitMs ?? Infinity, this.route.timeoutMs);
   }
 }
--- a/packages/forwarding/src/repeat-budget.ts
+++ b/packages/forwarding/src/retry-budget.ts
@@ -16,11 +16,11 @@
 }
 
 /** Part of what is allowed that is used, which leaves room for what others count differently. */
-const SAFETY = 0.75;
+const BUDGET_SAFETY_FACTOR = 0.75;
 
 interface ServiceCounts {
   readonly requests: SlidingWindow;
-  readonly repeats: SlidingWindow;
+  readonly retries: SlidingWindow;
 }
 
 /** One daemon's part of the budgets. */
@@ -38,9 +38,9 @@
   }
 
   /** Takes one repeat; false when the budget is spent. */
-  tryRepeat(service: string): boolean {
+  tryRetry(service: string): boolean {
     if (this.remaining(service) < 1) return false;
-    this.countsOf(service).repeats.add();
+    this.countsOf(service).retries.add();
     return true;
   }
 
@@ -49,8 +49,8 @@
     const counts = this.countsOf(service);
     const { ratio, extra, sharers } = this.options;
     const fixed = extra / Math.max(1, sharers());
-    const allowed = SAFETY * (ratio * counts.requests.count() + fixed);
-    return allowed - counts.repeats.count();
+    const allowed = BUDGET_SAFETY_FACTOR * (ratio * counts.requests.count() + fixed);
+    return allowed - counts.retries.count();
   }
 
   private countsOf(service: string): ServiceCounts {
@@ -59,7 +59,7 @@
       const { windowMs } = this.options;
       counts = {
         requests: new SlidingWindow(windowMs, this.clock),
-        repeats: new SlidingWindow(windowMs, this.clock),
+        retries: new SlidingWindow(windowMs, this.clock),
       };
       this.services.set(service, counts);
     }
--- a/packages/forwarding/src/run-forecast.ts
+++ b/packages/forwarding/src/run-time-estimate.ts
@@ -3,7 +3,7 @@
 import type { RequestFacts } from './wire-dialect.js';
 
 /** Forecast for one request. */
-export class RunForecast {
+export class RunTimeEstimate {
   constructor(
     private readonly times: RunTimes,
     private readonly facts: RequestFacts,
@@ -16,8 +16,8 @@
   }
 
   /** A whole run has ended well. */
-  note(tookMs: number): void {
+  recordRun(durationMs: number): void {
     const { target, expectedTokens } = this.facts;
-    if (target !== undefined) this.times.note(target.model, expectedTokens, tookMs);
+    if (target !== undefined) this.times.note(target.model, expectedTokens, durationMs);
   }
 }
--- a/packages/forwarding/src/send-attempt.ts
+++ b/packages/forwarding/src/send-attempt.ts
@@ -34,7 +34,7 @@
   /** Called with what the head of an answer says of its back end. */
   readonly onNotice: (notice: BackendNotice) => void;
   /** Milliseconds to wait for the head of the answer; as long as the controller lets it when absent. */
-  readonly patienceMs?: number;
+  readonly timeoutMs?: number;
 }
 
 /** Sends a request and judges the head of the answer. */
@@ -44,12 +44,12 @@
   dialect: WireDialect,
   clock: Clock,
 ): Promise<SendOutcome> {
-  let silent = false;
-  const cancelPatience =
-    plan.patienceMs === undefined
+  let hasTimedOut = false;
+  const cancelTimeout =
+    plan.timeoutMs === undefined
       ? undefined
-      : clock.schedule(plan.patienceMs, () => {
-          silent = true;
+      : clock.schedule(plan.timeoutMs, () => {
+          hasTimedOut = true;
           plan.controller.abort();
         });
   try {
@@ -68,11 +68,11 @@
     if (notice !== undefined) plan.onNotice(notice);
     return outcomeOf(verdict, answer);
   } catch (error) {
-    if (silent) return { kind: 'silent' };
+    if (hasTimedOut) return { kind: 'silent' };
     if (error instanceof HttpNotSentError) return { kind: 'unreachable', detail: messageOf(error) };
     return { kind: 'broken', detail: messageOf(error) };
   } finally {
-    cancelPatience?.();
+    cancelTimeout?.();
   }
 }
 
--- a/packages/forwarding/src/send-failures.ts
+++ b/packages/forwarding/src/send-failures.ts
@@ -9,7 +9,7 @@
   constructor(private readonly scope: RequestScope) {}
 
   /** The back end is not asked again for this request. */
-  note(backEnd: BackEnd, result: SendResult, detail: string): void {
+  recordFailure(backEnd: BackEnd, result: SendResult, detail: string): void {
     const { context, facts, progress } = this.scope;
     this.health().record(backEnd.id, result);
     progress.excluded.add(backEnd.id);
@@ -17,16 +17,16 @@
   }
 
   /** The answer broke off; whether the process has ended with it is found out meanwhile. */
-  noteBroken(backEnd: BackEnd, sentAt: number, detail: string): void {
+  recordBroken(backEnd: BackEnd, sentAt: number, detail: string): void {
     const { context, facts, route, digest } = this.scope;
-    this.note(backEnd, 'broken', detail);
-    const known = context.directory.get(backEnd.id);
+    this.recordFailure(backEnd, 'broken', detail);
+    const current = context.directory.get(backEnd.id);
     context.quarantine.noteBroken({
       content: digest,
       requestId: facts.id,
       route: route.name,
       backEnd,
-      wasLeaving: known === undefined || known.draining,
+      wasLeaving: current === undefined || current.draining,
       sentAt,
     });
   }
@@ -34,12 +34,12 @@
   /**
    * How long a back end may be silent before another is tried, where that is allowed.
    *
-   * @param ranOn Back ends on which the request may have run, this one included.
+   * @param runCount Back ends on which the request may have run, this one included.
    */
-  patienceMs(ranOn: number): number | undefined {
+  answerTimeoutMs(runCount: number): number | undefined {
     const { route, times } = this.scope;
-    const mayTryAnother = mayRunAgain(route.kind) && ranOn < route.maximumAttempts;
-    return mayTryAnother ? times.patienceMs() : undefined;
+    const canTryAnother = mayRunAgain(route.kind) && runCount < route.maximumAttempts;
+    return canTryAnother ? times.answerTimeoutMs() : undefined;
   }
 
   health(): BackendHealth {
--- a/packages/forwarding/src/stream-position.ts
+++ b/packages/forwarding/src/stream-position.ts
@@ -17,49 +17,49 @@
   /** Another run gives an event whose id cannot be compared. */
   | 'without_id';
 
-const WHOLE_NUMBER = /^\d{1,15}$/;
+const NUMERIC_ID = /^\d{1,15}$/;
 /** Difference between the ids of two events; larger only where a run of the stream itself has shown it. */
-const USUAL_STEP = 1;
+const DEFAULT_ID_STEP = 1;
 
 /** Position in one stream. */
 export class StreamPosition {
-  private last: number | undefined;
-  private lastText: string | undefined;
+  private lastNumber: number | undefined;
+  private lastIdText: string | undefined;
   /** Largest difference between the ids of two events of one run. */
-  private step = USUAL_STEP;
+  private maxStep = DEFAULT_ID_STEP;
   /** An event was passed on that no other run can be told to go on after. */
-  private isOpaque = false;
-  private isAtStartOfRun = true;
+  private hasOpaqueId = false;
+  private isFirstOfRun = true;
 
-  /** @param after Event that the client had before. */
-  constructor(after: string | undefined) {
-    this.lastText = after;
-    this.last = toNumber(after);
-    this.isOpaque = after !== undefined && this.last === undefined;
+  /** @param lastEventId Event that the client had before. */
+  constructor(lastEventId: string | undefined) {
+    this.lastIdText = lastEventId;
+    this.lastNumber = toNumber(lastEventId);
+    this.hasOpaqueId = lastEventId !== undefined && this.lastNumber === undefined;
   }
 
   /** Whether the client has an event. */
   get hasBegun(): boolean {
-    return this.lastText !== undefined;
+    return this.lastIdText !== undefined;
   }
 
   /** Last event that the client has. */
   get lastId(): string | undefined {
-    return this.lastText;
+    return this.lastIdText;
   }
 
   /** Whether another run can be told where to go on. */
-  get canBeTakenUp(): boolean {
-    return !this.isOpaque;
+  get canResume(): boolean {
+    return !this.hasOpaqueId;
   }
 
   /** The next event is the first of another run. */
   startRun(): void {
-    this.isAtStartOfRun = true;
+    this.isFirstOfRun = true;
   }
 
   /** Whether the first of these events follows; does not move on. */
-  judge(events: readonly StreamEvent[]): Continuation {
+  check(events: readonly StreamEvent[]): Continuation {
     const first = events.find(({ isEvent }) => isEvent);
     if (first === undefined) return 'follows';
     const id = toNumber(first.id);
@@ -67,44 +67,44 @@
   }
 
   /** Moves on by one event, if it follows. */
-  take(event: StreamEvent): Continuation {
+  accept(event: StreamEvent): Continuation {
     if (!event.isEvent) return 'follows';
     const id = toNumber(event.id);
-    if (id === undefined) return this.takeOpaque(event);
+    if (id === undefined) return this.acceptOpaque(event);
     const continuation = this.compare(id);
     if (continuation === 'follows') this.advance(event.id, id);
     return continuation;
   }
 
-  private takeOpaque(event: StreamEvent): Continuation {
+  private acceptOpaque(event: StreamEvent): Continuation {
     if (this.compareOpaque() !== 'follows') return 'without_id';
-    this.isOpaque = true;
-    this.isAtStartOfRun = false;
-    this.lastText = event.id ?? this.lastText;
+    this.hasOpaqueId = true;
+    this.isFirstOfRun = false;
+    this.lastIdText = event.id ?? this.lastIdText;
     return 'follows';
   }
 
   private compareOpaque(): Continuation {
-    return this.isAtStartOfRun && this.last !== undefined ? 'without_id' : 'follows';
+    return this.isFirstOfRun && this.lastNumber !== undefined ? 'without_id' : 'follows';
   }
 
   private compare(id: number): Continuation {
-    if (this.last === undefined) return 'follows';
-    if (!this.isAtStartOfRun) return id > this.last ? 'follows' : 'not_rising';
-    if (id <= this.last) return 'begins_anew';
-    return id > this.last + this.step ? 'skips' : 'follows';
+    if (this.lastNumber === undefined) return 'follows';
+    if (!this.isFirstOfRun) return id > this.lastNumber ? 'follows' : 'not_rising';
+    if (id <= this.lastNumber) return 'begins_anew';
+    return id > this.lastNumber + this.maxStep ? 'skips' : 'follows';
   }
 
   private advance(text: string | undefined, id: number): void {
-    if (!this.isAtStartOfRun && this.last !== undefined) {
-      this.step = Math.max(this.step, id - this.last);
+    if (!this.isFirstOfRun && this.lastNumber !== undefined) {
+      this.maxStep = Math.max(this.maxStep, id - this.lastNumber);
     }
-    this.last = id;
-    this.lastText = text;
-    this.isAtStartOfRun = false;
+    this.lastNumber = id;
+    this.lastIdText = text;
+    this.isFirstOfRun = false;
   }
 }
 
 function toNumber(id: string | undefined): number | undefined {
-  return id !== undefined && WHOLE_NUMBER.test(id) ? Number(id) : undefined;
+  return id !== undefined && NUMERIC_ID.test(id) ? Number(id) : undefined;
 }
--- a/packages/forwarding/src/traffic-splitter.ts
+++ b/packages/forwarding/src/traffic-splitter.ts
@@ -38,8 +38,8 @@
   }
 
   private stateOf(route: Route): SplitState {
-    const known = this.states.get(route.name);
-    if (known !== undefined && sameTargets(known.targets, route.targets)) return known;
+    const existing = this.states.get(route.name);
+    if (existing !== undefined && sameTargets(existing.targets, route.targets)) return existing;
     // Daemons begin at different points, so that small counts add up to the right shares over all of them.
     const credits = route.targets.map((target) => this.random.between(0, target.weight));
     const state = { targets: route.targets, credits };
--- a/packages/forwarding/test/answer-judge.ts
+++ b/packages/forwarding/test/answer-checker.ts
@@ -4,7 +4,7 @@
 import type { SimulatedExchange } from './simulated-exchange.js';
 
 /** One request as seen from outside. */
-export interface PlayedRequest {
+export interface ObservedRequest {
   readonly kind: RequestKind;
   /** Length of the whole stream. */
   readonly events: number;
@@ -23,82 +23,84 @@
   readonly rest: string;
 }
 
-const BEHIND_BLANK_LINE = /(?<=\n\r?\n)/;
+const AFTER_BLANK_LINE = /(?<=\n\r?\n)/;
 const ID_LINE = /^id: ?(.*?)\r?$/m;
 const DATA_LINE = /^data:/m;
 /** A line that is neither blank nor a comment: an event has begun. */
 const FIELD_LINE = /^[^:\r\n]/m;
 
 /** What is wrong with the answer, or undefined. */
-export function faultOf(played: PlayedRequest): string | undefined {
-  const { kind, exchange, runs } = played;
-  if (exchange.surplus.length > 0) return `the client was sent ${exchange.surplus.join(', ')}`;
+export function findAnswerFault(observed: ObservedRequest): string | undefined {
+  const { kind, exchange, runs } = observed;
+  if (exchange.unexpectedWrites.length > 0)
+    return `the client was sent ${exchange.unexpectedWrites.join(', ')}`;
   if (exchange.ending === 'open') return 'the answer was left open';
-  const tooManyRuns = faultOfRuns(played);
+  const tooManyRuns = findRunCountFault(observed);
   if (tooManyRuns !== undefined || exchange.status === 0) return tooManyRuns;
   const stamp = exchange.answerHeaders[exchange.answerHeaders.indexOf(STAMP_HEADER) + 1];
-  if (!exchange.answerHeaders.includes(STAMP_HEADER)) return faultOfOwnAnswer(exchange);
+  if (!exchange.answerHeaders.includes(STAMP_HEADER)) return findOwnAnswerFault(exchange);
   const head = runs.find((run) => String(run.number) === stamp);
   if (head === undefined) return 'the answer bears the stamp of no run';
   if (head.status !== exchange.status) return `the run answered ${String(head.status)}`;
   const isJoinable = kind === 'resumable_stream' && isSuccess(head) && head.isEventStream;
-  return isJoinable ? faultOfJoined(played, head) : faultOfOneRun(played, head);
+  return isJoinable ? findJoinedRunsFault(observed, head) : findSingleRunFault(observed, head);
 }
 
 function isSuccess({ status }: { status: number }): boolean {
   return status >= 200 && status < 300;
 }
 
-function faultOfRuns({ kind, ranOn, maximumAttempts }: PlayedRequest): string | undefined {
+function findRunCountFault({ kind, ranOn, maximumAttempts }: ObservedRequest): string | undefined {
   if (!mayRunAgain(kind) && ranOn.length > 1) return `it may have run ${String(ranOn.length)} times`;
   return new Set(ranOn).size > maximumAttempts ? 'it may have run on too many back ends' : undefined;
 }
 
-function faultOfOwnAnswer({ status, ending }: SimulatedExchange): string | undefined {
+function findOwnAnswerFault({ status, ending }: SimulatedExchange): string | undefined {
   return status >= 400 && ending === 'complete' ? undefined : 'a success that is no run’s';
 }
 
 /** The bytes are those of the run whose head the client has: all of them if the answer is complete. */
-function faultOfOneRun({ kind, exchange }: PlayedRequest, run: Run): string | undefined {
+function findSingleRunFault({ kind, exchange }: ObservedRequest, run: Run): string | undefined {
   const { body, ending } = exchange;
   if (!run.bytes.startsWith(body)) return `bytes that are not those of run ${String(run.number)}`;
   if (ending !== 'complete') return undefined;
   if (run.ending !== 'plain' || body.length < run.bytes.length) return 'complete though the run broke off';
-  const isTorn = FIELD_LINE.test(blocksOf(body).rest);
-  if (isStream(kind) && isSuccess(run) && run.isEventStream && isTorn) return 'complete inside an event';
+  const isIncomplete = FIELD_LINE.test(blocksOf(body).rest);
+  if (isStream(kind) && isSuccess(run) && run.isEventStream && isIncomplete)
+    return 'complete inside an event';
   return undefined;
 }
 
 /** Whole events of one run after another, each going on where the one before broke off. */
-function faultOfJoined(played: PlayedRequest, head: Run): string | undefined {
-  const { exchange, runs, resumeAfter } = played;
+function findJoinedRunsFault(observed: ObservedRequest, head: Run): string | undefined {
+  const { exchange, runs, resumeAfter } = observed;
   const { whole, rest } = blocksOf(exchange.body);
   if (FIELD_LINE.test(rest)) return 'bytes of an unfinished event';
   const isNumbered = resumeAfter > 0 || whole.every((block) => ID_LINE.test(block) || !DATA_LINE.test(block));
-  const fault = isNumbered ? faultOfIds(whole, resumeAfter) : undefined;
+  const fault = isNumbered ? findIdFault(whole, resumeAfter) : undefined;
   if (fault !== undefined) return fault;
-  const givers = new Set<Run>();
+  const contributingRuns = new Set<Run>();
   let run = head;
-  let left = blocksOf(head.bytes).whole;
+  let remaining = blocksOf(head.bytes).whole;
   for (const block of whole) {
-    if (block !== left[0]) {
+    if (block !== remaining[0]) {
       const next = runs.find(
         (other) => other.number > run.number && blocksOf(other.bytes).whole[0] === block,
       );
       if (next === undefined) return `a block that follows in no run: ${JSON.stringify(block)}`;
-      if (isWhole(run) && left.length === 0) return 'a run joined to a whole one';
+      if (isWhole(run) && remaining.length === 0) return 'a run joined to a whole one';
       if (!isSuccess(next) || !next.isEventStream)
         return `joined to an answer of status ${String(next.status)}`;
       run = next;
-      left = blocksOf(next.bytes).whole;
+      remaining = blocksOf(next.bytes).whole;
     }
-    left = left.slice(1);
-    if (DATA_LINE.test(block)) givers.add(run);
+    remaining = remaining.slice(1);
+    if (DATA_LINE.test(block)) contributingRuns.add(run);
   }
   // After an event without an id no other run can be told where to go on.
-  if (!isNumbered && givers.size > 1) return 'runs joined though not all events have ids';
+  if (!isNumbered && contributingRuns.size > 1) return 'runs joined though not all events have ids';
   if (exchange.ending !== 'complete') return undefined;
-  if (left.length === 0 && isWhole(run) && rest === blocksOf(run.bytes).rest) return undefined;
+  if (remaining.length === 0 && isWhole(run) && rest === blocksOf(run.bytes).rest) return undefined;
   const isAtEnd = runs.some(
     (other) => other.number > run.number && !DATA_LINE.test(other.bytes) && isWhole(other),
   );
@@ -106,7 +108,7 @@
 }
 
 /** Ids rise by one from the event after which the client asked; every event has one. */
-function faultOfIds(blocks: readonly string[], resumeAfter: number): string | undefined {
+function findIdFault(blocks: readonly string[], resumeAfter: number): string | undefined {
   let last = resumeAfter;
   for (const block of blocks) {
     const id = ID_LINE.exec(block)?.[1];
@@ -124,7 +126,7 @@
 }
 
 function blocksOf(text: string): Blocks {
-  const whole = text.split(BEHIND_BLANK_LINE);
+  const whole = text.split(AFTER_BLANK_LINE);
   const rest = /\n\r?\n$/.test(whole.at(-1) ?? '') ? '' : (whole.pop() ?? '');
   return { whole, rest };
 }
--- a/packages/forwarding/test/arbitrary-workers.ts
+++ b/packages/forwarding/test/arbitrary-workers.ts
@@ -5,7 +5,7 @@
 import type { ForwardingWorld } from './simulated-exchange.js';
 
 /** How the ids of a run go: where it begins that is asked to go on after an event, or what is wrong within any run. */
-export type Course =
+export type EventIdSequence =
   | 'next'
   | 'anew'
   | 'skipped'
@@ -19,7 +19,7 @@
 
 /** How the events of a run look on the wire. */
 export interface EventLayout {
-  readonly lineEnd: '\n' | '\r\n';
+  readonly lineEnding: '\n' | '\r\n';
   readonly idLine: 'id: ' | 'id:';
   /** The id comes after the data. */
   readonly idLast: boolean;
@@ -51,7 +51,7 @@
       readonly kind: 'answer';
       readonly status: number;
       readonly contentType: string;
-      readonly course: Course;
+      readonly idSequence: EventIdSequence;
       readonly layout: EventLayout;
       /** Size of an answer that is no stream, in bytes. */
       readonly size: number;
@@ -75,7 +75,7 @@
 export const STAMP_HEADER = 'Stamp';
 const EVENT_STREAM = 'text/event-stream';
 /** Sizes around the one up to which answers are held until they are whole, in bytes. */
-const LARGE_SIZES = { min: 60_000, max: 140_000 };
+const LARGE_BODY_BYTES = { min: 60_000, max: 140_000 };
 
 /** The usual value three times in four. */
 function mostly<Value>(usual: Value, ...others: Value[]): fc.Arbitrary<Value> {
@@ -86,17 +86,20 @@
 }
 
 const layouts: fc.Arbitrary<EventLayout> = fc.record({
-  lineEnd: fc.constantFrom('\n', '\r\n'),
+  lineEnding: fc.constantFrom('\n', '\r\n'),
   idLine: fc.constantFrom('id: ', 'id:'),
   idLast: fc.boolean(),
   comments: fc.constantFrom('none', 'within', 'between'),
 });
 
 const deliveries: fc.Arbitrary<Delivery> = fc.record({
-  cut: fc.option(fc.record({ behind: fc.constantFrom('event', 'byte'), count: fc.nat(LARGE_SIZES.max) }), {
-    nil: undefined,
-    freq: 2,
-  }),
+  cut: fc.option(
+    fc.record({ behind: fc.constantFrom('event', 'byte'), count: fc.nat(LARGE_BODY_BYTES.max) }),
+    {
+      nil: undefined,
+      freq: 2,
+    },
+  ),
   ending: fc.constantFrom('plain', 'plain', 'broken', 'broken', 'killed', 'stalled'),
   endsWithConnection: fc.boolean(),
   chunkSizes: fc.array(fc.integer({ min: 1, max: 200 }), { minLength: 1, maxLength: 4 }),
@@ -111,7 +114,7 @@
   kind: fc.constant('answer' as const),
   status: mostly(200, 201, 400, 404, 500),
   contentType: mostly(EVENT_STREAM, 'Text/Event-Stream; charset=utf-8', 'text/plain'),
-  course: mostly<Course>(
+  idSequence: mostly<EventIdSequence>(
     'next',
     'anew',
     'skipped',
@@ -124,7 +127,7 @@
     'twice_within',
   ),
   layout: layouts,
-  size: fc.oneof({ withCrossShrink: true }, fc.nat(200), fc.integer(LARGE_SIZES)),
+  size: fc.oneof({ withCrossShrink: true }, fc.nat(200), fc.integer(LARGE_BODY_BYTES)),
   delivery: deliveries,
 });
 
@@ -162,7 +165,7 @@
     const plan = this.plans[this.sends] ?? { kind: 'declined' };
     this.sends += 1;
     if (plan.kind !== 'unreachable' && plan.kind !== 'declined') this.ranOn.push(call.address);
-    if (plan.kind !== 'answer') return withoutAnswer(plan.kind);
+    if (plan.kind !== 'answer') return failWithoutAnswer(plan.kind);
     const run = this.begin(plan, Number(call.headers[call.headers.indexOf('resume') + 1]));
     if (plan.delivery.headMs > 0) await world.wait(plan.delivery.headMs);
     const headers = ['Content-Type', plan.contentType, STAMP_HEADER, String(run.number)];
@@ -210,7 +213,7 @@
   return [0, ...ends][cut.count % (ends.length + 1)] ?? 0;
 }
 
-function withoutAnswer(kind: NoAnswer): Promise<BackendAnswer> {
+function failWithoutAnswer(kind: NoAnswer): Promise<BackendAnswer> {
   switch (kind) {
     case 'unreachable':
       return Promise.reject(new HttpNotSentError('nobody'));
@@ -224,15 +227,15 @@
 }
 
 function eventsOf(plan: AnswerPlan, run: number, after: number, last: number): string {
-  const { course } = plan;
+  const { idSequence } = plan;
   const isNameless = (index: number): boolean =>
-    course === 'no_ids' || (course === 'nameless' && after > 0 && index === 0);
-  return idsOf(course, after, last)
+    idSequence === 'no_ids' || (idSequence === 'nameless' && after > 0 && index === 0);
+  return idsOf(idSequence, after, last)
     .map((id, index) => eventText(plan.layout, run, id, isNameless(index)))
     .join('');
 }
 
-function idsOf(course: Course, after: number, last: number): number[] {
+function idsOf(course: EventIdSequence, after: number, last: number): number[] {
   const ids: number[] = [];
   for (let id = firstIdOf(course, after, last); id <= last; id += 1) ids.push(id);
   const [first] = ids;
@@ -242,7 +245,7 @@
 }
 
 /** A run that is asked for the beginning gives it. */
-function firstIdOf(course: Course, after: number, last: number): number {
+function firstIdOf(course: EventIdSequence, after: number, last: number): number {
   const next = after + 1;
   if (after === 0) return next;
   switch (course) {
@@ -263,7 +266,7 @@
 
 /** Blocks of different runs differ. */
 function eventText(layout: EventLayout, run: number, id: number, isNameless: boolean): string {
-  const { lineEnd, comments } = layout;
+  const { lineEnding, comments } = layout;
   const name = `run ${String(run)} piece ${String(id)}`;
   const idLines = isNameless ? [] : [`${layout.idLine}${String(id)}`];
   const dataLines = [`data: ${name}`, 'data: id: 1'];
@@ -271,7 +274,7 @@
   const comment = `: before ${name}`;
   if (comments === 'within') lines.unshift(comment);
   if (comments === 'between') lines.unshift(comment, '');
-  return [...lines, '', ''].join(lineEnd);
+  return [...lines, '', ''].join(lineEnding);
 }
 
 async function* piecesOf(
--- a/packages/forwarding/test/backend-notices.test.ts
+++ b/packages/forwarding/test/backend-notices.test.ts
@@ -6,7 +6,7 @@
 const NONE: NoticeField<number> = { kind: 'none' };
 const malformed: NoticeField<number> = { kind: 'malformed', text: 'many' };
 
-function named(value: number): NoticeField<number> {
+function limitOf(value: number): NoticeField<number> {
   return { kind: 'said', value };
 }
 
@@ -14,13 +14,13 @@
   let world: SimulatedWorld;
   let clock: SimulatedProcess;
   let notices: BackendNotices;
-  let told: LogEventName[];
+  let logged: LogEventName[];
 
   beforeEach(() => {
     world = new SimulatedWorld();
     clock = new SimulatedProcess(world, { name: 'd', zone: 'a', region: 'r' });
-    told = [];
-    const tell = (event: LogEventName): void => void told.push(event);
+    logged = [];
+    const tell = (event: LogEventName): void => void logged.push(event);
     notices = new BackendNotices(clock, { ...silentLog, changed: tell, warned: tell });
   });
 
@@ -32,36 +32,36 @@
   it('hold a rate limit from the answer that names it until one names none, and tell each change once', () => {
     hear(NONE);
     expect(limit()).to.equal(undefined);
-    hear(named(2));
-    hear(named(2));
+    hear(limitOf(2));
+    hear(limitOf(2));
     expect(limit()).to.equal(2);
-    hear(named(0.5));
+    hear(limitOf(0.5));
     expect(limit()).to.equal(0.5);
     hear(NONE);
     expect(limit()).to.equal(undefined);
-    expect(told).to.deep.equal(['back_end_limited', 'back_end_limited', 'back_end_unlimited']);
+    expect(logged).to.deep.equal(['back_end_limited', 'back_end_limited', 'back_end_unlimited']);
     expect(notices.totals).to.include({ limited: 0, limitsHeard: 3, malformed: 0 });
   });
 
   it('are not taken back by an answer to a request from before', async () => {
     const sentBefore = clock.monotonic();
     await world.run(100);
-    hear(named(1));
+    hear(limitOf(1));
     hear(NONE, sentBefore);
     expect(limit()).to.equal(1);
   });
 
   it('are changed by no malformed word, which is counted each time and told once', () => {
-    hear(named(1));
+    hear(limitOf(1));
     hear(malformed);
     hear(malformed);
     expect(limit()).to.equal(1);
-    expect(told).to.deep.equal(['back_end_limited', 'notice_malformed']);
+    expect(logged).to.deep.equal(['back_end_limited', 'notice_malformed']);
     expect(notices.totals.malformed).to.equal(2);
   });
 
   it('go on being asked for where a back end takes nothing: only its answers can say that its need is over', () => {
-    hear(named(0));
+    hear(limitOf(0));
     expect(limit()).to.equal(0.25);
   });
 
@@ -71,7 +71,7 @@
     notices.hearFromPeer('b1', { requestsPerSecond: 3, heardAt: clock.monotonic() });
     expect(limit()).to.equal(3);
     await world.run(100);
-    hear(named(1));
+    hear(limitOf(1));
     notices.hearFromPeer('b1', { requestsPerSecond: 3, heardAt: 50 });
     expect(limit(), 'older').to.equal(1);
     await world.run(200);
@@ -84,19 +84,19 @@
   it('are news for others when an answer changes them, and not more than once a second while the limit only moves', async () => {
     const news: (number | undefined)[] = [];
     notices.onNews = (_backEndId, heard) => void news.push(heard.requestsPerSecond);
-    hear(named(1));
-    hear(named(2));
+    hear(limitOf(1));
+    hear(limitOf(2));
     hear(NONE);
     notices.hearFromPeer('b1', { requestsPerSecond: 5, heardAt: clock.monotonic() + 1 });
-    hear(named(5));
+    hear(limitOf(5));
     expect(news).to.deep.equal([1, undefined]);
     await world.run(1000);
-    hear(named(3));
+    hear(limitOf(3));
     expect(news).to.deep.equal([1, undefined, 3]);
   });
 
   it('end with their incarnation, and say nothing of another back end', () => {
-    hear(named(1));
+    hear(limitOf(1));
     expect(notices.requestsPerSecond('b2')).to.equal(undefined);
     notices.forget('b1');
     expect(limit()).to.equal(undefined);
--- a/packages/forwarding/test/backend-pauses.test.ts
+++ b/packages/forwarding/test/backend-pauses.test.ts
@@ -17,7 +17,7 @@
   });
 
   const hear = (word: NoticeField<number>, sentAt = clock.monotonic()): void => {
-    pauses.hear('b1', word, sentAt);
+    pauses.record('b1', word, sentAt);
   };
 
   it('let nothing through until they end, and say what is left of them', async () => {
--- a/packages/forwarding/test/parts.test.ts
+++ b/packages/forwarding/test/parts.test.ts
@@ -72,13 +72,13 @@
     let repeats = 0;
     for (let count = 0; count < 100; count += 1) {
       budget.recordRequest('s');
-      if (budget.tryRepeat('s')) repeats += 1;
+      if (budget.tryRetry('s')) repeats += 1;
     }
     expect(repeats).to.be.at.most(0.2 * 100 + 70 / 7);
     expect(repeats).to.be.greaterThan(10);
-    expect(budget.tryRepeat('other')).to.equal(true);
+    expect(budget.tryRetry('other')).to.equal(true);
     await world.run(10_001);
-    expect(budget.tryRepeat('s')).to.equal(true);
+    expect(budget.tryRetry('s')).to.equal(true);
   });
 });
 
@@ -98,19 +98,19 @@
       expect(Buffer.concat(events.map((event) => event.bytes)).toString()).to.equal(text);
       expect(events.map(({ id }) => id)).to.deep.equal(['1', '2', undefined, undefined, '3', undefined]);
       expect(events.map(({ isEvent }) => isEvent)).to.deep.equal([true, true, false, false, true, true]);
-      expect(splitter.partialBytes).to.equal(0);
+      expect(splitter.incompleteEventBytes).to.equal(0);
     }
   });
 
   it('holds a torn event back', () => {
     const splitter = new EventSplitter();
     expect(splitter.push(Buffer.from('id: 1\ndata: a\n'))).to.deep.equal([]);
-    expect(splitter.partialBytes).to.equal(14);
+    expect(splitter.incompleteEventBytes).to.equal(14);
     expect(splitter.push(Buffer.from('\nid: 2\nda')).map(({ id }) => id)).to.deep.equal(['1']);
-    expect(splitter.partialBytes).to.equal('id: 2\nda'.length);
+    expect(splitter.incompleteEventBytes).to.equal('id: 2\nda'.length);
     const ended = new EventSplitter();
     ended.push(Buffer.from('id: 1\ndata: a\n\n: bye\n'));
-    expect(ended.partialBytes).to.equal(0);
+    expect(ended.incompleteEventBytes).to.equal(0);
   });
 });
 
@@ -121,40 +121,40 @@
   };
   const positionAfter = (...ids: readonly (string | undefined)[]): StreamPosition => {
     const position = new StreamPosition(undefined);
-    for (const id of ids) expect(position.take(event(id))).to.equal('follows');
+    for (const id of ids) expect(position.accept(event(id))).to.equal('follows');
     position.startRun();
     return position;
   };
 
   it('goes on with another run at the very next event only', () => {
-    expect(positionAfter('1', '2').take(event('3'))).to.equal('follows');
-    expect(positionAfter('1').take(event('2'))).to.equal('follows');
-    expect(positionAfter('1', '2').take(event('1'))).to.equal('begins_anew');
-    expect(positionAfter('1', '2').take(event('2'))).to.equal('begins_anew');
-    expect(positionAfter('1', '2').take(event('4'))).to.equal('skips');
-    expect(positionAfter('1', '2').take(event())).to.equal('without_id');
-    expect(positionAfter('10', '20').take(event('30'))).to.equal('follows');
-    expect(positionAfter('10', '20').take(event('40'))).to.equal('skips');
-    expect(positionAfter('1', '2', '5').take(event('8'))).to.equal('follows');
-    expect(positionAfter('1', '2').judge([event('3'), event('3')])).to.equal('follows');
-    expect(positionAfter('1', '2').judge([event('2')])).to.equal('begins_anew');
-    expect(positionAfter().take(event('1'))).to.equal('follows');
+    expect(positionAfter('1', '2').accept(event('3'))).to.equal('follows');
+    expect(positionAfter('1').accept(event('2'))).to.equal('follows');
+    expect(positionAfter('1', '2').accept(event('1'))).to.equal('begins_anew');
+    expect(positionAfter('1', '2').accept(event('2'))).to.equal('begins_anew');
+    expect(positionAfter('1', '2').accept(event('4'))).to.equal('skips');
+    expect(positionAfter('1', '2').accept(event())).to.equal('without_id');
+    expect(positionAfter('10', '20').accept(event('30'))).to.equal('follows');
+    expect(positionAfter('10', '20').accept(event('40'))).to.equal('skips');
+    expect(positionAfter('1', '2', '5').accept(event('8'))).to.equal('follows');
+    expect(positionAfter('1', '2').check([event('3'), event('3')])).to.equal('follows');
+    expect(positionAfter('1', '2').check([event('2')])).to.equal('begins_anew');
+    expect(positionAfter().accept(event('1'))).to.equal('follows');
   });
 
   it('takes the event that a client has of an earlier answer for the last one', () => {
-    expect(new StreamPosition('12').take(event('13'))).to.equal('follows');
-    expect(new StreamPosition('12').take(event('1'))).to.equal('begins_anew');
-    expect(new StreamPosition('opaque').take(event('next'))).to.equal('follows');
+    expect(new StreamPosition('12').accept(event('13'))).to.equal('follows');
+    expect(new StreamPosition('12').accept(event('1'))).to.equal('begins_anew');
+    expect(new StreamPosition('opaque').accept(event('next'))).to.equal('follows');
   });
 
   it('knows ids that do not rise, and streams that no other run can be told to go on with', () => {
     const position = new StreamPosition(undefined);
-    for (const id of ['1', '2']) position.take(event(id));
-    expect(position.canBeTakenUp).to.equal(true);
-    expect(position.take(event('2'))).to.equal('not_rising');
-    expect(positionAfter('a', 'b').canBeTakenUp).to.equal(false);
-    expect(positionAfter(undefined).canBeTakenUp).to.equal(false);
-    expect(positionAfter().canBeTakenUp).to.equal(true);
+    for (const id of ['1', '2']) position.accept(event(id));
+    expect(position.canResume).to.equal(true);
+    expect(position.accept(event('2'))).to.equal('not_rising');
+    expect(positionAfter('a', 'b').canResume).to.equal(false);
+    expect(positionAfter(undefined).canResume).to.equal(false);
+    expect(positionAfter().canResume).to.equal(true);
   });
 });
 
--- a/packages/forwarding/test/property-parameters.ts
+++ b/packages/forwarding/test/property-parameters.ts
@@ -3,7 +3,7 @@
 const DEFAULT_RUNS = 500;
 const DEFAULT_SEED = 1;
 /** Running a property and making its counterexample smaller take so long at most, in milliseconds. */
-const LIMIT_MS = 40_000;
+const PROPERTY_TIME_LIMIT_MS = 40_000;
 /** Time-out of a test that runs a property, in milliseconds. */
 export const PROPERTY_TIMEOUT_MS = 60_000;
 
@@ -24,7 +24,7 @@
   return {
     seed: Number(PROPERTY_SEED ?? DEFAULT_SEED),
     numRuns: Number(PROPERTY_RUNS ?? DEFAULT_RUNS),
-    interruptAfterTimeLimit: LIMIT_MS,
+    interruptAfterTimeLimit: PROPERTY_TIME_LIMIT_MS,
     markInterruptAsFailure: true,
     ...(PROPERTY_PATH === undefined ? {} : { path: PROPERTY_PATH }),
   };
--- a/packages/forwarding/test/send-permits.test.ts
+++ b/packages/forwarding/test/send-permits.test.ts
@@ -9,27 +9,27 @@
 
 /** Permits for some back ends, a number of each; all others need none. */
 class CountedPermits implements SendPermits {
-  readonly asked: string[] = [];
-  readonly givenBack: string[] = [];
+  readonly requested: string[] = [];
+  readonly refunded: string[] = [];
   private readonly closed = new Set<string>();
 
-  constructor(private readonly left: Map<string, number>) {}
+  constructor(private readonly remaining: Map<string, number>) {}
 
   waitMs(backEndId: string): number {
     return this.closed.has(backEndId) ? WAIT_MS : 0;
   }
 
   acquire({ id }: { readonly id: string }): ReturnType<SendPermits['acquire']> {
-    this.asked.push(id);
-    const left = this.left.get(id) ?? Infinity;
+    this.requested.push(id);
+    const left = this.remaining.get(id) ?? Infinity;
     if (left <= 0) {
       this.closed.add(id);
       return Promise.resolve(undefined);
     }
-    this.left.set(id, left - 1);
+    this.remaining.set(id, left - 1);
     return Promise.resolve({
       isValid: () => true,
-      giveBack: () => void this.givenBack.push(id),
+      giveBack: () => void this.refunded.push(id),
       end: () => undefined,
     });
   }
@@ -50,8 +50,8 @@
     const { world, permits } = worldWith({}, [{ kind: 'repeatable', maximumAttempts: 3 }]);
     for (const id of ['b1', 'b2', 'b3']) world.add(id, fail);
     await world.ask();
-    expect(world.calls.map(({ address }) => address)).to.deep.equal(permits.asked);
-    expect(permits.asked).to.have.length(3);
+    expect(world.calls.map(({ address }) => address)).to.deep.equal(permits.requested);
+    expect(permits.requested).to.have.length(3);
   });
 
   it('send what a back end does not take to others first', async () => {
@@ -86,7 +86,7 @@
     world.add('b1', script, ['m']);
     world.add('b2', script, ['m']);
     expect((await world.ask({ model: 'm' })).ending).to.equal('complete');
-    expect([...permits.asked].sort()).to.deep.equal(['b1', 'b2']);
+    expect([...permits.requested].sort()).to.deep.equal(['b1', 'b2']);
   });
 
   it('have a model made resident elsewhere where those that hold it take nothing more', async () => {
@@ -121,7 +121,7 @@
     world.add('b1', serve);
     world.scripts.delete('b1');
     expect((await world.ask()).status).to.equal(503);
-    expect(permits.givenBack).to.deep.equal(['b1']);
+    expect(permits.refunded).to.deep.equal(['b1']);
   });
 
   it('are not used for a request whose time has run out meanwhile', async () => {
@@ -139,7 +139,7 @@
     expect(world.world.now - startedAt).to.be.at.most(400);
     await world.world.run(1000);
     expect(world.calls).to.have.length(0);
-    expect(permits.givenBack).to.deep.equal(['b1']);
+    expect(permits.refunded).to.deep.equal(['b1']);
   });
 
   /**
--- a/packages/forwarding/test/simulated-exchange.ts
+++ b/packages/forwarding/test/simulated-exchange.ts
@@ -41,7 +41,7 @@
   PromptAffinity,
   RepeatBudget,
   ReplicaSelector,
-  silentJournal,
+  noopJournal,
   type ForwardingContext,
   type ResidencyClient,
   type ResidencyDemand,
@@ -53,7 +53,7 @@
 } from '../src/index.js';
 
 /** Virtual time after which a request that has not ended never will, in milliseconds. */
-const LONGEST_REQUEST_MS = 60_000;
+const MAX_REQUEST_MS = 60_000;
 
 /** What a back end does with a request. */
 export type BackendScript = (call: BackendCall, world: ForwardingWorld) => Promise<BackendAnswer>;
@@ -63,7 +63,7 @@
   /** It leaves after so many milliseconds; it stays when absent. */
   readonly leavesAfterMs?: number | undefined;
   /** Resolves once the client has taken a piece of a stream. */
-  readonly take?: () => Promise<void>;
+  readonly drain?: () => Promise<void>;
 }
 
 /** An exchange that keeps what it was answered with. */
@@ -77,12 +77,12 @@
   /** How it ended. */
   ending: 'open' | 'complete' | 'aborted' = 'open';
   /** What was written beside the one answer, while the client was there: a second head, or bytes after the end. */
-  readonly surplus: string[] = [];
+  readonly unexpectedWrites: string[] = [];
 
   constructor(
     readonly target: string,
     readonly headers: Record<string, string | undefined>,
-    private readonly take: () => Promise<void> = () => Promise.resolve(),
+    private readonly drain: () => Promise<void> = () => Promise.resolve(),
   ) {
     this.rawHeaders = Object.entries(headers).flatMap(([name, value]) =>
       value === undefined ? [] : [name, value],
@@ -108,7 +108,7 @@
     return {
       write: async (chunk) => {
         if (this.isOpenFor('bytes')) this.body += Buffer.from(chunk).toString();
-        await this.take();
+        await this.drain();
       },
       end: () => {
         if (this.isOpenFor('an end')) this.ending = 'complete';
@@ -131,7 +131,7 @@
 
   private begin(head: ResponseHead): boolean {
     if (!this.isOpenFor('a head')) return false;
-    if (this.status !== 0) this.surplus.push(`a second head of status ${String(head.status)}`);
+    if (this.status !== 0) this.unexpectedWrites.push(`a second head of status ${String(head.status)}`);
     this.status = head.status;
     this.answerHeaders = head.headers;
     return true;
@@ -139,7 +139,7 @@
 
   private isOpenFor(what: string): boolean {
     if (this.ending === 'open') return true;
-    if (!this.signal.aborted) this.surplus.push(`${what} after the end`);
+    if (!this.signal.aborted) this.unexpectedWrites.push(`${what} after the end`);
     return false;
   }
 }
@@ -258,7 +258,7 @@
     target = '/r0/',
     client: ClientBehaviour = {},
   ): Promise<SimulatedExchange> {
-    const exchange = new SimulatedExchange(target, { host: 'host', id: 'x', ...headers }, client.take);
+    const exchange = new SimulatedExchange(target, { host: 'host', id: 'x', ...headers }, client.drain);
     let settled = false;
     const handled = this.forwarder.handle(exchange).finally(() => (settled = true));
     const { leavesAfterMs } = client;
@@ -267,7 +267,7 @@
         exchange.leave();
       });
     }
-    await this.world.run(this.world.now + LONGEST_REQUEST_MS, () => settled);
+    await this.world.run(this.world.now + MAX_REQUEST_MS, () => settled);
     if (!settled) throw new Error('the request never ended');
     await handled;
     return exchange;
@@ -329,7 +329,7 @@
       quota: { acquire: (...wish) => this.quota(...wish) },
       quarantine: this.quarantine,
       journal: {
-        ...silentJournal,
+        ...noopJournal,
         decided: (decision, _id, { cause }) => {
           if (decision === 'request_refused') this.refusals.push(String(cause));
         },
--- a/packages/forwarding/test/stream-order.property.test.ts
+++ b/packages/forwarding/test/stream-order.property.test.ts
@@ -1,13 +1,13 @@
 import fc from 'fast-check';
 import { isStream, type RequestKind } from '../src/index.js';
-import { faultOf, type PlayedRequest } from './answer-judge.js';
+import { findAnswerFault, type ObservedRequest } from './answer-checker.js';
 import { PlannedSends, runPlans, type RunPlan } from './arbitrary-workers.js';
 import { ENGINE } from './engines.js';
 import { PROPERTY_TIMEOUT_MS, propertyParameters } from './property-parameters.js';
 import { ForwardingWorld } from './simulated-exchange.js';
 
 /** One request, the back ends it meets, and its client. */
-interface Situation {
+interface Scenario {
   readonly kind: RequestKind;
   readonly events: number;
   /** The event that the client already has, modulo the number of events; 0 when none. */
@@ -18,10 +18,10 @@
   readonly plans: readonly RunPlan[];
   readonly leavesAfterMs: number | undefined;
   /** Time that the client takes for each piece, in milliseconds. */
-  readonly takeMs: number;
+  readonly drainMs: number;
 }
 
-const situations: fc.Arbitrary<Situation> = fc.record({
+const scenarios: fc.Arbitrary<Scenario> = fc.record({
   kind: fc.constantFrom('resumable_stream', 'resumable_stream', 'stream', 'repeatable', 'once'),
   events: fc.integer({ min: 1, max: 40 }),
   resumeAfter: fc.oneof(fc.constant(0), fc.nat(40)),
@@ -33,11 +33,11 @@
     { weight: 5, arbitrary: fc.constant(undefined) },
     { weight: 1, arbitrary: fc.nat(700) },
   ),
-  takeMs: fc.constantFrom(0, 0, 0, 20),
+  drainMs: fc.constantFrom(0, 0, 0, 20),
 });
 
-async function play(situation: Situation): Promise<PlayedRequest> {
-  const { kind, events, maximumAttempts, timeoutMs, takeMs } = situation;
+async function runScenario(situation: Scenario): Promise<ObservedRequest> {
+  const { kind, events, maximumAttempts, timeoutMs, drainMs } = situation;
   const resumeAfter = situation.resumeAfter % (events + 1);
   const route = { kind, maximumAttempts, timeoutMs, targetGapMs: 150, clientGapMs: 2000 };
   const world = new ForwardingWorld([route], ENGINE);
@@ -49,7 +49,7 @@
   const headers = { model: 'm', ...(resumeAfter === 0 ? {} : { resume: String(resumeAfter) }) };
   const exchange = await world.ask(headers, '/r0/', {
     leavesAfterMs: situation.leavesAfterMs,
-    take: () => (takeMs === 0 ? Promise.resolve() : world.wait(takeMs)),
+    drain: () => (drainMs === 0 ? Promise.resolve() : world.wait(drainMs)),
   });
   const { runs, ranOn } = sends;
   return { kind, events, resumeAfter, maximumAttempts, exchange, runs, ranOn };
@@ -57,9 +57,9 @@
 
 describe('order of streams', () => {
   it('gives the client whole events in order, each once, and a complete answer only when it is whole', async () => {
-    const property = fc.asyncProperty(situations, async (situation) => {
-      const played = await play(situation);
-      const fault = faultOf(played);
+    const property = fc.asyncProperty(scenarios, async (situation) => {
+      const played = await runScenario(situation);
+      const fault = findAnswerFault(played);
       if (fault !== undefined)
         throw new Error(`${fault}; the client has ${JSON.stringify(played.exchange.body)}`);
     });
--- a/packages/forwarding/test/stream-takeup.test.ts
+++ b/packages/forwarding/test/stream-resume.test.ts
@@ -14,7 +14,7 @@
  */
 import { expect } from 'chai';
 import { ENGINE } from './engines.js';
-import { ClientAnswer, type UnbegunAnswer } from '../src/client-answer.js';
+import { ClientAnswer, type PendingAnswer } from '../src/client-answer.js';
 import {
   ForwardingWorld,
   SimulatedExchange,
@@ -27,7 +27,7 @@
 const FIRST_EVENTS = 'id: 1\ndata: a\n\nid: 2\ndata: b\n\n';
 
 /** Asks for a stream that may be taken up, of which the first run breaks off after two events. */
-async function takenUpBy(...runs: readonly BackendScript[]): Promise<{
+async function resumeWith(...runs: readonly BackendScript[]): Promise<{
   readonly body: string;
   readonly ending: string;
   readonly sends: number;
@@ -46,27 +46,27 @@
     for (const status of [500, 404]) {
       const fails: BackendScript = () => Promise.resolve(answer(status, 'no such thing'));
       const whole = `${FIRST_EVENTS}id: 3\ndata: c\n\n`;
-      expect(await takenUpBy(fails, goesOn)).to.deep.equal({ body: whole, ending: 'complete', sends: 3 });
-      const alone = await takenUpBy(fails, fails, fails);
+      expect(await resumeWith(fails, goesOn)).to.deep.equal({ body: whole, ending: 'complete', sends: 3 });
+      const alone = await resumeWith(fails, fails, fails);
       expect(alone).to.include({ body: FIRST_EVENTS, ending: 'aborted' });
     }
   });
 
   it('does not go on with a run that begins anew', async () => {
     const anew: BackendScript = () => Promise.resolve(answer(200, `${FIRST_EVENTS}id: 3\ndata: c\n\n`));
-    expect(await takenUpBy(anew, anew, anew)).to.include({ body: FIRST_EVENTS, ending: 'aborted' });
+    expect(await resumeWith(anew, anew, anew)).to.include({ body: FIRST_EVENTS, ending: 'aborted' });
   });
 
   it('does not go on with a run that leaves an event out', async () => {
     const skips: BackendScript = () => Promise.resolve(answer(200, 'id: 4\ndata: d\n\n'));
-    expect(await takenUpBy(skips, skips, skips)).to.include({ body: FIRST_EVENTS, ending: 'aborted' });
+    expect(await resumeWith(skips, skips, skips)).to.include({ body: FIRST_EVENTS, ending: 'aborted' });
   });
 
   it('does not go on with a success that is no stream', async () => {
     const page: BackendScript = () => Promise.resolve(answer(200, 'welcome'));
     const empty: BackendScript = () => Promise.resolve(answer(200));
     for (const script of [page, empty]) {
-      const taken = await takenUpBy(script, script, script);
+      const taken = await resumeWith(script, script, script);
       expect(taken).to.include({ body: FIRST_EVENTS, ending: 'aborted' });
     }
   });
@@ -74,7 +74,7 @@
   it('does not end as complete inside an event', async () => {
     const torn: BackendScript = () => Promise.resolve(answer(200, 'id: 3\ndata: c\n\nid: 4\nda'));
     const rest: BackendScript = () => Promise.resolve(answer(200, 'id: 4\ndata: d\n\n'));
-    const { body, ending } = await takenUpBy(torn, rest);
+    const { body, ending } = await resumeWith(torn, rest);
     expect(body).to.equal(`${FIRST_EVENTS}id: 3\ndata: c\n\nid: 4\ndata: d\n\n`);
     expect(ending).to.equal('complete');
   });
@@ -84,7 +84,7 @@
       const headers = { 'content-type': 'text/event-stream' };
       return Promise.resolve({ ...answer(200), headers });
     };
-    const torn = await takenUpBy(nothing, nothing, nothing);
+    const torn = await resumeWith(nothing, nothing, nothing);
     expect(torn).to.include({ body: FIRST_EVENTS, ending: 'aborted' });
     const world = new ForwardingWorld([{ kind: 'resumable_stream' }], ENGINE);
     const runs = [answer(200, FIRST_EVENTS, CUT)];
@@ -192,14 +192,14 @@
   it('lets nothing be written by way of a state that it has left', async () => {
     const exchange = new SimulatedExchange('/r0/', {});
     const client = new ClientAnswer(exchange);
-    const unbegun = client.state as UnbegunAnswer;
+    const unbegun = client.state as PendingAnswer;
     const events = unbegun.beginEvents({ status: 200, headers: [] });
     const head = { status: 500, headers: [] };
     expect(() => {
       unbegun.respond(head, Buffer.from('failed'));
     }).to.throw('no longer not_begun');
-    client.cut();
-    expect(() => events.pass([])).to.throw('no longer events');
+    client.abort();
+    expect(() => events.write([])).to.throw('no longer events');
     expect(exchange).to.include({ status: 200, body: '', ending: 'aborted' });
     await Promise.resolve();
   });
@@ -218,13 +218,13 @@
   /** Two back ends, of which the first answers without a length; after that answer it is as the probe says. */
   function worldOf(
     kind: 'repeatable' | 'resumable_stream' | 'stream',
-    fate: 'running' | 'refused',
+    processState: 'running' | 'refused',
   ): ForwardingWorld {
     const world = new ForwardingWorld([{ kind }], ENGINE);
     const first = unframed(200, kind === 'repeatable' ? 'half of it' : FIRST_EVENTS);
     const runs = [first, answer(200, kind === 'repeatable' ? 'whole' : REST)];
     let asked: string | undefined;
-    world.probe = ({ id }) => (id === asked ? fate : 'running');
+    world.probe = ({ id }) => (id === asked ? processState : 'running');
     for (const id of ['b1', 'b2']) {
       const script: BackendScript = (call) => {
         asked ??= call.address;
