--- a/packages/forwarding/src/answer-forwarder.ts
+++ b/packages/forwarding/src/answer-forwarder.ts
@@ -1,4 +1,4 @@
-/** Passes the answer of one back end on to the client, and notes what it tells of the back end. */
+/** Forwards a back end's answer to the client and records its outcome for health, quarantine and run times. */
 import type { BackEnd } from '@woodbarrow/backends';
 import type { BackendAnswer } from '@woodbarrow/runtime';
 import { ABORTED, raceAbort } from './race-abort.js';
@@ -16,27 +16,27 @@
 import type { SendFailures } from './send-failures.js';
 import { StreamPosition } from './stream-position.js';
 
-/** A stream silent for this many times its longest pause in time is taken up elsewhere. */
+/** A stream without data for this multiple of the target gap is resumed on another back end. */
 const STALL_GAP_MULTIPLE = 2.5;
-/** Part of the client's patience with a gap for which a back end may be silent while no other holds the model. */
+/** Share of the client's gap limit that a stream may stay without data while no other back end holds the model. */
 const SOLE_HOLDER_GAP_SHARE = 0.5;
 const EVENT_STREAM_TYPE = 'text/event-stream';
 
-/** An answer, who gave it, and when the request was sent there. */
+/** An answer, its back end, and the time at which the request was sent. */
 export interface SentAnswer {
   readonly answer: BackendAnswer;
   readonly backEnd: BackEnd;
-  /** Monotonic. */
+  /** Monotonic time in milliseconds. */
   readonly sentAt: number;
 }
 
-/** Why an answer cannot take a stream up. */
+/** Why an answer cannot resume a stream. */
 type ResumeRefusal = 'failure' | 'not_a_stream' | Extract<StreamRelayResult, { kind: 'refused' }>['reason'];
 
-/** Passing of the answers to one request. */
+/** Forwards the answers to one request, which may come from several back ends. */
 export class AnswerForwarder {
   private readonly relay: AnswerRelay;
-  /** What the client has of the stream; absent where it may run only once. */
+  /** Position of the client in a resumable stream; absent for other kinds of requests. */
   private readonly position: StreamPosition | undefined;
 
   constructor(
@@ -49,7 +49,7 @@
     this.position = route.kind === 'resumable_stream' ? new StreamPosition(facts.resumeAfter) : undefined;
   }
 
-  /** Passes an answer on as far as it fits what the client has received. */
+  /** Forwards an answer as far as it continues what the client has received. */
   async forward(sent: SentAnswer): Promise<AttemptResult> {
     const { answer, progress, route } = this.scope;
     progress.mayHaveRunOn.add(sent.backEnd.id);
@@ -69,8 +69,8 @@
   }
 
   /**
-   * Lets an answer go on with a stream that has begun, which only a stream can do: the text of a failure, or of anything else, would
-   * become a part of the client's answer and end it as complete.
+   * Continues a stream that has begun. Only another event stream may do so: the text of any other answer would become part of
+   * the client's stream and end it as complete.
    */
   private resumeStream(client: EventStreamAnswer, sent: SentAnswer): Promise<AttemptResult> {
     const { backEnd, answer } = sent;
@@ -81,7 +81,7 @@
       : Promise.resolve(this.refuseNonStream(sent));
   }
 
-  /** What is no stream cannot go on with one, neither here nor at a client that takes it up itself. */
+  /** Refuses an answer that is not an event stream as the continuation of a stream. */
   private refuseNonStream(sent: SentAnswer): AttemptResult {
     sent.answer.discard();
     return this.recordRefused(sent, isSuccess(sent.answer) ? 'not_a_stream' : 'failure');
@@ -122,7 +122,7 @@
     if (result.kind === 'broken') return this.recordBroken(sent, result);
     if (result.kind === 'refused') return this.recordRefused(sent, result.reason, result.firstEvent);
     context.quarantine.noteServed(this.scope.digest);
-    // A run that took a stream up in the middle says nothing of whole ones.
+    // The duration of a resumed run is not that of a whole run.
     if (progress.mayHaveRunOn.size === 1) this.runTimeEstimate.recordRun(context.clock.monotonic() - sentAt);
     completion.recordAnswered(answer.status, backEnd.id, this.streamSummary(firstMs, result.lastEvent));
     return { kind: 'finished' };
@@ -157,8 +157,8 @@
   }
 
   /**
-   * False where a process has ended, or time is up before that is known. One that was leaving may have ended after its last answer, which
-   * counts where another run cannot show whether there is more.
+   * Returns false if the process has exited, or if that is unknown when time is up. A draining process may exit right after its
+   * last answer, so it counts as alive unless another run can check for missing data.
    */
   private async isProcessAlive(backEnd: BackEnd): Promise<boolean> {
     const { context, expired, route } = this.scope;
@@ -168,7 +168,7 @@
     return fate !== ABORTED && fate !== 'ended';
   }
 
-  /** Whether another back end could take the stream up at once. */
+  /** Whether another back end that holds the model could resume the stream. */
   private hasAlternative(backEnd: BackEnd): boolean {
     const { context, facts, service, progress } = this.scope;
     if (facts.target === undefined || progress.isStopping) return false;
@@ -177,7 +177,7 @@
       .some(({ id }) => id !== backEnd.id && !progress.excluded.has(id));
   }
 
-  /** The answer does not go on where the client's has come to: the send has failed, and the client's answer stays as it is. */
+  /** Records an answer that does not continue the client's stream; the client's answer stays unchanged. */
   private recordRefused(
     { backEnd, answer }: SentAnswer,
     reason: ResumeRefusal,
@@ -186,7 +186,7 @@
     const { progress, facts } = this.scope;
     const { lastEventId: afterEvent = facts.resumeAfter, hasBegun } = this.scope.answer;
     progress.excluded.add(backEnd.id);
-    // Where only the client has named the event, it may be the client that is wrong.
+    // If only the client has named the event, the client may be wrong, so the back end's health is not affected.
     if (hasBegun) this.failures.health().record(backEnd.id, 'failed_answer');
     const { status } = answer;
     this.recordDecision('take_up_refused', { backEnd: backEnd.id, reason, status, afterEvent, firstEvent });
--- a/packages/forwarding/src/answer-relay.ts
+++ b/packages/forwarding/src/answer-relay.ts
@@ -1,4 +1,4 @@
-/** Passes answers of back ends on to one client: whole ones once they are complete, streams event by event as they come. */
+/** Relays answers of back ends to one client: bodies once they are complete, streams event by event. */
 import type { BackendAnswer, Clock } from '@woodbarrow/runtime';
 import { ABORTED, raceAbort } from './race-abort.js';
 import { BodyReader, type ProcessCheck } from './body-reader.js';
@@ -8,29 +8,29 @@
 import type { Continuation, StreamPosition } from './stream-position.js';
 import type { WireDialect } from './wire-dialect.js';
 
-/** Answers up to this size are held until they are whole, so that a broken one can be replaced, in bytes. */
+/** Answers up to this size, in bytes, are buffered until complete, so that an incomplete one can be replaced. */
 const MAX_BUFFERED_ANSWER_BYTES = 64 * 1024;
 
-/** What came of passing a whole answer on. */
+/** Result of relaying an answer that is not a stream. */
 export type BodyRelayResult =
-  /** The client has all of it. */
+  /** The client has received all of it. */
   | { readonly kind: 'passed' }
-  /** It is whole and has not been passed on. */
+  /** It is complete and buffered; nothing has been forwarded. */
   | { readonly kind: 'held'; readonly answer: BufferedAnswer }
   | BrokenResult;
 
-/** It broke off, or stopped. */
+/** The answer ended early, stalled, or the request's time ran out. */
 export interface BrokenResult {
   readonly kind: 'broken';
-  /** Bytes of an unfinished event at a plain end; 0 where the connection broke. */
+  /** Bytes of an incomplete event at a regular end of the body; 0 if the connection broke. */
   readonly tornBytes: number;
 }
 
-/** What came of passing a stream on. */
+/** Result of relaying a stream. */
 export type StreamRelayResult =
-  /** The client has all of it. */
+  /** The client has received all of it. */
   | { readonly kind: 'passed'; readonly lastEvent: string | undefined }
-  /** An event does not follow those that the client has; that one and what came after it were not passed on. */
+  /** An event does not follow those that the client has; it and all later ones were dropped. */
   | {
       readonly kind: 'refused';
       readonly reason: Exclude<Continuation, 'follows'>;
@@ -38,47 +38,47 @@
     }
   | BrokenResult;
 
-/** How to pass a stream on. */
+/** Options of {@link AnswerRelay.relayStream}. */
 export interface StreamRelayOptions {
-  /** What the client has of an earlier answer; absent where no other run may go on, and then events are not compared. */
+  /** Position of the client in the stream; absent if the stream cannot be resumed, and then event ids are not checked. */
   readonly position?: StreamPosition;
-  /** Milliseconds without a byte after which the stream counts as broken, asked anew before each wait. */
+  /** Milliseconds without data after which the stream counts as broken, evaluated before each read; unlimited when undefined. */
   readonly idleTimeoutMs: () => number | undefined;
   readonly isProcessAlive: ProcessCheck;
-  /** Called once when the first events of this run have been found to follow. */
+  /** Called once, when the first events of this run have been accepted. */
   readonly onAccepted: () => void;
 }
 
-/** Relay of one request; a stream may go on from one answer to the next. */
+/** Relay of one request; a stream may continue across several answers. */
 export class AnswerRelay {
-  /** Monotonic time of the last bytes of a stream. */
+  /** Monotonic time at which the last chunk of a stream arrived. */
   private lastChunkAt: number | undefined;
   private maxGapMs = 0;
   private firstEventId: string | undefined;
-  /** A run has broken off inside an event, so there is at least one more. */
+  /** Whether a run ended inside an event, so that at least one more event must follow. */
   private expectsMoreEvents = false;
 
   constructor(
     private readonly dialect: WireDialect,
     private readonly clock: Clock,
-    /** Aborts when time is up: a client that does not read must not hold the request longer. */
+    /** Aborts when time is up, so that a client that does not read cannot hold the request. */
     private readonly expired: AbortSignal,
   ) {}
 
-  /** Longest pause between two pieces of a stream as they came, in milliseconds; 0 before the second. */
+  /** Longest time between two chunks of a stream, in milliseconds; 0 before the second chunk. */
   get longestGapMs(): number {
     return this.maxGapMs;
   }
 
-  /** Id of the first event that the last back end sent. */
+  /** Id of the first event of the latest run. */
   get firstEventIdOfRun(): string | undefined {
     return this.firstEventId;
   }
 
   /**
-   * Reads an answer to its end; a large one is passed on while it comes.
+   * Reads an answer to its end; one that exceeds the buffer is forwarded while it arrives.
    *
-   * @param idleTimeoutMs Milliseconds without a byte after which it counts as broken; without end when undefined.
+   * @param idleTimeoutMs Milliseconds without data after which the answer counts as broken; unlimited when undefined.
    */
   async relayBody(
     client: PendingAnswer,
@@ -109,8 +109,8 @@
   }
 
   /**
-   * Passes a stream on, event by event. A client's answer begins with the first event that follows what the client has, so that until
-   * then another answer may be given; it keeps the head of its first run.
+   * Forwards a stream event by event. The client's answer begins with the first accepted event; until then another answer may
+   * replace it. A resumed stream keeps the head of its first run.
    */
   async relayStream(
     client: PendingAnswer | EventStreamAnswer,
@@ -143,12 +143,12 @@
       hasAccepted = true;
       this.expectsMoreEvents = false;
     }
-    // An event without its blank line is not whole: clients drop it, so a stream that ends there must not look complete.
+    // Clients drop an event without its terminating blank line, so a stream that ends there must not look complete.
     if (splitter.incompleteEventBytes > 0 || this.expectsMoreEvents)
       return { ...this.brokenResult(splitter), tornBytes: splitter.incompleteEventBytes };
     if (!hasAccepted) options.onAccepted();
     if (target.kind === 'not_begun') target = this.begin(target, answer, options);
-    // Comments behind the last event belong to the back end's whole body.
+    // Comments after the last event are part of the body.
     const { remainder: bytes } = splitter;
     if (bytes.byteLength > 0) {
       const { drained } = target.write([{ bytes, isEvent: false }]);
@@ -159,7 +159,7 @@
     return { kind: 'passed', lastEvent };
   }
 
-  /** Waits until the client has taken what was written, and says whether time is up by then. */
+  /** Waits until the client's side can accept more data. Returns whether time ran out first. */
   private async expiresBeforeDrained(drained: Promise<void> | undefined): Promise<boolean> {
     if (drained === undefined) return this.expired.aborted;
     return (await raceAbort(drained, this.expired)) === ABORTED;
--- a/packages/forwarding/src/backend-choice.ts
+++ b/packages/forwarding/src/backend-choice.ts
@@ -1,4 +1,4 @@
-/** What choosing a back end comes to. */
+/** Result of choosing a back end. */
 import type { BackEnd } from '@woodbarrow/backends';
 
 /** A back end to send to, or why there is none. */
@@ -13,11 +13,11 @@
   | 'model_unavailable'
   | 'model_too_late'
   | 'client_gone'
-  /** Those that could run it are at their rate limits, or have asked for a pause. */
+  /** All suitable back ends are at their rate limits or have asked for a pause. */
   | 'not_accepting'
   | 'connections_exhausted';
 
-/** A refusal, and when to come back, in milliseconds. */
+/** Builds a refusal. @param retryAfterMs Suggested delay before a retry, in milliseconds. */
 export function refusal(reason: RefusalReason, retryAfterMs: number): BackendChoice {
   return { kind: 'refuse', reason, retryAfterMs };
 }
--- a/packages/forwarding/src/backend-health.ts
+++ b/packages/forwarding/src/backend-health.ts
@@ -1,29 +1,29 @@
-/** What the answers of each back end tell of its health: avoidance and outlier detection by recent results. */
+/** Tracks the health of back ends from recent results: backoff after failed connections and outlier detection. */
 import type { Clock } from '@woodbarrow/runtime';
 
-/** How one request to a back end went. */
+/** Result of one request to a back end. */
 export type SendResult = 'good' | 'failed_answer' | 'broken' | 'unreachable' | 'timed_out';
 
-/** Weight of the newest result in the running averages. */
+/** Weight of the newest result in the moving averages of one back end. */
 const RESULT_WEIGHT = 0.2;
-/** Weight of the newest result in the average of a whole service. */
+/** Weight of the newest result in the moving average of a service. */
 const SERVICE_RESULT_WEIGHT = 0.05;
-/** First pause after a back end could not be reached, and the largest, in milliseconds. */
+/** Initial and maximum time for which a back end that did not respond is avoided, in milliseconds. */
 const INITIAL_BACKOFF_MS = 400;
 const MAX_BACKOFF_MS = 4000;
-/** Share of failures above that of the service at which a back end is avoided. */
+/** Margin by which the failure rate of an outlier exceeds the mean of the other back ends. */
 const OUTLIER_FAILURE_MARGIN = 0.3;
 
 interface HealthRecord {
   failureRate: number;
-  /** Measured time over expected time. */
+  /** Moving average of measured time over expected time. */
   latencyRatio: number;
-  /** Monotonic time until which it is avoided. */
+  /** Monotonic time until which the back end is avoided. */
   avoidUntil: number;
   backoffMs: number;
 }
 
-/** Health of the back ends of one service, as this daemon sees it. */
+/** Health of the back ends of one service as observed by this daemon. */
 export class BackendHealth {
   private readonly records = new Map<string, HealthRecord>();
   private serviceLatencyRatio = 1;
@@ -31,9 +31,9 @@
   constructor(private readonly clock: Clock) {}
 
   /**
-   * Notes the result of a request.
+   * Records the result of a request.
    *
-   * @param ratio Measured time over the time expected for a request of that size; absent when nothing was measured.
+   * @param ratio Measured time over the time expected for a request of that size; absent if nothing was measured.
    */
   record(backEndId: string, result: SendResult, ratio?: number): void {
     const record = this.recordOf(backEndId);
@@ -52,13 +52,13 @@
     }
   }
 
-  /** Whether other back ends should be preferred for now. */
+  /** Whether the back end is in backoff and others should be preferred. */
   isAvoided(backEndId: string): boolean {
     const record = this.records.get(backEndId);
     return record !== undefined && record.avoidUntil > this.clock.monotonic();
   }
 
-  /** Whether it fails clearly more often than the others given. */
+  /** Whether the back end fails clearly more often than the given peers. */
   isOutlier(backEndId: string, peers: readonly string[]): boolean {
     const own = this.records.get(backEndId)?.failureRate ?? 0;
     if (own < OUTLIER_FAILURE_MARGIN) return false;
@@ -69,13 +69,13 @@
     return own > mean + OUTLIER_FAILURE_MARGIN;
   }
 
-  /** How many times slower than the service's average it is; at least a half. */
+  /** Latency relative to the average of the service; at least 0.5, and 1 for an unknown back end. */
   slowness(backEndId: string): number {
     const record = this.records.get(backEndId);
     return record === undefined ? 1 : Math.max(0.5, record.latencyRatio / this.serviceLatencyRatio);
   }
 
-  /** Drops what is known of a back end that is gone. */
+  /** Removes the record of a back end that no longer exists. */
   forget(backEndId: string): void {
     this.records.delete(backEndId);
   }
--- a/packages/forwarding/src/backend-notice.ts
+++ b/packages/forwarding/src/backend-notice.ts
@@ -1,24 +1,24 @@
-/** What a back end says of itself in the head of an answer. */
+/** Notices that a back end gives in the headers of its answers. */
 
-/** One thing that it may say of itself. */
+/** One field of a notice. */
 export type NoticeField<Value> =
-  /** It says nothing of it. */
+  /** The header is absent. */
   | { readonly kind: 'none' }
   | { readonly kind: 'said'; readonly value: Value }
-  /** The text cannot be read, and changes nothing. */
+  /** The text cannot be parsed; it is ignored. */
   | { readonly kind: 'malformed'; readonly text: string };
 
-/** What the head of one answer says. */
+/** Notice in the headers of one answer. */
 export interface BackendNotice {
-  /** Requests a second that the back end takes from all daemons together. */
+  /** Rate limit of the back end over all daemons, in requests per second. */
   readonly requestsPerSecond: NoticeField<number>;
-  /** The back end will end soon, and takes no new requests. */
+  /** The back end will exit soon and accepts no new requests. */
   readonly leaving: NoticeField<true>;
-  /** Milliseconds for which the back end wants no requests from this daemon. */
+  /** Milliseconds for which this daemon should send no requests to the back end. */
   readonly pauseMs: NoticeField<number>;
 }
 
-/** A notice that says nothing. */
+/** Notice without any field. */
 export const EMPTY_NOTICE: BackendNotice = {
   requestsPerSecond: { kind: 'none' },
   leaving: { kind: 'none' },
--- a/packages/forwarding/src/backend-notices.ts
+++ b/packages/forwarding/src/backend-notices.ts
@@ -1,57 +1,56 @@
-/** What each back end last said of itself, by incarnation, as far as this daemon knows. */
+/** Stores the latest notices of back ends by incarnation, received in answers or from other daemons. */
 import type { EventLog } from '@woodbarrow/observability';
 import type { Clock } from '@woodbarrow/runtime';
 import type { BackendNotice, NoticeField } from './backend-notice.js';
 import { BackendPauses } from './backend-pauses.js';
 
-/** What a back end last said of a rate limit. */
+/** Latest known rate limit of a back end. */
 export interface HeardRateLimit {
-  /** Requests a second over all daemons together; absent where it named none any more. */
+  /** Requests per second over all daemons; absent if the limit was lifted. */
   readonly requestsPerSecond?: number;
-  /** Monotonic time at which an answer said so. */
+  /** Monotonic time at which the answer with this limit, or without one, arrived. */
   readonly heardAt: number;
 }
 
 /**
- * Rate at which a back end is sent requests that names a lower one: only its answers can say that its need is over. One request in
- * four seconds is within what any limit allows.
+ * Lowest rate at which a limited back end is sent requests. Some requests must be sent, since only answers can lift the limit.
  */
 const MIN_REQUESTS_PER_SECOND = 0.25;
 
-/** Who said it: the back end itself, or another daemon that had heard it. */
+/** Where a notice comes from: an answer of the back end, or a report of another daemon. */
 type NoticeSource = 'answer' | 'peer';
 
-/** Numbers since the start. */
+/** Current gauges, and counters since the start of the daemon. */
 export interface NoticeTotals {
-  /** Back ends that name a rate limit now. */
+  /** Back ends with a rate limit. */
   readonly limited: number;
-  /** Back ends that asked for a pause and are left alone now. */
+  /** Back ends that are paused. */
   readonly paused: number;
-  /** Answers that named a rate limit. */
+  /** Answers with a rate limit. */
   readonly limitsHeard: number;
-  /** Answers that said that their back end leaves. */
+  /** Answers that announced the exit of their back end. */
   readonly leavingHeard: number;
-  /** Answers that asked for a pause. */
+  /** Answers that requested a pause. */
   readonly pausesHeard: number;
-  /** Fields of answers that could not be read. */
+  /** Notice fields that could not be parsed. */
   readonly malformed: number;
 }
 
-/** Shortest time between two news of a back end that goes on naming a limit, in milliseconds: it may name another in each answer. */
+/** Minimum time between reports of adjusted limits of one back end, in milliseconds; each answer may carry another limit. */
 const MIN_REPORT_INTERVAL_MS = 1000;
 
-/** Notices known to one daemon. */
+/** Notices held by one daemon. */
 export class BackendNotices {
-  /** Called when an answer changed what is known: other daemons are to know it too. */
+  /** Called when an answer changed a rate limit, to report it to the other daemons. */
   onNews: (backEndId: string, heard: HeardRateLimit) => void = () => undefined;
-  /** Called with each answer that says that its back end leaves. */
+  /** Called with each answer that announces the exit of its back end. */
   onLeaving: (backEndId: string) => void = () => undefined;
-  /** Pauses that back ends asked this daemon for. */
+  /** Pauses that back ends requested from this daemon. */
   readonly pauses: BackendPauses;
   private readonly rateLimits = new Map<string, HeardRateLimit>();
-  /** Fields that could not be read and have been logged, by back end. */
+  /** Malformed fields that have been logged, by back end. */
   private readonly loggedMalformed = new Map<string, Set<keyof BackendNotice>>();
-  /** Monotonic time of the last news of each back end. */
+  /** Monotonic time of the last report on each back end. */
   private readonly reportedAt = new Map<string, number>();
   private limitsHeard = 0;
   private leavingHeard = 0;
@@ -66,10 +65,10 @@
   }
 
   /**
-   * Takes what the head of an answer says.
+   * Records the notice of an answer.
    *
-   * @param sentAt Monotonic time at which the request was sent. Answers overtake each other: one to a request from before the
-   *   last notice cannot take that back.
+   * @param sentAt Monotonic time at which the request was sent. Answers may arrive out of order, so the
+   *   answer to a request sent before the last notice cannot lift its limit.
    */
   hear(backEndId: string, notice: BackendNotice, sentAt: number): void {
     this.recordMalformed(backEndId, notice);
@@ -79,8 +78,8 @@
   }
 
   /**
-   * Takes what another daemon heard. It counts where it is newer; the same limit is not made newer by it, since times told by
-   * others come out later than they were.
+   * Records a rate limit that another daemon reported, if it is newer. The same limit does not update the time of receipt, since
+   * transit makes reported times later than they were.
    */
   hearFromPeer(backEndId: string, reported: HeardRateLimit): void {
     const current = this.rateLimits.get(backEndId);
@@ -89,18 +88,18 @@
     this.storeRateLimit(backEndId, reported, 'peer');
   }
 
-  /** Requests a second that may be sent to a back end by all daemons together; undefined where it names no limit. */
+  /** Requests per second that all daemons together may send to a back end; undefined if it is not limited. */
   requestsPerSecond(backEndId: string): number | undefined {
     const limit = this.rateLimits.get(backEndId)?.requestsPerSecond;
     return limit === undefined ? undefined : Math.max(MIN_REQUESTS_PER_SECOND, limit);
   }
 
-  /** What a back end last said; undefined where it has never named a limit. */
+  /** Latest rate limit of a back end; undefined if it never had one. */
   lastHeard(backEndId: string): HeardRateLimit | undefined {
     return this.rateLimits.get(backEndId);
   }
 
-  /** Forgets an incarnation that has ended. */
+  /** Removes all state of an incarnation that has ended. */
   forget(backEndId: string): void {
     this.pauses.forget(backEndId);
     this.rateLimits.delete(backEndId);
--- a/packages/forwarding/src/backend-pauses.ts
+++ b/packages/forwarding/src/backend-pauses.ts
@@ -1,20 +1,20 @@
 /**
- * Pauses that back ends have asked this daemon for. While one lasts nothing is sent there; after it one request goes first, and the
- * others once that has been answered well: a queue that comes back all at once would overload the back end again.
+ * Tracks pauses that back ends have requested from this daemon. Nothing is sent during a pause; after it a single request is sent
+ * first, and the others once it has succeeded, so that queued requests don't overload the back end at once.
  */
 import type { Clock } from '@woodbarrow/runtime';
 import type { NoticeField } from './backend-notice.js';
 import { FREE_PERMIT, type SendPermit } from './send-permits.js';
 
-/** Longest pause that is kept, in milliseconds: one that asks for more is tried again after it. */
+/** Maximum length of a pause, in milliseconds; longer requests are cut to it. */
 const MAX_PAUSE_MS = 3_600_000;
-/** Time after which to look again while the first request after a pause is under way, in milliseconds. */
+/** Poll interval while the first request after a pause is in flight, in milliseconds. */
 const FIRST_REQUEST_POLL_MS = 100;
 
 interface Pause {
-  /** Monotonic. */
+  /** Monotonic time at which the pause ends. */
   readonly until: number;
-  /** The request that goes first is under way. */
+  /** Whether the first request after the pause is in flight. */
   isFirstInFlight: boolean;
 }
 
@@ -25,9 +25,9 @@
   constructor(private readonly clock: Clock) {}
 
   /**
-   * Takes what the head of an answer says of a pause.
+   * Records the pause field of an answer.
    *
-   * @param sentAt Monotonic time at which the request was sent: what was under way when a pause began cannot end it.
+   * @param sentAt Monotonic time at which the request was sent: the answer to a request sent before the end of the pause cannot end it.
    */
   record(backEndId: string, field: NoticeField<number>, sentAt: number): void {
     const current = this.pauses.get(backEndId);
@@ -37,7 +37,7 @@
     } else if (current !== undefined && sentAt >= current.until) this.pauses.delete(backEndId);
   }
 
-  /** Milliseconds until a request may be sent; 0 when it may be now. */
+  /** Milliseconds until a request may be sent; 0 if it may be sent now. */
   waitMs(backEndId: string): number {
     const pause = this.pauses.get(backEndId);
     if (pause === undefined) return 0;
@@ -46,7 +46,7 @@
     return pause.isFirstInFlight ? FIRST_REQUEST_POLL_MS : 0;
   }
 
-  /** A permit to send now; undefined during a pause, and while the first request after one is under way. */
+  /** Returns a permit to send now; undefined during a pause and while the first request after it is in flight. */
   acquire(backEndId: string): SendPermit | undefined {
     if (this.waitMs(backEndId) > 0) return undefined;
     const pause = this.pauses.get(backEndId);
@@ -59,12 +59,12 @@
     return { isValid: isOpen, giveBack: end, end };
   }
 
-  /** Number of back ends that are left alone now. */
+  /** Number of back ends that accept no requests now. */
   get count(): number {
     return [...this.pauses.keys()].filter((id) => this.waitMs(id) > 0).length;
   }
 
-  /** Forgets an incarnation that has ended. */
+  /** Removes the pause of an incarnation that has ended. */
   forget(backEndId: string): void {
     this.pauses.delete(backEndId);
   }
--- a/packages/forwarding/src/body-reader.ts
+++ b/packages/forwarding/src/body-reader.ts
@@ -1,14 +1,14 @@
-/** Reads the body of a back end's answer to its true end, with a limit on the time between two chunks. */
+/** Reads the body of a back end's answer, limits the time between chunks, and detects incomplete bodies. */
 import { settleWithin, type BackendAnswer, type Clock } from '@woodbarrow/runtime';
 
-/** Next piece of a body. */
+/** Result of one read. */
 export type BodyStep =
   | { readonly kind: 'chunk'; readonly chunk: Uint8Array }
   | { readonly kind: 'end' }
-  /** It broke off, or nothing came in time; it is not complete. */
+  /** The body is incomplete: the connection broke, the process exited, or no data arrived in time. */
   | { readonly kind: 'broken'; readonly hasTimedOut: boolean };
 
-/** Tells whether the process behind an answer still runs, or was to end. */
+/** Returns whether the process behind an answer still runs, or exited as announced. */
 export type ProcessCheck = () => Promise<boolean>;
 
 /** Reader of one body. */
@@ -23,7 +23,7 @@
     this.iterator = answer.body[Symbol.asyncIterator]();
   }
 
-  /** @param timeoutMs Milliseconds to wait; without end when absent. */
+  /** Reads the next chunk. Never rejects. @param timeoutMs Milliseconds to wait; unlimited when absent. */
   async next(timeoutMs?: number): Promise<BodyStep> {
     try {
       const step = await this.readChunk(timeoutMs);
@@ -39,8 +39,8 @@
   }
 
   /**
-   * A body without a length ends when its connection is closed, and the kernel of a process that was killed closes connections in the
-   * same way as one that has finished: only the process itself can tell.
+   * A body without a length ends when its connection is closed. The connection of a killed process closes in the same way as that
+   * of a finished answer, so the process has to be checked.
    */
   private async isComplete(): Promise<boolean> {
     return !this.answer.endsWithConnection || this.isProcessAlive();
--- a/packages/forwarding/src/caller-access.ts
+++ b/packages/forwarding/src/caller-access.ts
@@ -1,27 +1,27 @@
 /**
- * Whether a request may run as to who sends it: a table of the route, the tenants in force and the key that came with it.
+ * Decides from the route, the configured tenants and the key of a request whether it may run, and as which tenant.
  *
  * | tenants | key | public route | other route |
  * | --- | --- | --- | --- |
- * | none configured | any | runs in nobody's name | runs in nobody's name |
- * | some | none | runs in nobody's name | denied |
+ * | none configured | any | runs without a tenant | runs without a tenant |
+ * | some | none | runs without a tenant | denied |
  * | some | held by a tenant | runs as that tenant | runs as that tenant |
- * | some | held by nobody | denied | denied |
+ * | some | unknown | denied | denied |
  *
- * A key that nobody holds is denied on public routes as well: it was taken away, or never given out, and its sender should know.
+ * An unknown key is denied on public routes as well, so that callers notice a revoked or mistyped key.
  */
 import type { Route } from './route.js';
 import type { Tenant, TenantTable } from './tenant.js';
 
-/** What a request may do. */
+/** Whether a request may run. */
 export type CallerAccess =
-  /** It may run, in the name of a tenant where it has one. */
+  /** It may run; the tenant is absent for requests without a key. */
   { readonly kind: 'granted'; readonly tenant?: Tenant } | { readonly kind: 'denied' };
 
 const ANONYMOUS: CallerAccess = { kind: 'granted' };
 const DENIED: CallerAccess = { kind: 'denied' };
 
-/** Looks a request up in the table above. @param keyDigest Digest of its key; undefined where it has none. */
+/** Looks up a request in the table above. @param keyDigest Digest of its key; undefined if it has none. */
 export function resolveAccess(
   route: Route,
   tenants: TenantTable | undefined,
--- a/packages/forwarding/src/client-answer.ts
+++ b/packages/forwarding/src/client-answer.ts
@@ -1,9 +1,7 @@
 /**
- * The answer of one client: what it has received so far, and what may still follow. Everything that is written to a client passes
- * through here. What may follow depends on the state alone: a whole answer can be given only while none has begun; after the first
- * byte only what belongs to that answer may follow, or the connection is cut. Guards against a failure's text, or the pieces of
- * another run, written into an answer that has begun: where each branch that wrote decided for itself, 10 streams ended as complete
- * with events missing within 24 s (8 daemons, three in ten answers broken, two in five requests failing).
+ * State machine of the answer to one client; all writes to the client go through it. A complete answer can be given only before
+ * the first byte. After that only data of the same answer may follow, or the connection is aborted. This prevents error texts or
+ * parts of another run from being written into an answer that has begun.
  */
 import type { IncomingExchange, ResponseHead, ResponseStream } from '@woodbarrow/runtime';
 import type { StreamEvent } from './event-splitter.js';
@@ -12,56 +10,56 @@
 /** State of a client's answer. */
 export type ClientAnswerState = PendingAnswer | EventStreamAnswer | ByteStreamAnswer | EndedAnswer;
 
-/** Nothing has been written. */
+/** No answer has begun. */
 export interface PendingAnswer {
   readonly kind: 'not_begun';
-  /** Gives a whole answer. */
+  /** Sends a complete answer. */
   respond(head: ResponseHead, body: Uint8Array): void;
-  /** Begins a series of events. @param position What the client has; absent where no other run may go on. */
+  /** Begins an event stream. @param position Position of the client; absent if the stream cannot be resumed. */
   beginEvents(head: ResponseHead, position?: StreamPosition): EventStreamAnswer;
-  /** Begins a body that only the back end which sent this head can go on with. */
+  /** Begins a body that no other run can continue. */
   beginBytes(head: ResponseHead): ByteStreamAnswer;
 }
 
-/** Events have been passed on; another run may go on right after the last of them. */
+/** An event stream has begun; another run may continue after its last event. */
 export interface EventStreamAnswer {
   readonly kind: 'events';
-  /** Last event passed on. */
+  /** Id of the last event written. */
   readonly lastEventId: string | undefined;
-  /** Another run can be told where to go on. */
+  /** Whether another run can resume after the last event. */
   readonly canResume: boolean;
   /** The next events come from another run. */
   startRun(): void;
-  /** Passes events on up to the first that does not follow, and says what was wrong with that one. */
+  /** Writes the events before the first one that does not follow, and returns why that one was refused. */
   write(events: readonly StreamEvent[]): EventWriteResult;
-  /** Ends it as complete. */
+  /** Ends the stream as complete. */
   complete(): void;
 }
 
-/** What became of events that were passed on. */
+/** Result of writing events. */
 export interface EventWriteResult {
-  /** Whether all of them followed. */
+  /** `follows` if all events were written, else why one was refused. */
   readonly continuation: Continuation;
-  /** Resolves when the client's side can take more; absent where it can at once, as it nearly always can. */
+  /** Resolves when the client's side can accept more data; absent if it can at once. */
   readonly drained: Promise<void> | undefined;
 }
 
-/** Part of a body has been passed on. */
+/** A body that is not a resumable stream has begun. */
 export interface ByteStreamAnswer {
   readonly kind: 'bytes';
   write(chunk: Uint8Array): Promise<void> | undefined;
-  /** Ends it as complete. */
+  /** Ends the body as complete. */
   complete(): void;
 }
 
-/** Nothing more may be written. */
+/** The answer has ended; nothing more may be written. */
 export interface EndedAnswer {
   readonly kind: 'ended';
 }
 
 const ENDED: EndedAnswer = { kind: 'ended' };
 
-/** The only writer to one client. */
+/** Answer to one client. */
 export class ClientAnswer {
   private current: ClientAnswerState;
   private stream: ResponseStream | undefined;
@@ -79,18 +77,18 @@
     return this.current.kind !== 'not_begun';
   }
 
-  /** Whether a further send can still bring about a whole answer. */
+  /** Whether another send can still lead to a complete answer. */
   get canContinue(): boolean {
     const state = this.current;
     return state.kind === 'not_begun' || (state.kind === 'events' && state.canResume);
   }
 
-  /** Last event that the client has; undefined until a stream has begun. */
+  /** Id of the last event that the client has; undefined until a stream has begun. */
   get lastEventId(): string | undefined {
     return this.current.kind === 'events' ? this.current.lastEventId : undefined;
   }
 
-  /** Cuts the connection, so that what the client has cannot be taken for complete. */
+  /** Aborts the connection, so that the client cannot mistake a partial answer for a complete one. */
   abort(): void {
     if (this.current.kind === 'ended') return;
     this.current = ENDED;
@@ -169,9 +167,9 @@
     this.current = ENDED;
   }
 
-  /** A state that was left must not be written to: what it allowed may no longer follow. */
+  /** Throws if the given state is no longer the current one. */
   private requireCurrent(state: ClientAnswerState): void {
-    if (this.current !== state) throw new Error(`written to an answer that is no longer ${state.kind}`);
+    if (this.current !== state) throw new Error(`cannot write: the answer is no longer ${state.kind}`);
   }
 }
 
--- a/packages/forwarding/src/event-splitter.ts
+++ b/packages/forwarding/src/event-splitter.ts
@@ -1,14 +1,14 @@
 /**
- * Cuts a `text/event-stream` body into whole events, so that a stream that breaks off in the middle of an
- * event can be taken up again without a torn one.
+ * Splits a `text/event-stream` body into complete events, so that a stream that breaks inside an event can be
+ * resumed without a partial event.
  */
 
-/** One block of a stream, with the blank line behind it. */
+/** One block of a stream, including its terminating blank line. */
 export interface StreamEvent {
   readonly bytes: Uint8Array;
-  /** Absent where the block names none. */
+  /** Absent if the block has no id. */
   readonly id?: string;
-  /** False for blocks without data or id, such as comments, which clients pass over. */
+  /** False for blocks without data or id, such as comments, which clients ignore. */
   readonly isEvent: boolean;
 }
 
@@ -23,20 +23,20 @@
 /** Splitter of one body. */
 export class EventSplitter {
   private pending: Buffer = EMPTY;
-  /** Where in the rest its last line begins: what lies before has no end of a block, and is not looked through again. */
+  /** Offset of the last line in the pending bytes; earlier lines need not be scanned again. */
   private lineStart = 0;
 
-  /** Bytes held of an unfinished event; comments alone are none. */
+  /** Pending bytes of an incomplete event; 0 if only comments are pending. */
   get incompleteEventBytes(): number {
     return FIELD_LINE.test(this.pending.toString('latin1')) ? this.pending.byteLength : 0;
   }
 
-  /** Bytes behind the last block: of an unfinished event, or comments. */
+  /** Bytes after the last complete block: an incomplete event or comments. */
   get remainder(): Uint8Array {
     return this.pending;
   }
 
-  /** Adds bytes; returns the blocks that are complete now. */
+  /** Appends a chunk and returns the blocks that it completes. */
   push(chunk: Uint8Array): StreamEvent[] {
     const added = Buffer.from(chunk.buffer, chunk.byteOffset, chunk.byteLength);
     const data = this.pending.byteLength === 0 ? added : Buffer.concat([this.pending, added]);
--- a/packages/forwarding/src/forwarded-request.ts
+++ b/packages/forwarding/src/forwarded-request.ts
@@ -1,4 +1,4 @@
-/** The task of one request: choose a back end, send, and pass the answer on; again where the route allows it. */
+/** Handles one request: chooses a back end, sends, forwards the answer, and retries where the route allows it. */
 import type { BackEnd, ServiceDefinition } from '@woodbarrow/backends';
 import type { Turn, Verdict } from '@woodbarrow/quarantine';
 import type { IncomingExchange } from '@woodbarrow/runtime';
@@ -18,26 +18,26 @@
 import type { Tenant } from './tenant.js';
 import type { RequestFacts } from './wire-dialect.js';
 
-/** Sends at most, whatever came of them. */
+/** Maximum number of sends for one request, whatever their results. */
 const MAX_SENDS_PER_REQUEST = 6;
-/** Time kept for the answer to reach the client, in milliseconds. */
+/** Time reserved for delivering the answer to the client, in milliseconds. */
 const ANSWER_DELIVERY_MARGIN_MS = 20;
 
-/** A request as it was taken in. */
+/** A request with its route, tenant, service and body. */
 export interface AcceptedRequest {
   readonly exchange: IncomingExchange;
   readonly answer: ClientAnswer;
   readonly facts: RequestFacts;
   readonly route: Route;
-  /** In whose name it runs; absent where it has none. */
+  /** Tenant that the request runs as; absent if it has none. */
   readonly tenant?: Tenant;
   readonly service: ServiceDefinition;
   readonly body: Uint8Array;
-  /** Monotonic. */
+  /** Monotonic time in milliseconds. */
   readonly arrivedAt: number;
 }
 
-/** One request and all that is done for it. */
+/** One request from its admission to its end. */
 export class ForwardedRequest {
   private readonly expired = new AbortController();
   private readonly scope: RequestScope;
@@ -69,7 +69,7 @@
     this.allowance = new RequestAllowance(context.quota, accepted.tenant, facts, expired);
   }
 
-  /** Ends when the exchange has been answered or aborted. */
+  /** Resolves when the exchange has been answered or aborted. */
   async run(): Promise<void> {
     const { clock, budget, stopWaiting, loads } = this.context;
     const { times, answer, exchange, service, facts, progress } = this.scope;
@@ -135,7 +135,7 @@
     }
   }
 
-  /** One choice of a back end and one send. Returns whether the request has ended. */
+  /** Chooses a back end and sends once. Returns whether the request has ended. */
   private async trySend(slot: Turn): Promise<boolean> {
     if (this.finishIfQuarantined() || (await this.finishIfOverQuota())) return true;
     const choice = await this.choose();
@@ -143,7 +143,7 @@
       this.finishWithoutBackEnd(choice.reason, choice.retryAfterMs);
       return true;
     }
-    // The choice may have taken seconds: word may have come, and others may have taken the last connections.
+    // The choice may have taken seconds, in which a quarantine verdict may have arrived.
     if (this.finishIfQuarantined()) return true;
     const admission = await this.context.quarantine.admit(this.scope.digest, choice.backEnd.id);
     if (admission.kind === 'occupied') {
@@ -161,7 +161,7 @@
     }
   }
 
-  /** One send. Returns whether the request has ended. */
+  /** Obtains a permit and sends. Returns whether the request has ended. */
   private async sendTo(choice: Extract<BackendChoice, { kind: 'send' }>, slot: Turn): Promise<boolean> {
     if (!this.allowance.isValid && (await this.finishIfOverQuota())) return true;
     const { backEnd } = choice;
@@ -169,7 +169,7 @@
     const pendingPermit = this.context.permits.acquire(backEnd, this.expired.signal);
     const permit = await raceAbort(pendingPermit, this.expired.signal);
     if (permit === ABORTED) {
-      // The client's answer does not wait for it.
+      // Return a permit that is granted after the request has ended.
       void pendingPermit.then((latePermit) => latePermit?.giveBack());
       this.finishExpired();
       return true;
@@ -182,12 +182,12 @@
     return this.sendWith(permit, choice, slot);
   }
 
-  /** Waiting for a permit takes time, in which others may have taken the last connections, and rights lapse. */
+  /** Whether a send is still allowed after waiting for a permit: connections may be used up and quota tickets expired by then. */
   private canStillSend(backEnd: BackEnd): boolean {
     return this.allowance.isValid && this.acceptsRequests(backEnd);
   }
 
-  /** A choice may be seconds old where a load was waited for: the back end may have begun to leave, or be gone, by now. */
+  /** Whether the back end still accepts requests; it may have started draining, or be gone, while a load was awaited. */
   private acceptsRequests({ id }: BackEnd): boolean {
     const { directory, connections } = this.context;
     if (directory.get(id)?.draining !== false) return false;
@@ -215,7 +215,7 @@
     return true;
   }
 
-  /** Ends the request if its content has proved to end the processes that run it. Returns whether it did. */
+  /** Ends the request if its content is quarantined for crashing workers. Returns whether it did. */
   private finishIfQuarantined(): boolean {
     const verdict = this.context.quarantine.verdictOf(this.scope.digest);
     if (verdict === undefined) return false;
@@ -224,14 +224,14 @@
     return true;
   }
 
-  /** Others are tried, or nobody can be asked whether this one may be: it has not run, and its caller may come back soon. */
+  /** Ends a request that has to wait for a quarantine trial. If it has not run, its caller may retry soon. */
   private finishAwaitingTrial(retryAfterMs: number): void {
     const { answer, progress, completion } = this.scope;
     if (answer.hasBegun || progress.mayHaveRunOn.size > 0) this.finishUnserved();
     else completion.refuse('request_quarantined', 'waits for its trial', retryAfterMs);
   }
 
-  /** Ends the request if its tenant may not run it now. Returns whether it did. */
+  /** Ends the request if the quota of its tenant does not allow it now. Returns whether it did. */
   private async finishIfOverQuota(): Promise<boolean> {
     const { times, answer, progress } = this.scope;
     const refusal = await this.allowance.acquire(times.startBy() - this.context.clock.monotonic());
@@ -253,7 +253,7 @@
     this.scope.completion.refuse('request_quarantined', cause, retryAfterMs);
   }
 
-  /** Whether another send is allowed after one that brought no answer. */
+  /** Whether another send is allowed after a failed one; counts it against the retry budget. */
   private tryRetry(result: AttemptResult): boolean {
     const { answer, progress, route, times, service, facts } = this.scope;
     if (!answer.canContinue) return false;
@@ -299,7 +299,7 @@
     );
   }
 
-  /** Refused by the choice of a back end. */
+  /** Ends a request for which no back end was found. */
   private finishWithoutBackEnd(reason: RefusalReason, retryAfterMs: number): void {
     if (this.expired.signal.aborted) this.finishExpired();
     else if (this.scope.progress.mayHaveRunOn.size > 0) this.finishUnserved();
@@ -309,7 +309,7 @@
     }
   }
 
-  /** Time is up, the daemon stops, or the client has gone. */
+  /** Ends a request because time is up, the daemon stops, or the client has disconnected. */
   private finishExpired(): void {
     const { exchange, answer, progress, completion } = this.scope;
     if (exchange.signal.aborted) completion.recordAbandoned();
@@ -319,7 +319,7 @@
     else completion.refuse('wait_expired', 'time is up', 0);
   }
 
-  /** No further send is allowed. */
+  /** Ends a request for which no further send is allowed. */
   private finishUnserved(): void {
     const { answer, progress, completion } = this.scope;
     if (answer.hasBegun) completion.abortAnswer('no back end may go on with the answer');
--- a/packages/forwarding/src/forwarder.ts
+++ b/packages/forwarding/src/forwarder.ts
@@ -1,4 +1,4 @@
-/** Takes requests of clients in: finds the route, bounds the body, and starts the task of each. */
+/** Entry point for client requests: finds the route, checks access, limits the body and forwards the request. */
 import { messageOf } from '@woodbarrow/errors';
 import { BodyTooLargeError, type IncomingExchange, type Random } from '@woodbarrow/runtime';
 import { resolveAccess } from './caller-access.js';
@@ -9,19 +9,19 @@
 import { RequestCompletion } from './request-completion.js';
 import { TrafficSplitter } from './traffic-splitter.js';
 
-/** Time after which to come back to a daemon that has no configuration yet, in milliseconds. */
+/** Suggested retry delay while this daemon has no configuration or no such service, in milliseconds. */
 const NOT_READY_RETRY_MS = 500;
 
-/** Stands for the route of requests that were refused before one was found. */
+/** Route name recorded for requests that are refused before a route is found. */
 const UNROUTED = 'none';
 
 /** A request before its route is known. */
 type Arrival = Pick<AcceptedRequest, 'exchange' | 'answer' | 'facts' | 'arrivedAt'>;
 
-/** Entry of requests into one daemon. */
+/** Accepts the requests of one daemon. */
 export class Forwarder {
   private readonly splitter: TrafficSplitter;
-  /** Version of the configuration that the splits belong to. */
+  /** Configuration version that the splitter's state belongs to. */
   private splitVersion = -1;
 
   constructor(
@@ -48,7 +48,7 @@
         return;
       }
       arrival.answer.abort();
-      // Also where an answer was thought to have been given: none may stay open.
+      // The answer may count as sent although writing it failed; the exchange must not stay open.
       exchange.abort();
       this.context.journal.decided('request_failed', arrival.facts.id, {
         answer: 'connection_closed',
@@ -97,7 +97,7 @@
     this.splitter.retain(current.routes);
   }
 
-  /** The ending of a request that has no route yet. */
+  /** Completion of a request that has no route yet. */
   private completionOf({ answer, facts, arrivedAt }: Arrival): RequestCompletion {
     const { clock, dialect, journal } = this.context;
     return new RequestCompletion({
--- a/packages/forwarding/src/forwarding-configuration.ts
+++ b/packages/forwarding/src/forwarding-configuration.ts
@@ -1,4 +1,4 @@
-/** The operators' configuration of routes and services in force on a daemon. */
+/** Configuration of routes, services and tenants that is in effect on a daemon. */
 import type { ServiceDefinition } from '@woodbarrow/backends';
 import { RouteTable } from './route-table.js';
 import type { Route } from './route.js';
@@ -14,12 +14,12 @@
 
 /** One version of the configuration. */
 export interface ForwardingConfiguration {
-  /** Rises with every change, by uneven steps. */
+  /** Increases with every change; numbers may be skipped. */
   readonly version: number;
   readonly routes: readonly Route[];
   readonly services: ReadonlyMap<string, ServiceDefinition>;
   readonly limits: RequestLimits;
-  /** Absent where requests need no key. */
+  /** Absent if requests need no key. */
   readonly tenants?: TenantTable;
 }
 
@@ -27,17 +27,17 @@
 export class ConfigurationHolder {
   private held: { readonly configuration: ForwardingConfiguration; readonly table: RouteTable } | undefined;
 
-  /** The configuration in force; absent until the first has been read. */
+  /** The configuration in effect; absent until the first has been read. */
   get current(): ForwardingConfiguration | undefined {
     return this.held?.configuration;
   }
 
-  /** Routes in force. */
+  /** Routes in effect. */
   get routes(): RouteTable | undefined {
     return this.held?.table;
   }
 
-  /** Puts a configuration in force. Returns false when it is not newer than the one held. */
+  /** Applies a configuration. Returns false if it is not newer than the current one. */
   apply(configuration: ForwardingConfiguration): boolean {
     if (this.held !== undefined && configuration.version <= this.held.configuration.version) return false;
     this.held = { configuration, table: new RouteTable(configuration.routes) };
--- a/packages/forwarding/src/forwarding-context.ts
+++ b/packages/forwarding/src/forwarding-context.ts
@@ -1,4 +1,4 @@
-/** What all requests of a daemon share. */
+/** Components that all requests of a daemon share. */
 import type { BackendDirectory, LoadBook, RunTimes } from '@woodbarrow/backends';
 import type { RequestQuarantine } from '@woodbarrow/quarantine';
 import type { BackendClient, Clock } from '@woodbarrow/runtime';
@@ -13,7 +13,6 @@
 import type { SendPermits } from './send-permits.js';
 import type { WireDialect } from './wire-dialect.js';
 
-/** Shared parts, by role. */
 export interface ForwardingContext {
   readonly clock: Clock;
   readonly client: BackendClient;
@@ -23,7 +22,7 @@
   readonly runTimes: RunTimes;
   readonly connections: ConnectionShare;
   readonly notices: BackendNotices;
-  /** Asked for each send. */
+  /** A permit is acquired for each send. */
   readonly permits: SendPermits;
   readonly plain: PlainSelector;
   readonly replicas: ReplicaSelector;
@@ -31,7 +30,7 @@
   readonly quota: RequestQuota;
   readonly quarantine: RequestQuarantine;
   readonly journal: RequestJournal;
-  /** Aborts when this daemon stops and requests that have not been sent anywhere must be refused. */
+  /** Aborts when this daemon stops; requests that have not been sent are then refused. */
   readonly stopWaiting: AbortSignal;
   /** Health of the back ends of a service. */
   readonly healthOf: (service: string) => BackendHealth;
--- a/packages/forwarding/src/index.ts
+++ b/packages/forwarding/src/index.ts
@@ -1,4 +1,4 @@
-/** Requests passed through to back ends. */
+/** Forwarding of client requests to back ends. */
 export * from './backend-choice.js';
 export * from './backend-health.js';
 export * from './backend-notice.js';
--- a/packages/forwarding/src/notice-gate.ts
+++ b/packages/forwarding/src/notice-gate.ts
@@ -1,9 +1,9 @@
-/** Permits under all that back ends ask for: pauses first, which are known here, then rate limits, which another daemon is asked for. */
+/** Combines pauses, which are checked locally, with rate limits, for which another daemon may be asked. */
 import type { BackEnd } from '@woodbarrow/backends';
 import type { BackendPauses } from './backend-pauses.js';
 import type { SendPermit, SendPermits } from './send-permits.js';
 
-/** Permits of one daemon. */
+/** Grants a permit only if both the pause and the rate limit of a back end allow it. */
 export class NoticeGate implements SendPermits {
   constructor(
     private readonly pauses: BackendPauses,
--- a/packages/forwarding/src/plain-selector.ts
+++ b/packages/forwarding/src/plain-selector.ts
@@ -1,4 +1,4 @@
-/** Chooses among the back ends of a service without models: the least loaded sound one. */
+/** Chooses the least loaded healthy back end of a service without models. */
 import type { BackEnd, BackendDirectory, LoadBook, ServiceDefinition } from '@woodbarrow/backends';
 import { leastBy } from '@woodbarrow/runtime';
 import { refusal, type BackendChoice } from './backend-choice.js';
@@ -6,16 +6,16 @@
 import type { ConnectionShare } from './connection-share.js';
 import type { SendPermits } from './send-permits.js';
 
-/** Time after which to come back when no back end takes requests, in milliseconds. */
+/** Suggested retry delay when no back end accepts requests, in milliseconds. */
 const NO_BACKEND_RETRY_MS = 100;
-/** Cost of a back end in another zone, as a share of one request under way. */
+/** Cost of a back end in another zone, in requests in flight. */
 const OTHER_ZONE_COST = 0.25;
-/** Cost of a back end that is avoided: used only when there is no other. */
+/** Cost of a back end in backoff, in requests in flight; it is used only if there is no other. */
 const AVOIDED_COST = 1000;
-/** Cost of a back end that fails more often than the others. */
+/** Cost of a failure outlier, in requests in flight. */
 const OUTLIER_COST = 100;
 
-/** Chooser of one daemon for plain services. */
+/** Back-end selection for services without models. */
 export class PlainSelector {
   constructor(
     private readonly directory: BackendDirectory,
@@ -25,7 +25,7 @@
     private readonly zone: string,
   ) {}
 
-  /** @param excluded Back ends that have refused or failed this request. */
+  /** Selects a back end. @param excluded Back ends that have declined or failed this request. */
   select(service: ServiceDefinition, health: BackendHealth, excluded: ReadonlySet<string>): BackendChoice {
     const available = this.directory.ofService(service.name).filter((backEnd) => !backEnd.draining);
     const eligible = available.filter((backEnd) => !excluded.has(backEnd.id));
@@ -38,8 +38,8 @@
   }
 
   /**
-   * @param available Back ends that are not draining, of which none can be sent to now.
-   * @param eligible Those of them that have not refused or failed the request.
+   * @param available Back ends that are not draining; none of them can be sent to now.
+   * @param eligible Available back ends that have not declined or failed the request.
    */
   private refuse(available: readonly BackEnd[], eligible: readonly BackEnd[]): BackendChoice {
     if (available.length === 0) return refusal('no_backend', NO_BACKEND_RETRY_MS);
--- a/packages/forwarding/src/prompt-affinity.ts
+++ b/packages/forwarding/src/prompt-affinity.ts
@@ -1,18 +1,18 @@
-/** Which parts of prompts this daemon believes each worker to keep, from what it sent there. */
+/** Estimates which prompt prefixes each worker has cached, from the prompts that this daemon sent to it. */
 import { targetKey, type ModelTarget } from '@woodbarrow/backends';
 import { ownerByRendezvous, type Candidate } from '@woodbarrow/coordination';
 import type { PromptPart } from './wire-dialect.js';
 
-/** Chains of parts remembered for each worker; the least recently used are dropped. */
+/** Maximum number of prefixes stored for each worker; the least recently used are dropped. */
 const MAX_PREFIXES_PER_WORKER = 400;
 
-/** A prompt as chains: the key of each prefix and the tokens up to its end. */
+/** Prefixes of a prompt: the key of each prefix and the number of tokens up to its end. */
 export interface PromptChain {
   readonly keys: readonly string[];
   readonly tokens: readonly number[];
 }
 
-/** Builds the chain of a prompt. A kept part serves the same model and adapter only. */
+/** Builds the prefixes of a prompt. Keys contain model and adapter, since caches are not shared between them. */
 export function buildPromptChain(target: ModelTarget, parts: readonly PromptPart[]): PromptChain {
   const keys: string[] = [];
   const tokens: number[] = [];
@@ -27,11 +27,11 @@
   return { keys, tokens };
 }
 
-/** Memory of sent prompts. */
+/** Prompt prefixes sent to each worker. */
 export class PromptAffinity {
   private readonly sentPrefixes = new Map<string, Map<string, true>>();
 
-  /** Notes that a worker reads a prompt. */
+  /** Records that a prompt was sent to a worker. */
   record(backEndId: string, chain: PromptChain): void {
     let prefixes = this.sentPrefixes.get(backEndId);
     if (prefixes === undefined) {
@@ -48,7 +48,7 @@
     }
   }
 
-  /** Tokens of a prompt that a worker probably keeps. */
+  /** Estimated number of tokens of a prompt that a worker has cached. */
   cachedTokens(backEndId: string, chain: PromptChain): number {
     const prefixes = this.sentPrefixes.get(backEndId);
     if (prefixes === undefined) return 0;
@@ -59,16 +59,16 @@
   }
 
   /**
-   * The worker that all daemons send a prompt's shared parts to when nothing else speaks against it, so that
-   * they need not tell each other what they sent.
+   * Returns the worker that all daemons prefer for the shared parts of a prompt. Rendezvous hashing makes them
+   * agree without exchanging what they sent.
    */
   preferredWorker<T extends Candidate>(workers: readonly T[], chain: PromptChain): T | undefined {
-    // The last part is the request's own.
+    // The last part belongs to this request alone.
     const shared = chain.keys[chain.keys.length - 2] ?? chain.keys[0];
     return shared === undefined ? undefined : ownerByRendezvous(shared, workers);
   }
 
-  /** Drops what is known of a worker: its incarnation ended, or it unloaded the model. */
+  /** Removes the prefixes of a worker whose incarnation ended, or those of a model that it unloaded. */
   forget(backEndId: string, model?: string): void {
     if (model === undefined) {
       this.sentPrefixes.delete(backEndId);
--- a/packages/forwarding/src/race-abort.ts
+++ b/packages/forwarding/src/race-abort.ts
@@ -1,9 +1,9 @@
-/** Waits that end with a signal. */
+/** Races a promise against an abort signal. */
 
-/** Stands for a value that had not come when the signal aborted. */
+/** Result of {@link raceAbort} when the signal aborted first. */
 export const ABORTED = Symbol('aborted');
 
-/** Settles as the promise does, or with {@link ABORTED} where the signal aborts first. */
+/** Settles like the promise, or resolves with {@link ABORTED} if the signal aborts first. */
 export async function raceAbort<T>(promise: Promise<T>, signal: AbortSignal): Promise<T | typeof ABORTED> {
   if (signal.aborted) return ABORTED;
   let stop: () => void = () => undefined;
--- a/packages/forwarding/src/replica-selector.ts
+++ b/packages/forwarding/src/replica-selector.ts
@@ -1,6 +1,6 @@
 /**
- * Chooses the worker that runs a request for a model: one that holds the model and adapter, by the time until
- * the first token, from work under way, prompt parts kept, and health. Asks for the model when nobody holds it.
+ * Chooses the worker for a request for a model among those that hold model and adapter, by the estimated time to
+ * the first token. Requests a load if no usable worker holds them.
  */
 import {
   type BackEnd,
@@ -19,20 +19,20 @@
 import { shortestWaitMs, type SendPermits } from './send-permits.js';
 import type { RequestFacts } from './wire-dialect.js';
 
-/** Prompt tokens that a worker is assumed to read in a millisecond until measured. */
+/** Assumed prefill rate of a worker, in prompt tokens per millisecond. */
 export const PREFILL_TOKENS_PER_MS = 40;
-/** Time that a request under way adds to each token of the others, times their usual tokens, in milliseconds. */
+/** Delay that a running request adds to another one, in milliseconds. */
 const RUNNING_REQUEST_COST_MS = 2;
 const OTHER_ZONE_COST_MS = 3;
 const AVOIDED_COST_MS = 100_000;
 const OUTLIER_COST_MS = 10_000;
-/** Cost of a worker whose prompt cache is full: running requests would be preempted. */
+/** Cost of a worker whose cache or slots are full, where running requests would be preempted. */
 const CACHE_FULL_COST_MS = 2000;
-/** Part of the target latency that waiting may take before another replica is asked for. */
+/** Share of the target latency that waiting may take before another replica is requested. */
 const REPLICA_REQUEST_WAIT_SHARE = 0.35;
-/** Part of a worker's cache or slots in use at which another replica is asked for. */
+/** Share of a worker's cache or slots in use above which another replica is requested. */
 const REPLICA_REQUEST_USAGE_SHARE = 0.8;
-/** Part of the prompt's shared tokens that the preferred worker is presumed to keep. */
+/** Share of the prompt's shared tokens that the preferred worker is presumed to have cached. */
 const PRESUMED_CACHED_SHARE = 0.6;
 const UNAVAILABLE_RETRY_MS = 250;
 
@@ -44,15 +44,15 @@
   readonly facts: RequestFacts;
   readonly priority: number;
   readonly targetLatencyMs: number;
-  /** Monotonic time by which it must have begun for an answer in time. */
+  /** Monotonic time by which it must be sent to meet the target latency. */
   readonly targetBy: number;
-  /** Monotonic time by which it must have begun. */
+  /** Monotonic time by which it must be sent at all. */
   readonly startBy: number;
   readonly excluded: ReadonlySet<string>;
   readonly signal: AbortSignal;
 }
 
-/** Chooser of one daemon for services with models. */
+/** Worker selection for services with models. */
 export class ReplicaSelector {
   constructor(
     private readonly directory: BackendDirectory,
@@ -65,7 +65,7 @@
     private readonly clock: Clock,
   ) {}
 
-  /** Resolves once a worker holds what the request needs, or when none will in time. */
+  /** Resolves once a worker holds the target, or when none will in time. */
   async select(request: ReplicaRequest, health: BackendHealth): Promise<BackendChoice> {
     const chain = buildPromptChain(request.target, request.facts.promptParts);
     if (request.signal.aborted) return refusal('client_gone', 0);
@@ -99,7 +99,7 @@
     return refusal(this.unusableReason(outcome.backEndId, request), UNAVAILABLE_RETRY_MS);
   }
 
-  /** Nobody will hold the target in time. Those that hold it now may accept requests again sooner. */
+  /** Refuses when the target will not be loaded in time; its current holders may accept requests again sooner. */
   private refuse(request: ReplicaRequest, unavailableMs: number): BackendChoice {
     const holders = this.directory.holdersOf(request.service.name, request.target);
     const notAcceptingMs = shortestWaitMs(this.permits, holders);
@@ -107,7 +107,7 @@
     return refusal('not_accepting', Math.min(notAcceptingMs, unavailableMs));
   }
 
-  /** Why a worker that holds the target cannot be sent to: it declined or is leaving, or this daemon's connections to it are used up. */
+  /** Why a holder of the target cannot be used: it declined, failed or is draining, or this daemon has no connection left to it. */
   private unusableReason(
     backEndId: string,
     request: ReplicaRequest,
@@ -117,7 +117,7 @@
     return isOpen ? 'connections_exhausted' : 'all_excluded';
   }
 
-  /** Workers that declined or failed this request, those that cannot be reached now, and those that accept nothing now. */
+  /** Ids of workers that declined or failed this request, are in backoff, or accept no requests now. */
   private unusableIds(request: ReplicaRequest, health: BackendHealth): string[] {
     const avoided = this.directory
       .ofService(request.service.name)
--- a/packages/forwarding/src/request-allowance.ts
+++ b/packages/forwarding/src/request-allowance.ts
@@ -1,4 +1,4 @@
-/** The right of one request to run, under the limit of its tenant; a request without a limited tenant needs none. */
+/** Quota ticket of one request; requests without a limited tenant need none. */
 import type { QuotaOutcome, QuotaTicket, RequestQuota } from './request-quota.js';
 import { unitsOf } from './request-quota.js';
 import type { Tenant } from './tenant.js';
@@ -7,7 +7,7 @@
 /** Why a request may not run now. */
 export type AllowanceRefusal = Exclude<QuotaOutcome, { readonly kind: 'granted' }>;
 
-/** Allowance of one request. */
+/** Acquires and holds the quota ticket of one request. */
 export class RequestAllowance {
   private ticket: QuotaTicket | undefined;
 
@@ -18,12 +18,12 @@
     private readonly signal: AbortSignal,
   ) {}
 
-  /** Whether it may run at this moment. What was obtained lapses while a request waits for its model. */
+  /** Whether the request may run now. A ticket may expire while the request waits for its model. */
   get isValid(): boolean {
     return this.tenant?.quota === undefined || this.ticket?.isValid() === true;
   }
 
-  /** Obtains the right to run once, unless it is there. @param withinMs Milliseconds for which it is of use to wait. */
+  /** Acquires a ticket unless a valid one is held. @param withinMs Maximum useful wait, in milliseconds. */
   async acquire(withinMs: number): Promise<AllowanceRefusal | undefined> {
     const { tenant } = this;
     if (tenant?.quota === undefined || this.isValid) return undefined;
@@ -34,12 +34,12 @@
     return undefined;
   }
 
-  /** The request has run, or may have: another run needs another right. */
+  /** Consumes the ticket of a request that may have run; another run needs another ticket. */
   consume(): void {
     this.ticket = undefined;
   }
 
-  /** The request does not run any more: what it has not used is for others. */
+  /** Returns an unused ticket to the quota. */
   refund(): void {
     this.ticket?.giveBack();
     this.ticket = undefined;
--- a/packages/forwarding/src/request-completion.ts
+++ b/packages/forwarding/src/request-completion.ts
@@ -1,14 +1,14 @@
-/** The final answers of the product's own, and the records of how a request ended. */
+/** Sends error answers and records how a request ended. */
 import { answerFor, type ErrorKind } from '@woodbarrow/errors';
 import { encodeText, type ResponseHead } from '@woodbarrow/runtime';
 import type { ClientAnswer } from './client-answer.js';
 import type { DecisionFacts, RequestJournal } from './request-journal.js';
 import type { WireDialect } from './wire-dialect.js';
 
-/** Time after which to come back to another daemon, in milliseconds. */
+/** Suggested retry delay of a stopping daemon, in milliseconds; another daemon can serve the retry at once. */
 const STOPPING_RETRY_MS = 10;
 
-/** What {@link RequestCompletion} needs of the request. */
+/** Request data that {@link RequestCompletion} needs. */
 export interface CompletionOptions {
   readonly answer: ClientAnswer;
   readonly requestId: string;
@@ -21,22 +21,22 @@
   readonly sends: () => number;
 }
 
-/** A whole answer of a back end, held back. */
+/** A complete answer of a back end that has not been forwarded. */
 export interface BufferedAnswer {
   readonly status: number;
   readonly headers: readonly string[];
   readonly body: Uint8Array;
 }
 
-/** Course of a stream as its pieces came from the back end; times in milliseconds. */
+/** Summary of a stream as received from the back ends; times in milliseconds. */
 export interface StreamSummary {
   /** From the arrival of the request to the head of the answer. */
   readonly firstMs: number;
-  /** Longest pause between two pieces. */
+  /** Longest time between two chunks. */
   readonly longestGapMs: number;
-  /** First event of the last run. */
+  /** Id of the first event of the last run. */
   readonly firstEvent: string | undefined;
-  /** Last event passed on. */
+  /** Id of the last event forwarded. */
   readonly lastEvent: string | undefined;
 }
 
@@ -44,7 +44,7 @@
 export class RequestCompletion {
   constructor(private readonly options: CompletionOptions) {}
 
-  /** Answers that the request was not run and never will be. @param retryAfterMs 0 when nothing is known. */
+  /** Answers that the request did not run and will not run. @param retryAfterMs Suggested retry delay; 0 if unknown. */
   refuse(kind: ErrorKind, cause: string, retryAfterMs: number): void {
     if (!this.answerError(kind, retryAfterMs)) return;
     this.recordOutcome('refused');
@@ -56,7 +56,7 @@
     });
   }
 
-  /** Refuses because this daemon stops: another one can take it at once. */
+  /** Refuses because this daemon is stopping. */
   refuseStopping(): void {
     this.refuse('stopping', 'this daemon stops', STOPPING_RETRY_MS);
   }
@@ -68,27 +68,27 @@
     this.recordDecision('request_failed', { answer: kind, cause });
   }
 
-  /** A back end's failure is the last word. */
+  /** Forwards a back end's failure as the final answer. */
   forwardFailure(failure: BufferedAnswer): void {
     if (!this.respond(failure, failure.body)) return;
     this.recordOutcome('failure_passed_on');
   }
 
-  /** Cuts an answer that has begun and cannot be completed. */
+  /** Aborts an answer that has begun and cannot be completed. */
   abortAnswer(cause: string): void {
     this.options.answer.abort();
     this.recordOutcome('broken_off');
     this.recordDecision('request_failed', { answer: 'broken_off', cause });
   }
 
-  /** The client has gone. */
+  /** Records that the client has disconnected. */
   recordAbandoned(): void {
     this.options.answer.abort();
     this.recordOutcome('abandoned');
     this.recordDecision('request_abandoned', {});
   }
 
-  /** A back end's answer has been passed on whole. @param stream Set for a series of events. */
+  /** Records that a back end's answer has been forwarded completely. @param stream Set for event streams. */
   recordAnswered(status: number, backEndId: string, stream?: StreamSummary): void {
     this.recordOutcome(status < 500 ? 'served' : 'failure_passed_on');
     this.recordDecision('request_answered', {
@@ -112,7 +112,7 @@
     return this.respond({ status: answerFor(kind).status, headers }, encodeText(`${kind}\n`));
   }
 
-  /** Gives a whole answer where none has begun; one that has begun can only be cut. Returns whether it was given. */
+  /** Sends a complete answer, or aborts one that has begun. Returns whether it was sent. */
   private respond(head: ResponseHead, body: Uint8Array): boolean {
     const { state } = this.options.answer;
     if (state.kind === 'not_begun') state.respond(head, body);
--- a/packages/forwarding/src/request-journal.ts
+++ b/packages/forwarding/src/request-journal.ts
@@ -1,4 +1,4 @@
-/** Port: one line for each decision on a request, and counts of how requests end. */
+/** Port: journal of the decisions on requests, and counts of their outcomes. */
 
 /** Decisions on a request, in the order they may come. */
 export type RequestDecision =
@@ -14,15 +14,15 @@
   | 'request_failed'
   | 'request_abandoned';
 
-/** Facts that decided. */
+/** Facts that led to a decision. */
 export type DecisionFacts = Readonly<Record<string, string | number | boolean | undefined>>;
 
 /** Receives decisions; never blocks. */
 export interface RequestJournal {
   decided(decision: RequestDecision, requestId: string, facts: DecisionFacts): void;
-  /** Counts the end of a request. @param durationMs From its arrival. */
+  /** Counts the outcome of a request. @param durationMs Time since its arrival. */
   ended(route: string, outcome: string, durationMs: number): void;
 }
 
-/** Drops everything. */
+/** Journal that discards everything. */
 export const noopJournal: RequestJournal = { decided: () => undefined, ended: () => undefined };
--- a/packages/forwarding/src/request-quota.ts
+++ b/packages/forwarding/src/request-quota.ts
@@ -1,29 +1,29 @@
-/** Port: how the limits of tenants are kept over all daemons. */
+/** Port: enforcement of tenant quotas over all daemons. */
 import type { TenantQuota } from './tenant.js';
 import type { RequestFacts } from './wire-dialect.js';
 
-/** The right to run one request once. */
+/** Permission to run one request once. */
 export interface QuotaTicket {
-  /** Whether it may still be used: what was asked for ahead lapses. Ask right before the request is sent. */
+  /** Whether the ticket has not expired. Check right before the request is sent. */
   isValid(): boolean;
-  /** The request was not run: another one may use it. */
+  /** Returns the units of a request that did not run. */
   giveBack(): void;
 }
 
-/** What became of a wish to run a request. */
+/** Result of acquiring units. */
 export type QuotaOutcome =
   | { readonly kind: 'granted'; readonly ticket: QuotaTicket }
-  /** The tenant has used what it may. */
+  /** The tenant has used up its quota. */
   | { readonly kind: 'over_limit'; readonly retryAfterMs: number }
-  /** It cannot be told whether it has: nobody answers who could. */
+  /** The quota allocator does not respond, so usage is unknown. */
   | { readonly kind: 'unavailable'; readonly retryAfterMs: number };
 
-/** Keeps the limits of tenants. */
+/** Enforces the quotas of tenants. */
 export interface RequestQuota {
   /**
-   * Asks for the units of one request.
+   * Acquires the units of one request.
    *
-   * @param withinMs Milliseconds for which it is of use to wait for those who could tell.
+   * @param withinMs Maximum useful wait for the quota allocator, in milliseconds.
    */
   acquire(
     tenant: string,
@@ -34,7 +34,7 @@
   ): Promise<QuotaOutcome>;
 }
 
-/** Units that a request counts: one, or its tokens in and out; one that does not say how many counts what the limit sets for it. */
+/** Returns the units of a request: 1, its prompt and output tokens, or `plainTokens` if it states no token counts. */
 export function unitsOf({ unit, plainTokens }: TenantQuota, facts: RequestFacts): number {
   if (unit === 'requests') return 1;
   return facts.tellsTokens ? facts.promptTokens + facts.outputTokens : plainTokens;
--- a/packages/forwarding/src/request-scope.ts
+++ b/packages/forwarding/src/request-scope.ts
@@ -1,4 +1,4 @@
-/** What the parts that work on one request share. */
+/** State shared by the components that handle one request. */
 import type { ServiceDefinition } from '@woodbarrow/backends';
 import type { IncomingExchange } from '@woodbarrow/runtime';
 import type { ClientAnswer } from './client-answer.js';
@@ -9,15 +9,15 @@
 import type { Tenant } from './tenant.js';
 import type { RequestFacts } from './wire-dialect.js';
 
-/** One request, what its client has received, and what has been tried for it. */
+/** One request, the state of its answer, and the progress of its sends. */
 export interface RequestScope {
   readonly context: ForwardingContext;
   readonly exchange: IncomingExchange;
   readonly facts: RequestFacts;
   readonly route: Route;
-  /** In whose name it runs; absent where it has none. */
+  /** Tenant that the request runs as; absent if it has none. */
   readonly tenant?: Tenant;
-  /** That of the tenant where it has one, else of the route; 0 is the most urgent. */
+  /** Priority of the tenant if set, else of the route; 0 is the most urgent. */
   readonly priority: number;
   readonly service: ServiceDefinition;
   readonly body: Uint8Array;
@@ -27,31 +27,31 @@
   readonly answer: ClientAnswer;
   readonly completion: RequestCompletion;
   readonly progress: RequestProgress;
-  /** Aborts when time is up or the client has gone. */
+  /** Aborts when time is up or the client has disconnected. */
   readonly expired: AbortSignal;
 }
 
-/** What has been tried. */
+/** Progress of the sends of one request. */
 export class RequestProgress {
-  /** Back ends that are not asked again. */
+  /** Back ends that are not tried again. */
   readonly excluded = new Set<string>();
-  /** Back ends on which it may have run. */
+  /** Back ends on which the request may have run. */
   readonly mayHaveRunOn = new Set<string>();
-  /** Sends so far, whatever came of them. */
+  /** Number of sends so far, whatever their results. */
   sends = 0;
   isSending = false;
-  /** This daemon stops: no further send is begun. */
+  /** This daemon is stopping, and starts no further send. */
   isStopping = false;
-  /** A back end's failure, given to the client if nothing better comes. */
+  /** Failure of a back end, forwarded to the client if no retry succeeds. */
   bufferedFailure: BufferedAnswer | undefined;
 }
 
-/** What one send came to. */
+/** Result of one send. */
 export type AttemptResult =
   | { readonly kind: 'finished' }
-  /** Sent nowhere, or certainly not run. */
+  /** Not sent, or certainly not run. */
   | { readonly kind: 'not_run'; readonly arrived: boolean }
-  /** May have run, and no complete answer has been passed on. */
+  /** May have run, and no complete answer has been forwarded. */
   | { readonly kind: 'maybe_run' }
-  /** A failure that the back end answered with, held back. */
+  /** The back end answered with a failure, which is buffered. */
   | { readonly kind: 'failure' };
--- a/packages/forwarding/src/request-sender.ts
+++ b/packages/forwarding/src/request-sender.ts
@@ -1,4 +1,4 @@
-/** One send of a request to a chosen back end, and what came of it. */
+/** Sends a request to a chosen back end and handles the outcome. */
 import type { BackEnd, ModelTarget, WorkTicket } from '@woodbarrow/backends';
 import { AnswerForwarder } from './answer-forwarder.js';
 import type { BackendChoice } from './backend-choice.js';
@@ -21,7 +21,7 @@
     this.answerForwarder = new AnswerForwarder(scope, runTimeEstimate, this.failures);
   }
 
-  /** Sends the request, and passes an answer on. */
+  /** Sends the request once and forwards the answer. Rejects if writing to the client fails. */
   async attempt(choice: BackendChoice & { kind: 'send' }): Promise<AttemptResult> {
     const { backEnd } = choice;
     const { context, facts, progress, expired } = this.scope;
@@ -41,7 +41,7 @@
       const outcome = await this.send(backEnd, controller, sentAt);
       return await this.conclude(outcome, backEnd, ticket, sentAt);
     } catch (error) {
-      // The client could not be written to: the back end must not go on for nobody.
+      // Writing to the client failed, so the back end's work is no longer needed.
       abort();
       throw error;
     } finally {
@@ -138,7 +138,7 @@
   }
 }
 
-/** With an adapter wanted, the model may still be there. */
+/** Target to remove from the directory: if the model is recorded, only the adapter is missing. */
 function missingTarget(backEnd: BackEnd, target: ModelTarget): ModelTarget {
   const hasModelRecord = backEnd.models.some((held) => held.name === target.model);
   return hasModelRecord ? target : { model: target.model };
--- a/packages/forwarding/src/request-times.ts
+++ b/packages/forwarding/src/request-times.ts
@@ -1,23 +1,23 @@
-/** The limits in time of one request, all counted from its arrival. */
+/** Deadlines and expected durations of one request. */
 import type { Clock } from '@woodbarrow/runtime';
 import { PREFILL_TOKENS_PER_MS } from './replica-selector.js';
 import type { Route } from './route.js';
 import type { RequestFacts } from './wire-dialect.js';
 
-/** Patience with the first answer, as a multiple of the target latency, where the request may run again. */
+/** Answer timeout of a repeatable request, as a multiple of the target latency. */
 const ANSWER_TIMEOUT_LATENCY_MULTIPLE = 1.5;
-/** Part of the time left that one send may take, where the request may run again. */
+/** Share of the remaining time that one send of a repeatable request may take. */
 const ANSWER_TIMEOUT_SHARE = 0.5;
-/** Expected time of a plain request, for health only, in milliseconds. */
+/** Expected time to the answer of a request without a model, in milliseconds; used for health only. */
 const EXPECTED_PLAIN_ANSWER_MS = 20;
-/** Expected time to a first token beside the reading of the prompt, for health only, in milliseconds. */
+/** Expected time to the first token besides prefill, in milliseconds. */
 const EXPECTED_FIRST_TOKEN_OVERHEAD_MS = 15;
-/** Part of the allowed time by which a request for a model must have been sent. */
+/** Share of the allowed time by which a request for a model must have been sent. */
 const START_DEADLINE_SHARE = 0.9;
 
 /** Times of one request, in milliseconds. */
 export class RequestTimes {
-  /** @param arrivedAt Monotonic. */
+  /** @param arrivedAt Monotonic time in milliseconds. */
   constructor(
     private readonly arrivedAt: number,
     private readonly facts: RequestFacts,
@@ -30,12 +30,12 @@
     return this.clock.monotonic() - this.arrivedAt;
   }
 
-  /** Time in which an answer must have begun. */
+  /** Time left until an answer must have begun. */
   remainingMs(): number {
     return Math.max(0, this.allowedMs() - this.elapsedMs());
   }
 
-  /** Time until the route's time-out, at which even an answer in progress ends. */
+  /** Time until the timeout of the route, which also ends answers in progress. */
   routeTimeoutRemainingMs(): number {
     return this.route.timeoutMs - this.elapsedMs();
   }
@@ -48,7 +48,7 @@
     );
   }
 
-  /** Time to the head of an answer that would be usual. */
+  /** Expected time from a send to the head of its answer. */
   expectedMs(): number {
     if (this.facts.target === undefined) return EXPECTED_PLAIN_ANSWER_MS;
     return EXPECTED_FIRST_TOKEN_OVERHEAD_MS + this.facts.promptTokens / PREFILL_TOKENS_PER_MS;
@@ -61,13 +61,13 @@
     return this.arrivedAt + limitMs * START_DEADLINE_SHARE - this.expectedMs();
   }
 
-  /** Monotonic time by which a stream that broke off now must have been sent on: its client waits for an event. */
+  /** Monotonic time by which a stream that broke now must be resumed, before its client gives up. */
   resumeBy(): number {
     const gapMs = Math.min(this.remainingMs(), this.route.clientGapMs ?? Infinity);
     return this.clock.monotonic() + gapMs * START_DEADLINE_SHARE - this.expectedMs();
   }
 
-  /** Monotonic time by which a request for a model must have been sent for an answer in time. */
+  /** Monotonic time by which a request for a model must have been sent to meet the target latency. */
   targetBy(): number {
     return this.arrivedAt + this.route.targetLatencyMs - this.expectedMs();
   }
--- a/packages/forwarding/src/residency-client.ts
+++ b/packages/forwarding/src/residency-client.ts
@@ -1,7 +1,7 @@
-/** Port: how the router asks for a model or adapter to be made resident. */
+/** Port: requests to load a model or adapter on a worker. */
 import type { ModelTarget } from '@woodbarrow/backends';
 
-/** A demand for a target, on any worker. */
+/** Demand for a target on any usable worker. */
 export interface ResidencyDemand {
   readonly service: string;
   readonly target: ModelTarget;
@@ -9,21 +9,21 @@
   readonly without: readonly string[];
   /** 0 is the most urgent. */
   readonly priority: number;
-  /** Milliseconds within which it must be resident for an answer in time. */
+  /** Milliseconds within which it must be resident to meet the target latency. */
   readonly targetMs: number;
   /** Milliseconds after which it no longer helps. */
   readonly withinMs: number;
 }
 
-/** What became of a demand. */
+/** Result of a demand. */
 export type ResidencyOutcome =
   | { readonly held: true; readonly backEndId: string }
   | { readonly held: false; readonly retryAfterMs: number; readonly reason: string };
 
-/** Makes targets resident. */
+/** Requests loads of models and adapters. */
 export interface ResidencyClient {
   /** Resolves when the target is resident somewhere, or when it will not be in time. Never rejects. */
   request(demand: ResidencyDemand, signal: AbortSignal): Promise<ResidencyOutcome>;
-  /** Says that the replicas of a model have more work than they bear; returns at once. */
+  /** Reports that the replicas of a model are overloaded; returns at once. */
   requestReplica(service: string, model: string, priority: number): void;
 }
--- a/packages/forwarding/src/retry-budget.ts
+++ b/packages/forwarding/src/retry-budget.ts
@@ -1,21 +1,21 @@
 /**
- * Bounds how many requests go to a second back end. All daemons share one budget for each service; every
- * daemon takes an equal part of what is allowed whatever the load, and a ratio of its own requests.
+ * Limits retries on other back ends. All daemons share one budget for each service: each daemon may use an equal
+ * share of a fixed allowance, plus a ratio of its own requests.
  */
 import { SlidingWindow, type Clock } from '@woodbarrow/runtime';
 
 /** Options of {@link RepeatBudget}. */
 export interface RepeatBudgetOptions {
-  /** Repeats allowed for each request. */
+  /** Retries allowed per request. */
   readonly ratio: number;
-  /** Repeats allowed in a window over all daemons, whatever the load. */
+  /** Retries allowed per window over all daemons, regardless of load. */
   readonly extra: number;
   readonly windowMs: number;
   /** Number of daemons that share the budget. */
   readonly sharers: () => number;
 }
 
-/** Part of what is allowed that is used, which leaves room for what others count differently. */
+/** Share of the allowance that is used; the rest absorbs differences between the counts of daemons. */
 const BUDGET_SAFETY_FACTOR = 0.75;
 
 interface ServiceCounts {
@@ -23,7 +23,7 @@
   readonly retries: SlidingWindow;
 }
 
-/** One daemon's part of the budgets. */
+/** One daemon's share of the retry budgets. */
 export class RepeatBudget {
   private readonly services = new Map<string, ServiceCounts>();
 
@@ -37,14 +37,14 @@
     this.countsOf(service).requests.add();
   }
 
-  /** Takes one repeat; false when the budget is spent. */
+  /** Consumes one retry. Returns false if the budget is exhausted. */
   tryRetry(service: string): boolean {
     if (this.remaining(service) < 1) return false;
     this.countsOf(service).retries.add();
     return true;
   }
 
-  /** Repeats left now, possibly a fraction. */
+  /** Retries left now; may be fractional. */
   remaining(service: string): number {
     const counts = this.countsOf(service);
     const { ratio, extra, sharers } = this.options;
--- a/packages/forwarding/src/route-table.ts
+++ b/packages/forwarding/src/route-table.ts
@@ -18,7 +18,7 @@
   }
 
   /**
-   * The route of a request.
+   * Returns the route of a request; undefined if none matches.
    *
    * @param host Value of the Host header; a port is ignored.
    * @param target Request target; its query is ignored.
--- a/packages/forwarding/src/route.ts
+++ b/packages/forwarding/src/route.ts
@@ -1,11 +1,11 @@
-/** Routes: which requests may be passed to which services, and under what terms. */
+/** Routes map requests to services and define deadlines, retries and priority. */
 
 /**
- * What may be done with a request.
+ * How often a request may run, and how it is answered.
  * - `repeatable`: may run more than once.
  * - `once`: runs at most once.
  * - `stream`: runs at most once; its answer is a series of events.
- * - `resumable_stream`: a stream that another run may take up after the last event passed on.
+ * - `resumable_stream`: a stream that another run may resume after the last event forwarded.
  */
 export type RequestKind = 'repeatable' | 'once' | 'stream' | 'resumable_stream';
 
@@ -23,19 +23,19 @@
   /** Begins and ends with a slash. */
   readonly pathPrefix: string;
   readonly kind: RequestKind;
-  /** Longest time a request may be held. */
+  /** Maximum time for the whole request. */
   readonly timeoutMs: number;
-  /** Time in which an answer, or the first event of a stream, should come. */
+  /** Target time to the answer, or to the first event of a stream. */
   readonly targetLatencyMs: number;
-  /** Time without an event after which clients leave a stream, before the first event too; streams only. */
+  /** Time without an event after which clients abandon a stream, also before the first event; streams only. */
   readonly clientGapMs?: number;
-  /** Longest pause between two events that is still in time; streams only. */
+  /** Target for the longest time between two events; streams only. */
   readonly targetGapMs?: number;
-  /** Back ends that one request may run on. */
+  /** Maximum number of back ends on which one request may run. */
   readonly maximumAttempts: number;
   /** 0 is the most urgent. */
   readonly priority: number;
-  /** Needs no key. */
+  /** Whether requests need no key. */
   readonly isPublic: boolean;
   /** At least one. */
   readonly targets: readonly RouteTarget[];
--- a/packages/forwarding/src/run-time-estimate.ts
+++ b/packages/forwarding/src/run-time-estimate.ts
@@ -1,21 +1,21 @@
-/** What is expected of a request's run, and what is learnt from it. */
+/** Expected duration of a request's run, and feedback from its actual duration. */
 import type { RunTimes } from '@woodbarrow/backends';
 import type { RequestFacts } from './wire-dialect.js';
 
-/** Forecast for one request. */
+/** Run time estimate for one request. */
 export class RunTimeEstimate {
   constructor(
     private readonly times: RunTimes,
     private readonly facts: RequestFacts,
   ) {}
 
-  /** Milliseconds that a run is expected to take; 0 where no model runs. */
+  /** Expected duration of a run in milliseconds; 0 for requests without a model. */
   expectedMs(): number {
     const { target, expectedTokens } = this.facts;
     return target === undefined ? 0 : this.times.expectedMs(target.model, expectedTokens);
   }
 
-  /** A whole run has ended well. */
+  /** Records the duration of a complete run. */
   recordRun(durationMs: number): void {
     const { target, expectedTokens } = this.facts;
     if (target !== undefined) this.times.note(target.model, expectedTokens, durationMs);
--- a/packages/forwarding/src/send-attempt.ts
+++ b/packages/forwarding/src/send-attempt.ts
@@ -1,27 +1,27 @@
-/** One request to one back end, from the connection to the head of the answer. */
+/** Sends one request to one back end, up to the head of the answer. */
 import { messageOf } from '@woodbarrow/errors';
 import type { BackEnd } from '@woodbarrow/backends';
 import { HttpNotSentError, type BackendAnswer, type BackendClient, type Clock } from '@woodbarrow/runtime';
 import type { BackendNotice } from './backend-notice.js';
 import type { AnswerVerdict, WireDialect } from './wire-dialect.js';
 
-/** Milliseconds that a new connection to a back end may take. */
+/** Timeout for opening a connection to a back end, in milliseconds. */
 const CONNECT_TIMEOUT_MS = 400;
 
-/** What came of a send. */
+/** Result of a send. */
 export type SendOutcome =
-  /** The answer to the request; its body is still to be read. */
+  /** The head of the answer arrived; its body is still to be read. */
   | { readonly kind: 'answered'; readonly answer: BackendAnswer }
-  /** It states that it did not run the request. */
+  /** The back end states that it did not run the request. */
   | { readonly kind: 'declined'; readonly verdict: 'not_run' | 'other_incarnation' | 'not_resident' }
-  /** No connection: it did not receive the request. */
+  /** The connection failed; the back end did not receive the request. */
   | { readonly kind: 'unreachable'; readonly detail: string }
-  /** It may have run the request; no answer of use came. */
+  /** The back end may have run the request; there is no usable answer. */
   | { readonly kind: 'broken'; readonly detail: string }
-  /** It may have run the request; nothing came in the time allowed. */
+  /** The back end may have run the request; no answer arrived in time. */
   | { readonly kind: 'silent' };
 
-/** What to send. */
+/** Parameters of a send. */
 export interface SendPlan {
   readonly backEnd: BackEnd;
   readonly requestId: string;
@@ -29,15 +29,15 @@
   readonly target: string;
   readonly headers: string[];
   readonly body: Uint8Array;
-  /** Ended when the client has gone or time is up. */
+  /** Aborted when the client has disconnected or time is up. */
   readonly controller: AbortController;
-  /** Called with what the head of an answer says of its back end. */
+  /** Called with the notice in the head of the answer. */
   readonly onNotice: (notice: BackendNotice) => void;
-  /** Milliseconds to wait for the head of the answer; as long as the controller lets it when absent. */
+  /** Milliseconds to wait for the head of the answer; limited by the controller alone when absent. */
   readonly timeoutMs?: number;
 }
 
-/** Sends a request and judges the head of the answer. */
+/** Sends a request and classifies the head of the answer. */
 export async function sendAttempt(
   plan: SendPlan,
   client: BackendClient,
@@ -89,11 +89,11 @@
   }
 }
 
-/** Reads the rest of an answer of no use, so that its connection can be kept. */
+/** Reads and discards the body, so that its connection can be reused. */
 async function drain(answer: BackendAnswer): Promise<void> {
   try {
     for await (const chunk of answer.body) void chunk;
   } catch {
-    // The connection has ended, which is as good.
+    // A broken connection needs no draining.
   }
 }
--- a/packages/forwarding/src/send-failures.ts
+++ b/packages/forwarding/src/send-failures.ts
@@ -1,14 +1,14 @@
-/** Notes of sends that brought no answer of use: health of the back end, back ends left out, ends of processes. */
+/** Records failed sends: back-end health, exclusion from retries, and possible process crashes. */
 import type { BackEnd } from '@woodbarrow/backends';
 import type { BackendHealth, SendResult } from './backend-health.js';
 import type { RequestScope } from './request-scope.js';
 import { mayRunAgain } from './route.js';
 
-/** Notes for one request. */
+/** Failed sends of one request. */
 export class SendFailures {
   constructor(private readonly scope: RequestScope) {}
 
-  /** The back end is not asked again for this request. */
+  /** Records a failure and excludes the back end from further sends of this request. */
   recordFailure(backEnd: BackEnd, result: SendResult, detail: string): void {
     const { context, facts, progress } = this.scope;
     this.health().record(backEnd.id, result);
@@ -16,7 +16,7 @@
     context.journal.decided('request_declined', facts.id, { backEnd: backEnd.id, verdict: result, detail });
   }
 
-  /** The answer broke off; whether the process has ended with it is found out meanwhile. */
+  /** Records an answer that broke; the quarantine checks whether the process crashed. */
   recordBroken(backEnd: BackEnd, sentAt: number, detail: string): void {
     const { context, facts, route, digest } = this.scope;
     this.recordFailure(backEnd, 'broken', detail);
@@ -32,9 +32,9 @@
   }
 
   /**
-   * How long a back end may be silent before another is tried, where that is allowed.
+   * Milliseconds without data before another back end is tried; undefined if no other may be tried.
    *
-   * @param runCount Back ends on which the request may have run, this one included.
+   * @param runCount Number of back ends on which the request may have run, including this one.
    */
   answerTimeoutMs(runCount: number): number | undefined {
     const { route, times } = this.scope;
--- a/packages/forwarding/src/send-permits.ts
+++ b/packages/forwarding/src/send-permits.ts
@@ -1,32 +1,32 @@
-/** Port: permits to send to back ends, under what they ask for in their answers. */
+/** Port: permits to send requests, under the rate limits and pauses of back ends. */
 import type { BackEnd } from '@woodbarrow/backends';
 
-/** The right to send one request to one back end. */
+/** Permission to send one request to one back end. */
 export interface SendPermit {
-  /** Whether it may still be used; ask right before the request is sent. */
+  /** Whether the permit may still be used. Check right before the request is sent. */
   isValid(): boolean;
-  /** The request did not reach the back end: another one may use the permit. */
+  /** Returns the permit of a request that did not reach the back end. */
   giveBack(): void;
-  /** The send is over, however it ended. */
+  /** Reports that the send is over, whatever its result. */
   end(): void;
 }
 
-/** Hands permits out. */
+/** Grants permits. */
 export interface SendPermits {
-  /** Milliseconds until a request may be let through to a back end, as far as known without asking; 0 when it may be now. */
+  /** Milliseconds until a request may be sent to a back end, from local state; 0 if it may be sent now. */
   waitMs(backEndId: string): number;
-  /** A permit; undefined where the back end takes nothing more now. One that asked for nothing takes all. Never rejects. */
+  /** Acquires a permit; undefined if the back end accepts no more requests now. Never rejects. */
   acquire(backEnd: BackEnd, signal: AbortSignal): Promise<SendPermit | undefined>;
 }
 
-/** The permit for a back end that has asked for nothing. */
+/** Permit for a back end without limits. */
 export const FREE_PERMIT: SendPermit = {
   isValid: () => true,
   giveBack: () => undefined,
   end: () => undefined,
 };
 
-/** Milliseconds until the first of some back ends takes a request again that takes none now; undefined where none of them waits. */
+/** Shortest wait, in milliseconds, of the back ends that accept no requests now; undefined if all accept requests. */
 export function shortestWaitMs(permits: SendPermits, backEnds: readonly BackEnd[]): number | undefined {
   const waits = backEnds.map(({ id }) => permits.waitMs(id)).filter((waitMs) => waitMs > 0);
   return waits.length === 0 ? undefined : Math.min(...waits);
--- a/packages/forwarding/src/stream-position.ts
+++ b/packages/forwarding/src/stream-position.ts
@@ -1,64 +1,63 @@
 /**
- * Which event of a stream a client has, and whether the next one follows it. Ids of events are whole numbers that rise; where another
- * run takes the stream up, its first event must be the very next one: a run that begins anew, or leaves events out, would give the client
- * events twice or not at all.
+ * Tracks the last event of a stream that a client has, and checks that the next one follows it. Event ids are increasing integers.
+ * The first event of a resumed run must be the next one, so that the client gets no event twice and misses none.
  */
 import type { StreamEvent } from './event-splitter.js';
 
-/** How an event relates to what the client has. */
+/** How an event relates to the last event of the client. */
 export type Continuation =
   | 'follows'
-  /** Another run gives events again that the client has. */
+  /** Another run repeats events that the client has. */
   | 'begins_anew'
-  /** Another run leaves events out. */
+  /** Another run omits events. */
   | 'skips'
-  /** Within a run the ids do not rise. */
+  /** The ids within a run do not increase. */
   | 'not_rising'
-  /** Another run gives an event whose id cannot be compared. */
+  /** Another run sends an event without a numeric id. */
   | 'without_id';
 
 const NUMERIC_ID = /^\d{1,15}$/;
-/** Difference between the ids of two events; larger only where a run of the stream itself has shown it. */
+/** Assumed difference between consecutive ids, until a run shows a larger one. */
 const DEFAULT_ID_STEP = 1;
 
 /** Position in one stream. */
 export class StreamPosition {
   private lastNumber: number | undefined;
   private lastIdText: string | undefined;
-  /** Largest difference between the ids of two events of one run. */
+  /** Largest difference between consecutive ids within a run. */
   private maxStep = DEFAULT_ID_STEP;
-  /** An event was passed on that no other run can be told to go on after. */
+  /** Whether an event without a numeric id was accepted, so that the stream cannot be resumed. */
   private hasOpaqueId = false;
   private isFirstOfRun = true;
 
-  /** @param lastEventId Event that the client had before. */
+  /** @param lastEventId Id of the last event that the client already has. */
   constructor(lastEventId: string | undefined) {
     this.lastIdText = lastEventId;
     this.lastNumber = toNumber(lastEventId);
     this.hasOpaqueId = lastEventId !== undefined && this.lastNumber === undefined;
   }
 
-  /** Whether the client has an event. */
+  /** Whether the client has received an event. */
   get hasBegun(): boolean {
     return this.lastIdText !== undefined;
   }
 
-  /** Last event that the client has. */
+  /** Id of the last event that the client has. */
   get lastId(): string | undefined {
     return this.lastIdText;
   }
 
-  /** Whether another run can be told where to go on. */
+  /** Whether another run can resume after the last event. */
   get canResume(): boolean {
     return !this.hasOpaqueId;
   }
 
-  /** The next event is the first of another run. */
+  /** Marks the next event as the first of another run. */
   startRun(): void {
     this.isFirstOfRun = true;
   }
 
-  /** Whether the first of these events follows; does not move on. */
+  /** Checks whether the first of these events follows, without changing the position. */
   check(events: readonly StreamEvent[]): Continuation {
     const first = events.find(({ isEvent }) => isEvent);
     if (first === undefined) return 'follows';
@@ -66,7 +65,7 @@
     return id === undefined ? this.compareOpaque() : this.compare(id);
   }
 
-  /** Moves on by one event, if it follows. */
+  /** Advances the position by one event if it follows. */
   accept(event: StreamEvent): Continuation {
     if (!event.isEvent) return 'follows';
     const id = toNumber(event.id);
--- a/packages/forwarding/src/tenant.ts
+++ b/packages/forwarding/src/tenant.ts
@@ -1,23 +1,23 @@
-/** Tenants: in whose name requests run. A tenant is known by its keys, of which only digests are held here. */
+/** Tenants that requests run as. A tenant is identified by its keys, of which only digests are stored. */
 
-/** How much a tenant may use, over all daemons together. */
+/** Quota of a tenant over all daemons. */
 export interface TenantQuota {
-  /** What is counted: a request is one, or as many as it has tokens. */
+  /** Whether requests or tokens are counted. */
   readonly unit: 'requests' | 'tokens';
-  /** Units a second. */
+  /** Units per second. */
   readonly ratePerSecond: number;
-  /** Units beyond the rate that may be used at once. */
+  /** Burst size in units. */
   readonly burst: number;
-  /** Units of a request that does not say how many tokens it has. */
+  /** Units of a request that states no token counts. */
   readonly plainTokens: number;
 }
 
 /** One tenant. */
 export interface Tenant {
   readonly name: string;
-  /** Goes before the priority of the route; 0 is the most urgent. */
+  /** Overrides the priority of the route; 0 is the most urgent. */
   readonly priority?: number;
-  /** Absent where nothing is limited. */
+  /** Absent if the tenant is not limited. */
   readonly quota?: TenantQuota;
 }
 
@@ -44,7 +44,7 @@
     return this.byName.get(name);
   }
 
-  /** The tenant that holds a key. */
+  /** Returns the tenant that a key belongs to. */
   holderOf(keyDigest: string): Tenant | undefined {
     return this.byKey.get(keyDigest);
   }
--- a/packages/forwarding/src/traffic-splitter.ts
+++ b/packages/forwarding/src/traffic-splitter.ts
@@ -1,4 +1,4 @@
-/** Shares requests of a route over its targets by weight: smooth weighted round robin. */
+/** Distributes the requests of a route over its targets by smooth weighted round robin. */
 import type { Random } from '@woodbarrow/runtime';
 import type { Route, RouteTarget } from './route.js';
 
@@ -7,13 +7,13 @@
   readonly credits: number[];
 }
 
-/** One daemon's split of all routes. */
+/** Weighted round robin state of all routes of one daemon. */
 export class TrafficSplitter {
   private readonly states = new Map<string, SplitState>();
 
   constructor(private readonly random: Random) {}
 
-  /** The service that the next request of a route goes to. */
+  /** Returns the service for the next request of a route. @throws Error if the route has no target. */
   choose(route: Route): string {
     const [first] = route.targets;
     if (first === undefined) throw new Error(`route ${route.name} has no target`);
@@ -29,7 +29,7 @@
     return state.targets[best]?.service ?? first.service;
   }
 
-  /** Forgets routes that no longer exist. */
+  /** Drops the state of routes that no longer exist. */
   retain(routes: readonly Route[]): void {
     const names = new Set(routes.map((route) => route.name));
     for (const name of this.states.keys()) {
@@ -40,7 +40,7 @@
   private stateOf(route: Route): SplitState {
     const existing = this.states.get(route.name);
     if (existing !== undefined && sameTargets(existing.targets, route.targets)) return existing;
-    // Daemons begin at different points, so that small counts add up to the right shares over all of them.
+    // Random initial credits keep the shares right over all daemons when each serves only a few requests.
     const credits = route.targets.map((target) => this.random.between(0, target.weight));
     const state = { targets: route.targets, credits };
     this.states.set(route.name, state);
--- a/packages/forwarding/src/wire-dialect.ts
+++ b/packages/forwarding/src/wire-dialect.ts
@@ -1,6 +1,6 @@
 /**
- * Port: how requests and answers name what the product needs to know. Implemented by the adapter of the
- * platform that the product is deployed on.
+ * Port: encoding of request and answer metadata in HTTP headers. Implemented for each platform that Woodbarrow
+ * is deployed on.
  */
 import type { RawHeaders } from '@woodbarrow/runtime';
 import type { ModelTarget } from '@woodbarrow/backends';
@@ -12,80 +12,80 @@
   readonly tokens: number;
 }
 
-/** What a request says of itself. */
+/** Metadata of a request. */
 export interface RequestFacts {
   /** Unique for each attempt of a client; empty when the client sent none. */
   readonly id: string;
-  /** Milliseconds that the client waits; absent when it does not say. */
+  /** Milliseconds that the client waits; absent if not stated. */
   readonly waitMs?: number;
   readonly target?: ModelTarget;
-  /** Whether it says how many tokens it has. */
+  /** Whether the request states its token counts. */
   readonly tellsTokens: boolean;
   readonly promptTokens: number;
-  /** Most tokens out. */
+  /** Maximum number of output tokens. */
   readonly outputTokens: number;
-  /** Tokens out that the client expects, often wrong by a factor of two; absent when it does not say. */
+  /** Client's rough estimate of the output tokens; absent if not stated. */
   readonly expectedTokens?: number;
-  /** In order; the last is the request's own or its session's. */
+  /** In order; the last part belongs to the request or its session alone. */
   readonly promptParts: readonly PromptPart[];
-  /** Last event that the client has of an earlier answer, when it takes a stream up itself. */
+  /** Id of the last event that the client has, if it resumes a stream itself. */
   readonly resumeAfter?: string;
-  /** Digest of the key that the caller shows; the key itself goes no further. Absent when it shows none. */
+  /** Digest of the caller's key; the key itself is not stored. Absent if there is no key. */
   readonly keyDigest?: string;
 }
 
-/** What the product adds to a request that it passes on. */
+/** Metadata that the daemon adds to a forwarded request. */
 export interface SendFacts {
-  /** Milliseconds left. */
+  /** Milliseconds until the deadline. */
   readonly remainingMs: number;
   /** Name of the only back end that may run it. */
   readonly backEndName: string;
   /** 0 is the most urgent. */
   readonly priority: number;
-  /** Tenant in whose name it runs; absent where it has none. */
+  /** Tenant that the request runs as; absent if it has none. */
   readonly tenant?: string;
-  /** Last event that the client has, when a stream is taken up again. */
+  /** Id of the last event that the client has, if a stream is resumed. */
   readonly resumeAfter?: string;
 }
 
-/** What a back end's answer says. */
+/** Classification of a back end's answer. */
 export type AnswerVerdict =
-  /** The answer to this request, to be passed on. */
+  /** The answer to this request, to be forwarded. */
   | 'genuine'
   /** The back end states that it did not run the request. */
   | 'not_run'
-  /** Another incarnation answers at the address: not run. */
+  /** Another incarnation answers at the address; the request did not run. */
   | 'other_incarnation'
-  /** The model or adapter is not resident there: not run. */
+  /** The model or adapter is not resident there; the request did not run. */
   | 'not_resident'
-  /** Not an answer to this request; it may have run. */
+  /** Not an answer to this request, which may have run. */
   | 'foreign';
 
-/** What an answer is compared with. */
+/** Identity of a sent request, to match its answer. */
 export interface SentRequest {
   readonly requestId: string;
   readonly backEndName: string;
 }
 
-/** Names and meanings on the wire. */
+/** Reads and writes the headers of one platform. */
 export interface WireDialect {
   readFacts(headers: Readonly<Record<string, string | undefined>>): RequestFacts;
   /**
-   * Headers to send to a back end: those of the client but for the connection's and for those that only the product may set, and the
-   * product's own.
+   * Returns the headers to send to a back end: those of the client without connection headers and reserved ones, plus the
+   * daemon's own.
    */
   requestHeaders(received: RawHeaders, send: SendFacts): string[];
-  /** Headers to answer the client with: those of the back end but for the connection's. */
+  /** Returns the headers for the client: those of the back end without connection headers. */
   answerHeaders(received: RawHeaders): string[];
-  /** Headers of an answer of the product's own. */
+  /** Returns the headers of an answer that the daemon itself generates. */
   ownHeaders(requestId: string, retryAfterSeconds?: number): string[];
-  /** @param sent What the request was sent with. */
+  /** Classifies an answer by its head. */
   judge(
     sent: SentRequest,
     status: number,
     headers: Readonly<Record<string, string | undefined>>,
   ): AnswerVerdict;
-  /** What the head of an answer says of its back end; undefined where it answers something else, or is another's. */
+  /** Returns the notice in the head of an answer; undefined if it answers another request or comes from another back end. */
   readNotice(
     sent: SentRequest,
     status: number,
