--- a/packages/forwarding/test/answer-checker.ts
+++ b/packages/forwarding/test/answer-checker.ts
@@ -1,14 +1,14 @@
-/** Judges what a client received by what the back ends sent: one run's bytes, or runs joined where that is allowed. */
+/** Checks a client's answer against what the back ends sent: the bytes of one run, or joined runs where that is allowed. */
 import { isStream, mayRunAgain, type RequestKind } from '../src/index.js';
 import { STAMP_HEADER, type Run } from './arbitrary-workers.js';
 import type { SimulatedExchange } from './simulated-exchange.js';
 
-/** One request as seen from outside. */
+/** One request, its answer, and the runs that produced it. */
 export interface ObservedRequest {
   readonly kind: RequestKind;
-  /** Length of the whole stream. */
+  /** Number of events in the whole stream. */
   readonly events: number;
-  /** The event that the client already had; 0 when none. */
+  /** Last event that the client already had; 0 if none. */
   readonly resumeAfter: number;
   readonly maximumAttempts: number;
   readonly exchange: SimulatedExchange;
@@ -17,7 +17,7 @@
   readonly ranOn: readonly string[];
 }
 
-/** Events and comments, each with the blank line behind it, and what follows the last of them. */
+/** Complete blocks of a stream, each with its blank line, and the bytes after the last one. */
 interface Blocks {
   readonly whole: readonly string[];
   readonly rest: string;
@@ -26,21 +26,21 @@
 const AFTER_BLANK_LINE = /(?<=\n\r?\n)/;
 const ID_LINE = /^id: ?(.*?)\r?$/m;
 const DATA_LINE = /^data:/m;
-/** A line that is neither blank nor a comment: an event has begun. */
+/** A line that is neither blank nor a comment. */
 const FIELD_LINE = /^[^:\r\n]/m;
 
-/** What is wrong with the answer, or undefined. */
+/** Returns what is wrong with the answer; undefined if nothing is. */
 export function findAnswerFault(observed: ObservedRequest): string | undefined {
   const { kind, exchange, runs } = observed;
   if (exchange.unexpectedWrites.length > 0)
-    return `the client was sent ${exchange.unexpectedWrites.join(', ')}`;
+    return `the client also received ${exchange.unexpectedWrites.join(', ')}`;
   if (exchange.ending === 'open') return 'the answer was left open';
   const tooManyRuns = findRunCountFault(observed);
   if (tooManyRuns !== undefined || exchange.status === 0) return tooManyRuns;
   const stamp = exchange.answerHeaders[exchange.answerHeaders.indexOf(STAMP_HEADER) + 1];
   if (!exchange.answerHeaders.includes(STAMP_HEADER)) return findOwnAnswerFault(exchange);
   const head = runs.find((run) => String(run.number) === stamp);
-  if (head === undefined) return 'the answer bears the stamp of no run';
+  if (head === undefined) return 'the answer has the stamp of no run';
   if (head.status !== exchange.status) return `the run answered ${String(head.status)}`;
   const isJoinable = kind === 'resumable_stream' && isSuccess(head) && head.isEventStream;
   return isJoinable ? findJoinedRunsFault(observed, head) : findSingleRunFault(observed, head);
@@ -56,26 +56,26 @@
 }
 
 function findOwnAnswerFault({ status, ending }: SimulatedExchange): string | undefined {
-  return status >= 400 && ending === 'complete' ? undefined : 'a success that is no run’s';
+  return status >= 400 && ending === 'complete' ? undefined : 'a success that no run sent';
 }
 
-/** The bytes are those of the run whose head the client has: all of them if the answer is complete. */
+/** The bytes must be those of the run whose head the client has; all of them if the answer is complete. */
 function findSingleRunFault({ kind, exchange }: ObservedRequest, run: Run): string | undefined {
   const { body, ending } = exchange;
-  if (!run.bytes.startsWith(body)) return `bytes that are not those of run ${String(run.number)}`;
+  if (!run.bytes.startsWith(body)) return `bytes that differ from those of run ${String(run.number)}`;
   if (ending !== 'complete') return undefined;
-  if (run.ending !== 'plain' || body.length < run.bytes.length) return 'complete though the run broke off';
+  if (run.ending !== 'plain' || body.length < run.bytes.length) return 'complete although the run broke';
   const isIncomplete = FIELD_LINE.test(blocksOf(body).rest);
   if (isStream(kind) && isSuccess(run) && run.isEventStream && isIncomplete)
     return 'complete inside an event';
   return undefined;
 }
 
-/** Whole events of one run after another, each going on where the one before broke off. */
+/** The answer must consist of complete events of successive runs, each resumed where the previous one broke. */
 function findJoinedRunsFault(observed: ObservedRequest, head: Run): string | undefined {
   const { exchange, runs, resumeAfter } = observed;
   const { whole, rest } = blocksOf(exchange.body);
-  if (FIELD_LINE.test(rest)) return 'bytes of an unfinished event';
+  if (FIELD_LINE.test(rest)) return 'bytes of an incomplete event';
   const isNumbered = resumeAfter > 0 || whole.every((block) => ID_LINE.test(block) || !DATA_LINE.test(block));
   const fault = isNumbered ? findIdFault(whole, resumeAfter) : undefined;
   if (fault !== undefined) return fault;
@@ -88,7 +88,7 @@
         (other) => other.number > run.number && blocksOf(other.bytes).whole[0] === block,
       );
       if (next === undefined) return `a block that follows in no run: ${JSON.stringify(block)}`;
-      if (isWhole(run) && remaining.length === 0) return 'a run joined to a whole one';
+      if (isWhole(run) && remaining.length === 0) return 'a run joined to a complete one';
       if (!isSuccess(next) || !next.isEventStream)
         return `joined to an answer of status ${String(next.status)}`;
       run = next;
@@ -97,17 +97,17 @@
     remaining = remaining.slice(1);
     if (DATA_LINE.test(block)) contributingRuns.add(run);
   }
-  // After an event without an id no other run can be told where to go on.
-  if (!isNumbered && contributingRuns.size > 1) return 'runs joined though not all events have ids';
+  // A stream cannot be resumed after an event without an id.
+  if (!isNumbered && contributingRuns.size > 1) return 'runs joined although not all events have ids';
   if (exchange.ending !== 'complete') return undefined;
   if (remaining.length === 0 && isWhole(run) && rest === blocksOf(run.bytes).rest) return undefined;
   const isAtEnd = runs.some(
     (other) => other.number > run.number && !DATA_LINE.test(other.bytes) && isWhole(other),
   );
-  return isAtEnd ? undefined : `complete though run ${String(run.number)} was not`;
+  return isAtEnd ? undefined : `complete although run ${String(run.number)} was not`;
 }
 
-/** Ids rise by one from the event after which the client asked; every event has one. */
+/** Every event must have an id, increasing by one from the event that the client already had. */
 function findIdFault(blocks: readonly string[], resumeAfter: number): string | undefined {
   let last = resumeAfter;
   for (const block of blocks) {
@@ -119,7 +119,7 @@
   return undefined;
 }
 
-/** A process that lives on, and ends its answer regularly and inside no event, says that this was all. */
+/** Whether a run is complete: its process survived, and the stream ended regularly and between events. */
 function isWhole(run: Run): boolean {
   const isStreamAnswer = isSuccess(run) && run.isEventStream;
   return isStreamAnswer && run.ending === 'plain' && !FIELD_LINE.test(blocksOf(run.bytes).rest);
--- a/packages/forwarding/test/arbitrary-workers.ts
+++ b/packages/forwarding/test/arbitrary-workers.ts
@@ -1,10 +1,10 @@
-/** Back ends that answer a request in arbitrary ways, most of them faulty, and a record of what each of them sent. */
+/** Back ends with generated, mostly faulty behaviour, and a record of what each of them sent. */
 import { Readable } from 'node:stream';
 import fc from 'fast-check';
 import { HttpNotSentError, type BackendAnswer, type BackendCall } from '@woodbarrow/runtime';
 import type { ForwardingWorld } from './simulated-exchange.js';
 
-/** How the ids of a run go: where it begins that is asked to go on after an event, or what is wrong within any run. */
+/** Event ids of a run: where a resumed run begins, or which fault its ids have. */
 export type EventIdSequence =
   | 'next'
   | 'anew'
@@ -17,34 +17,34 @@
   | 'back_within'
   | 'twice_within';
 
-/** How the events of a run look on the wire. */
+/** Text format of the events of a run. */
 export interface EventLayout {
   readonly lineEnding: '\n' | '\r\n';
   readonly idLine: 'id: ' | 'id:';
-  /** The id comes after the data. */
+  /** Whether the id comes after the data. */
   readonly idLast: boolean;
   readonly comments: 'none' | 'within' | 'between';
 }
 
-/** How the bytes of an answer come. */
+/** How the bytes of an answer are delivered. */
 export interface Delivery {
-  /** Where it ends early, counted modulo all bytes or all events; all of it comes when absent. */
+  /** Where the body is cut, modulo the number of bytes or events; the whole body is sent if absent. */
   readonly cut: { readonly behind: 'byte' | 'event'; readonly count: number } | undefined;
   readonly ending: 'plain' | 'killed' | 'broken' | 'stalled';
-  /** The body ends with its connection, which closes in the same way when the process is killed. */
+  /** Whether the end of the connection ends the body, so that a killed process looks like a regular end. */
   readonly endsWithConnection: boolean;
-  /** Sizes of the pieces in turn, in bytes. */
+  /** Sizes of the chunks in bytes, used in rotation. */
   readonly chunkSizes: readonly number[];
-  /** A pause before one of the pieces. */
+  /** Pause before one of the chunks. */
   readonly pause: { readonly beforeChunk: number; readonly ms: number } | undefined;
-  /** Until the head, in milliseconds. */
+  /** Delay of the head, in milliseconds. */
   readonly headMs: number;
 }
 
-/** A send that brings no answer to the request. */
+/** Ways in which a send gets no answer to the request. */
 type NoAnswer = 'unreachable' | 'declined' | 'reset' | 'silent';
 
-/** What a back end does with one request. */
+/** Behaviour of a back end for one send. */
 export type RunPlan =
   | { readonly kind: NoAnswer }
   | {
@@ -53,31 +53,31 @@
       readonly contentType: string;
       readonly idSequence: EventIdSequence;
       readonly layout: EventLayout;
-      /** Size of an answer that is no stream, in bytes. */
+      /** Size of an answer that is not a stream, in bytes. */
       readonly size: number;
       readonly delivery: Delivery;
     };
 
 type AnswerPlan = Extract<RunPlan, { readonly kind: 'answer' }>;
 
-/** A run that answered, and all that it sends if it is read to the end. */
+/** A run that answered, with all bytes that it sends if read to the end. */
 export interface Run {
   readonly number: number;
   readonly status: number;
   readonly isEventStream: boolean;
-  /** The event after which it was asked to begin; 0 for the beginning. */
+  /** Event after which it was asked to resume; 0 for the beginning. */
   readonly after: number;
   readonly bytes: string;
   readonly ending: Delivery['ending'];
 }
 
-/** Name of the header by which a client sees which run began its answer. */
+/** Header with the number of the run that began the answer. */
 export const STAMP_HEADER = 'Stamp';
 const EVENT_STREAM = 'text/event-stream';
-/** Sizes around the one up to which answers are held until they are whole, in bytes. */
+/** Body sizes in bytes around the limit up to which answers are buffered. */
 const LARGE_BODY_BYTES = { min: 60_000, max: 140_000 };
 
-/** The usual value three times in four. */
+/** Generates the usual value in three of four cases. */
 function mostly<Value>(usual: Value, ...others: Value[]): fc.Arbitrary<Value> {
   return fc.oneof(
     { weight: 3, arbitrary: fc.constant(usual) },
@@ -131,7 +131,7 @@
   delivery: deliveries,
 });
 
-/** What back ends do with the sends of one request, in the order of the sends. */
+/** Behaviour of back ends for the sends of one request, in the order of the sends. */
 export const runPlans: fc.Arbitrary<readonly RunPlan[]> = fc.array(
   fc.oneof(
     { weight: 6, arbitrary: answers },
@@ -143,17 +143,17 @@
   { minLength: 1, maxLength: 6 },
 );
 
-/** Sends of one request: each follows the next plan, and all beyond them are declined. */
+/** Answers the sends of one request: each follows the next plan; further sends are declined. */
 export class PlannedSends {
   /** Runs that answered, in the order of the sends. */
   readonly runs: Run[] = [];
   /** Back ends that may have run the request. */
   readonly ranOn: string[] = [];
-  /** Back ends whose process has ended. */
+  /** Back ends whose process was killed. */
   readonly killed = new Set<string>();
   private sends = 0;
 
-  /** @param events Length of the whole stream. @param isStream Whether successes are streams of events. */
+  /** @param events Number of events in the stream. @param isStream Whether successes are event streams. */
   constructor(
     private readonly plans: readonly RunPlan[],
     private readonly events: number,
@@ -244,7 +244,7 @@
   return ids;
 }
 
-/** A run that is asked for the beginning gives it. */
+/** Id of the first event of a run; only resumed runs can begin at a wrong one. */
 function firstIdOf(course: EventIdSequence, after: number, last: number): number {
   const next = after + 1;
   if (after === 0) return next;
@@ -264,7 +264,7 @@
   }
 }
 
-/** Blocks of different runs differ. */
+/** Text of an event; it contains the run number, so that blocks of different runs differ. */
 function eventText(layout: EventLayout, run: number, id: number, isNameless: boolean): string {
   const { lineEnding, comments } = layout;
   const name = `run ${String(run)} piece ${String(id)}`;
@@ -283,7 +283,7 @@
   world: ForwardingWorld,
 ): AsyncGenerator<Uint8Array> {
   const bytes = Buffer.from(run.bytes);
-  // Large answers come in few pieces.
+  // Large answers are sent in few chunks.
   const scale = Math.max(1, Math.floor(bytes.byteLength / 2000));
   let position = 0;
   for (let count = 0; position < bytes.byteLength; count += 1) {
--- a/packages/forwarding/test/backend-notices.test.ts
+++ b/packages/forwarding/test/backend-notices.test.ts
@@ -10,7 +10,7 @@
   return { kind: 'said', value };
 }
 
-describe('notices of back ends', () => {
+describe('BackendNotices', () => {
   let world: SimulatedWorld;
   let clock: SimulatedProcess;
   let notices: BackendNotices;
@@ -29,7 +29,7 @@
   };
   const limit = (): number | undefined => notices.requestsPerSecond('b1');
 
-  it('hold a rate limit from the answer that names it until one names none, and tell each change once', () => {
+  it('keeps a rate limit until an answer without one arrives, and logs each change once', () => {
     hear(NONE);
     expect(limit()).to.equal(undefined);
     hear(limitOf(2));
@@ -43,7 +43,7 @@
     expect(notices.totals).to.include({ limited: 0, limitsHeard: 3, malformed: 0 });
   });
 
-  it('are not taken back by an answer to a request from before', async () => {
+  it('keeps a rate limit when an answer to an earlier request has none', async () => {
     const sentBefore = clock.monotonic();
     await world.run(100);
     hear(limitOf(1));
@@ -51,7 +51,7 @@
     expect(limit()).to.equal(1);
   });
 
-  it('are changed by no malformed word, which is counted each time and told once', () => {
+  it('ignores malformed fields, counts each, and logs them once', () => {
     hear(limitOf(1));
     hear(malformed);
     hear(malformed);
@@ -60,12 +60,12 @@
     expect(notices.totals.malformed).to.equal(2);
   });
 
-  it('go on being asked for where a back end takes nothing: only its answers can say that its need is over', () => {
+  it('raises a limit of zero to the minimum rate, so that answers can lift it', () => {
     hear(limitOf(0));
     expect(limit()).to.equal(0.25);
   });
 
-  it('are taken from other daemons where they are newer', async () => {
+  it('accepts limits from other daemons only if they are newer', async () => {
     notices.hearFromPeer('b1', { heardAt: clock.monotonic() });
     expect(notices.lastHeard('b1'), 'nothing new').to.equal(undefined);
     notices.hearFromPeer('b1', { requestsPerSecond: 3, heardAt: clock.monotonic() });
@@ -76,12 +76,12 @@
     expect(limit(), 'older').to.equal(1);
     await world.run(200);
     notices.hearFromPeer('b1', { requestsPerSecond: 1, heardAt: 150 });
-    expect(notices.lastHeard('b1')?.heardAt, 'the same word').to.equal(100);
+    expect(notices.lastHeard('b1')?.heardAt, 'the same limit').to.equal(100);
     notices.hearFromPeer('b1', { heardAt: 160 });
     expect(limit()).to.equal(undefined);
   });
 
-  it('are news for others when an answer changes them, and not more than once a second while the limit only moves', async () => {
+  it('reports changes from answers to other daemons, and adjusted limits at most once per second', async () => {
     const news: (number | undefined)[] = [];
     notices.onNews = (_backEndId, heard) => void news.push(heard.requestsPerSecond);
     hear(limitOf(1));
@@ -95,7 +95,7 @@
     expect(news).to.deep.equal([1, undefined, 3]);
   });
 
-  it('end with their incarnation, and say nothing of another back end', () => {
+  it('keeps limits per back end, and removes them with the incarnation', () => {
     hear(limitOf(1));
     expect(notices.requestsPerSecond('b2')).to.equal(undefined);
     notices.forget('b1');
--- a/packages/forwarding/test/backend-pauses.test.ts
+++ b/packages/forwarding/test/backend-pauses.test.ts
@@ -5,7 +5,7 @@
 const NONE: NoticeField<number> = { kind: 'none' };
 const asked = (value: number): NoticeField<number> => ({ kind: 'said', value });
 
-describe('pauses that back ends ask for', () => {
+describe('BackendPauses', () => {
   let world: SimulatedWorld;
   let clock: SimulatedProcess;
   let pauses: BackendPauses;
@@ -20,7 +20,7 @@
     pauses.record('b1', word, sentAt);
   };
 
-  it('let nothing through until they end, and say what is left of them', async () => {
+  it('grants no permit during a pause, invalidates earlier ones, and returns the remaining time', async () => {
     const early = pauses.acquire('b1');
     hear(asked(3000));
     expect(early?.isValid(), 'a permit from before').to.equal(false);
@@ -31,7 +31,7 @@
     expect(pauses.count).to.equal(1);
   });
 
-  it('are not ended by answers to what was under way, nor shortened by a shorter one', async () => {
+  it('keeps a pause despite answers to earlier requests or a shorter pause', async () => {
     const sentAt = clock.monotonic();
     hear(asked(3000));
     hear(asked(100));
@@ -41,7 +41,7 @@
     expect(pauses.waitMs('b1')).to.equal(1000);
   });
 
-  it('let one request through first, and all once that is answered without another one', async () => {
+  it('allows one request after a pause, and all others once it was answered without a new pause', async () => {
     hear(asked(1000));
     await world.run(1000);
     const first = pauses.acquire('b1');
@@ -54,7 +54,7 @@
     expect(pauses.acquire('b1')).to.not.equal(undefined);
   });
 
-  it('begin anew where the first request is declined too', async () => {
+  it('starts a new pause when the answer to the first request asks for one', async () => {
     hear(asked(1000));
     await world.run(1000);
     pauses.acquire('b1');
@@ -62,7 +62,7 @@
     expect(pauses.waitMs('b1')).to.equal(1000);
   });
 
-  it('let another one go first where the first was not answered, or was not sent', async () => {
+  it('allows another first request when the first was not answered or not sent', async () => {
     hear(asked(1000));
     await world.run(1000);
     pauses.acquire('b1')?.end();
@@ -70,7 +70,7 @@
     expect(pauses.acquire('b1')).to.not.equal(undefined);
   });
 
-  it('last an hour at most, and no longer than their back end is known', () => {
+  it('limits pauses to one hour, and removes them with the back end', () => {
     hear(asked(10 * 365 * 24 * 3_600_000));
     expect(pauses.waitMs('b1')).to.equal(3_600_000);
     pauses.forget('b1');
--- a/packages/forwarding/test/engines.ts
+++ b/packages/forwarding/test/engines.ts
@@ -1,7 +1,7 @@
-/** The engine of the services in tests of forwarding. */
+/** Engine definition of the services in forwarding tests. */
 import type { EngineDefinition } from '@woodbarrow/backends';
 
-/** Small enough that a few requests fill it. */
+/** Engine that a few requests can fill. */
 export const ENGINE: EngineDefinition = {
   slots: 4,
   cacheTokens: 10_000,
--- a/packages/forwarding/test/forwarder.test.ts
+++ b/packages/forwarding/test/forwarder.test.ts
@@ -9,7 +9,7 @@
 const CUT = new Error('cut');
 
 describe('Forwarder', () => {
-  it('refuses new requests once the daemon no longer takes them', async () => {
+  it('refuses new requests when the daemon is stopping', async () => {
     const world = new ForwardingWorld([{}]);
     world.add('b1', serve);
     world.stop.abort();
@@ -19,7 +19,7 @@
     expect(world.calls).to.have.length(0);
   });
 
-  it('never sends a request that must run once again after it may have run', async () => {
+  it('does not resend a request that must run once after it may have run', async () => {
     for (const script of [reset, silent]) {
       const world = new ForwardingWorld([{ kind: 'once' }, { kind: 'stream' }]);
       world.add('b1', script);
@@ -33,21 +33,21 @@
     }
   });
 
-  it('keeps to the back ends a route allows for one that may run again', async () => {
+  it('limits a repeatable request to the maximum attempts of its route', async () => {
     const world = new ForwardingWorld([{ kind: 'repeatable', maximumAttempts: 2 }]);
     for (const id of ['b1', 'b2', 'b3', 'b4']) world.add(id, reset);
     expect((await world.ask()).status).to.equal(502);
     expect(world.calls).to.have.length(2);
   });
 
-  it('refuses truthfully what every back end declined', async () => {
+  it('refuses a request that every back end declined', async () => {
     const world = new ForwardingWorld([{ kind: 'once' }]);
     world.add('b1', decline);
     world.add('b2', decline);
     expect((await world.ask()).status).to.equal(503);
   });
 
-  it('hands on what is left of the time, and answers at the time-out of the route', async () => {
+  it('forwards the remaining time, and answers at the timeout of the route', async () => {
     const world = new ForwardingWorld([{ kind: 'once', timeoutMs: 500 }]);
     world.add('b1', silent);
     const exchange = await world.ask({ wait: '900' });
@@ -56,7 +56,7 @@
     expect(world.calls[0]?.headers[1]).to.equal('500');
   });
 
-  it('takes a stream up after the last whole event, and passes every event once', async () => {
+  it('resumes a stream after the last complete event, and forwards every event once', async () => {
     const world = new ForwardingWorld([{ kind: 'resumable_stream' }], ENGINE);
     const script: BackendScript = (call) => {
       const after = call.headers[3] ?? '';
@@ -75,7 +75,7 @@
     expect(exchange.ending).to.equal('complete');
   });
 
-  it('sends no more requests at once to a back end than its part of the connections', async () => {
+  it('limits concurrent requests to a back end to its share of the connections', async () => {
     const world = new ForwardingWorld([{ kind: 'once', timeoutMs: 500 }], undefined, 10);
     world.add('b1', silent);
     const asked = Array.from({ length: 8 }, (_, index) => world.ask({ id: String(index) }));
@@ -84,7 +84,7 @@
     expect(statuses.filter((status) => status === 503)).to.have.length(4);
   });
 
-  it('says that its connections are used up where a worker holds the model and has not declined', async () => {
+  it('refuses with connections_exhausted when an available worker holds the model', async () => {
     const world = new ForwardingWorld([{ kind: 'stream', timeoutMs: 500 }], ENGINE, 10);
     world.add('b1', silent, ['m']);
     world.residency = () => Promise.resolve({ held: true, backEndId: 'b1' });
@@ -93,13 +93,13 @@
     expect(world.refusals).to.deep.equal(Array.from({ length: 4 }, () => 'connections_exhausted'));
   });
 
-  it('lets no stream that broke off look complete', async () => {
+  it('aborts the answer when a stream breaks', async () => {
     const world = new ForwardingWorld([{ kind: 'stream' }], ENGINE);
     world.add('b1', () => Promise.resolve(answer(200, 'id: 0\ndata: a\n\n', CUT)), ['m']);
     expect((await world.ask({ model: 'm' })).ending).to.equal('aborted');
   });
 
-  it('refuses at once, as not run, what has ended three processes, whatever its id; other content goes on', async () => {
+  it('refuses content that crashed three processes at once, whatever its request id, and serves other content', async () => {
     const world = new ForwardingWorld([{ kind: 'repeatable', maximumAttempts: 3 }]);
     const ended = new Set<string>();
     world.probe = ({ id }) => (ended.has(id) ? 'refused' : 'running');
@@ -122,7 +122,7 @@
     expect((await world.ask({ id: 'other' }, '/r0/well')).status).to.equal(200);
   });
 
-  it('replaces a whole answer that broke off where the request may run again', async () => {
+  it('retries a repeatable request when its answer breaks', async () => {
     const world = new ForwardingWorld([{ kind: 'repeatable' }]);
     let sends = 0;
     const script: BackendScript = () => {
@@ -134,7 +134,7 @@
     expect(await world.ask()).to.include({ status: 200, body: 'whole' });
   });
 
-  it('replaces a whole answer that stops without an end, and answers well within the time left', async () => {
+  it('retries a repeatable request when its answer stalls, and answers well before the deadline', async () => {
     const world = new ForwardingWorld([{ kind: 'repeatable' }]);
     let sends = 0;
     const script: BackendScript = () => {
@@ -147,7 +147,7 @@
     expect(world.world.now).to.be.lessThan(600);
   });
 
-  it('waits for a model no longer than clients wait for a first event, and says when to come back', async () => {
+  it('waits for a model no longer than the client gap limit, and returns a retry delay', async () => {
     const world = new ForwardingWorld([{ kind: 'stream', timeoutMs: 15_000, clientGapMs: 2000 }], ENGINE);
     world.residency = async (demand) => {
       await world.wait(demand.withinMs);
@@ -159,7 +159,7 @@
     expect(exchange.answerHeaders).to.deep.equal(['retry', '0.3']);
   });
 
-  it('asks for a model for all of the time that the client waits, at a first try and after a refusal', async () => {
+  it('requests a model with the full time that the client waits, on the first attempt and after a refusal', async () => {
     const world = new ForwardingWorld(
       [{ kind: 'stream', targetLatencyMs: 1000, timeoutMs: 15_000, clientGapMs: 20_000 }],
       ENGINE,
@@ -171,7 +171,7 @@
     expect(second?.withinMs).to.be.within(7800, 9000);
   });
 
-  it('does not give a silent stream up soon while no other back end holds its model', async () => {
+  it('tolerates longer gaps in a stream while no other back end holds its model', async () => {
     const events = ['id: 0\ndata: a\n\n', 'id: 1\ndata: b\n\n'];
     const slow: BackendScript = (call, world) => {
       const whole = answer(200, ...events);
@@ -196,7 +196,7 @@
     expect(two.calls.length).to.be.greaterThan(1);
   });
 
-  it('asks for an adapter at any holder of its model but those that cannot be reached', async () => {
+  it('requests an adapter on holders of its model, excluding unreachable ones', async () => {
     const world = new ForwardingWorld([{ kind: 'stream' }], ENGINE);
     for (const id of ['b1', 'b2', 'b3']) world.add(id, serve, ['m']);
     world.residency = ({ without }) =>
@@ -211,7 +211,7 @@
     expect(world.demands[world.demands.length - 1]?.without).to.deep.equal(['b1']);
   });
 
-  it('sends to the worker where the model was made resident', async () => {
+  it('sends to the worker that loaded the model', async () => {
     const world = new ForwardingWorld([{ kind: 'stream' }], ENGINE);
     world.add('b1', serve);
     world.residency = async () => {
--- a/packages/forwarding/test/parts.test.ts
+++ b/packages/forwarding/test/parts.test.ts
@@ -47,14 +47,14 @@
     expect(table.match('other.example', '/a/')?.name).to.equal('other');
   });
 
-  it('knows no route for other hosts and paths', () => {
+  it('returns no route for other hosts and paths', () => {
     expect(table.match('unknown', '/a/')).to.equal(undefined);
     expect(table.match('other.example', '/b/')).to.equal(undefined);
   });
 });
 
 describe('TrafficSplitter', () => {
-  it('gives each part its share, on one daemon and over several with few requests each', () => {
+  it('respects the weights over several daemons with few requests each', () => {
     const split = route('split', '/', [90, 10]);
     let second = 0;
     for (let daemon = 0; daemon < 40; daemon += 1) {
@@ -66,7 +66,7 @@
 });
 
 describe('RepeatBudget', () => {
-  it('bounds repeats in every window by a share of the requests and a fixed part for each daemon', async () => {
+  it('limits retries per window to a ratio of the requests plus a fixed share per daemon', async () => {
     const { world, process } = simulatedClock();
     const budget = new RepeatBudget({ ratio: 0.2, extra: 70, windowMs: 10_000, sharers: () => 7 }, process);
     let repeats = 0;
@@ -83,7 +83,7 @@
 });
 
 describe('EventSplitter', () => {
-  it('gives whole events and their ids, however the bytes are cut', () => {
+  it('returns complete events and their ids for any chunk boundaries', () => {
     const text = 'id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nretry: 9\n\n\nid:3\ndata: ü\n\ndata: id: 4\n\n';
     const bytes = Buffer.from(text);
     for (let seed = 0; seed < 50; seed += 1) {
@@ -102,7 +102,7 @@
     }
   });
 
-  it('holds a torn event back', () => {
+  it('holds an incomplete event back', () => {
     const splitter = new EventSplitter();
     expect(splitter.push(Buffer.from('id: 1\ndata: a\n'))).to.deep.equal([]);
     expect(splitter.incompleteEventBytes).to.equal(14);
@@ -126,7 +126,7 @@
     return position;
   };
 
-  it('goes on with another run at the very next event only', () => {
+  it('continues with another run only at the next event', () => {
     expect(positionAfter('1', '2').accept(event('3'))).to.equal('follows');
     expect(positionAfter('1').accept(event('2'))).to.equal('follows');
     expect(positionAfter('1', '2').accept(event('1'))).to.equal('begins_anew');
@@ -141,13 +141,13 @@
     expect(positionAfter().accept(event('1'))).to.equal('follows');
   });
 
-  it('takes the event that a client has of an earlier answer for the last one', () => {
+  it('starts after the event that the client has from an earlier answer', () => {
     expect(new StreamPosition('12').accept(event('13'))).to.equal('follows');
     expect(new StreamPosition('12').accept(event('1'))).to.equal('begins_anew');
     expect(new StreamPosition('opaque').accept(event('next'))).to.equal('follows');
   });
 
-  it('knows ids that do not rise, and streams that no other run can be told to go on with', () => {
+  it('detects ids that do not increase, and streams that cannot be resumed', () => {
     const position = new StreamPosition(undefined);
     for (const id of ['1', '2']) position.accept(event(id));
     expect(position.canResume).to.equal(true);
@@ -159,7 +159,7 @@
 });
 
 describe('BackendHealth', () => {
-  it('avoids what cannot be reached for a while, and longer each time', async () => {
+  it('avoids an unreachable back end for a time that grows with each failure', async () => {
     const { world, process } = simulatedClock();
     const health = new BackendHealth(process);
     health.record('b', 'unreachable');
@@ -173,7 +173,7 @@
     expect(health.isAvoided('b')).to.equal(false);
   });
 
-  it('tells one that fails from a service that fails', () => {
+  it('detects a failing back end as outlier, unless all of them fail', () => {
     const health = new BackendHealth(simulatedClock().process);
     const ids = ['b1', 'b2', 'b3'];
     for (let count = 0; count < 8; count += 1) health.record('b1', 'failed_answer');
@@ -182,7 +182,7 @@
     expect(health.isOutlier('b1', ids)).to.equal(false);
   });
 
-  it('measures slowness against the service', () => {
+  it('measures slowness relative to the service', () => {
     const health = new BackendHealth(simulatedClock().process);
     for (let count = 0; count < 40; count += 1) {
       health.record('slow', 'good', 5);
--- a/packages/forwarding/test/property-parameters.ts
+++ b/packages/forwarding/test/property-parameters.ts
@@ -1,20 +1,20 @@
-/** Seed and number of runs of property tests: fixed, so that a run says the same each time, unless the environment says otherwise. */
+/** Seed and number of runs of property tests: fixed for reproducible results, unless set in the environment. */
 
 const DEFAULT_RUNS = 500;
 const DEFAULT_SEED = 1;
-/** Running a property and making its counterexample smaller take so long at most, in milliseconds. */
+/** Time limit for running a property and shrinking its counterexample, in milliseconds. */
 const PROPERTY_TIME_LIMIT_MS = 40_000;
-/** Time-out of a test that runs a property, in milliseconds. */
+/** Timeout of a test that runs a property, in milliseconds. */
 export const PROPERTY_TIMEOUT_MS = 60_000;
 
-/** Parameters of one run of a property. */
+/** Parameters for `fc.assert`. */
 export interface PropertyParameters {
   readonly seed: number;
   readonly numRuns: number;
-  /** Place of one counterexample below the seed, as a failure prints it. */
+  /** Path of one counterexample, as printed by a failure. */
   readonly path?: string;
   readonly interruptAfterTimeLimit: number;
-  /** A time-out of the property itself is no pass. */
+  /** Whether reaching the time limit fails the test. */
   readonly markInterruptAsFailure: boolean;
 }
 
--- a/packages/forwarding/test/send-permits.test.ts
+++ b/packages/forwarding/test/send-permits.test.ts
@@ -7,7 +7,7 @@
 const fail: BackendScript = () => Promise.resolve(answer(500, 'failed'));
 const WAIT_MS = 300;
 
-/** Permits for some back ends, a number of each; all others need none. */
+/** Grants a limited number of permits for some back ends, and unlimited ones for all others. */
 class CountedPermits implements SendPermits {
   readonly requested: string[] = [];
   readonly refunded: string[] = [];
@@ -35,7 +35,7 @@
   }
 }
 
-describe('permits to send', () => {
+describe('SendPermits', () => {
   const worldWith = (
     left: Readonly<Record<string, number>>,
     ...options: ConstructorParameters<typeof ForwardingWorld>
@@ -46,7 +46,7 @@
     return { world, permits };
   };
 
-  it('are asked for each send, repeats included, and none is sent without', async () => {
+  it('are acquired for each send, including retries', async () => {
     const { world, permits } = worldWith({}, [{ kind: 'repeatable', maximumAttempts: 3 }]);
     for (const id of ['b1', 'b2', 'b3']) world.add(id, fail);
     await world.ask();
@@ -54,7 +54,7 @@
     expect(permits.requested).to.have.length(3);
   });
 
-  it('send what a back end does not take to others first', async () => {
+  it('direct requests to other back ends when one grants no more', async () => {
     const { world } = worldWith({ b1: 1 }, [{ kind: 'once' }]);
     world.add('b1', serve);
     world.add('b2', serve);
@@ -62,7 +62,7 @@
     expect(world.calls.filter(({ address }) => address === 'b1')).to.have.length(1);
   });
 
-  it('refuse at once what nobody takes, with when the first takes more', async () => {
+  it('lead to an immediate refusal with the shortest wait when no back end grants one', async () => {
     const { world } = worldWith({ b1: 0, b2: 0 }, [{ kind: 'once' }]);
     world.add('b1', serve);
     world.add('b2', serve);
@@ -75,7 +75,7 @@
     expect(world.calls).to.have.length(0);
   });
 
-  it('are asked for a stream that is taken up', async () => {
+  it('are acquired for a resumed stream', async () => {
     const { world, permits } = worldWith({ b1: 1, b2: 1 }, [{ kind: 'resumable_stream' }], ENGINE);
     const script: BackendScript = (call) =>
       Promise.resolve(
@@ -89,7 +89,7 @@
     expect([...permits.requested].sort()).to.deep.equal(['b1', 'b2']);
   });
 
-  it('have a model made resident elsewhere where those that hold it take nothing more', async () => {
+  it('cause a load on another worker when the holders grant no more', async () => {
     const { world } = worldWith({ b1: 0 }, [{ kind: 'stream' }], ENGINE);
     world.add('b1', serve, ['m']);
     world.add('b2', () => Promise.resolve(answer(200, 'data: a\n\n')), []);
@@ -101,7 +101,7 @@
     expect(world.demands.map(({ without }) => without)).to.deep.equal([['b1']]);
   });
 
-  it('are asked for after a wait for a load, whose worker may take nothing more by then', async () => {
+  it('are acquired after waiting for a load, when the worker may grant no more', async () => {
     const { world } = worldWith({ b1: 0 }, [{ kind: 'stream' }], ENGINE);
     world.add('b1', serve);
     world.residency = async ({ without }) => {
@@ -116,7 +116,7 @@
     expect(world.calls).to.have.length(0);
   });
 
-  it('are given back where the request did not reach the back end', async () => {
+  it('are returned when the request did not reach the back end', async () => {
     const { world, permits } = worldWith({}, [{ kind: 'once' }]);
     world.add('b1', serve);
     world.scripts.delete('b1');
@@ -124,7 +124,7 @@
     expect(permits.refunded).to.deep.equal(['b1']);
   });
 
-  it('are not used for a request whose time has run out meanwhile', async () => {
+  it('are returned when they arrive after the deadline of the request', async () => {
     const { world, permits } = worldWith({}, [{ kind: 'once', timeoutMs: 400 }]);
     world.add('b1', serve);
     world.permits = {
@@ -143,10 +143,9 @@
   });
 
   /**
-   * A request chose the only holder of its model, waited seconds for another replica, and went to its first choice, which had begun to leave
-   * meanwhile: its choice was never looked at again.
+   * Guards against sending to a back end that started draining, or disappeared, while the request waited for its permit.
    */
-  it('are not used for a back end that has begun to leave, or is gone, since it was chosen', async () => {
+  it('are not used for a back end that started draining or disappeared after it was chosen', async () => {
     for (const isGone of [false, true]) {
       const { world } = worldWith({}, [{ kind: 'stream' }], ENGINE);
       const holder = world.add('b1', serve, ['m']);
--- a/packages/forwarding/test/simulated-exchange.ts
+++ b/packages/forwarding/test/simulated-exchange.ts
@@ -1,4 +1,4 @@
-/** Exchanges, back ends and a dialect in memory, for tests of forwarding on virtual time. */
+/** In-memory exchanges, back ends and dialect for forwarding tests in virtual time. */
 import {
   BackendDirectory,
   LoadBook,
@@ -52,21 +52,21 @@
   type WireDialect,
 } from '../src/index.js';
 
-/** Virtual time after which a request that has not ended never will, in milliseconds. */
+/** Virtual time after which an unfinished request fails the test, in milliseconds. */
 const MAX_REQUEST_MS = 60_000;
 
-/** What a back end does with a request. */
+/** Answers the requests to one back end. */
 export type BackendScript = (call: BackendCall, world: ForwardingWorld) => Promise<BackendAnswer>;
 
-/** How a client behaves while it is answered. */
+/** Behaviour of a client while it receives an answer. */
 export interface ClientBehaviour {
-  /** It leaves after so many milliseconds; it stays when absent. */
+  /** Milliseconds after which the client disconnects; it stays connected when absent. */
   readonly leavesAfterMs?: number | undefined;
-  /** Resolves once the client has taken a piece of a stream. */
+  /** Resolves once the client has read a chunk of a stream. */
   readonly drain?: () => Promise<void>;
 }
 
-/** An exchange that keeps what it was answered with. */
+/** Exchange that records its answer. */
 export class SimulatedExchange implements IncomingExchange {
   readonly method = 'POST';
   readonly rawHeaders: string[];
@@ -74,9 +74,8 @@
   status = 0;
   answerHeaders: readonly string[] = [];
   body = '';
-  /** How it ended. */
   ending: 'open' | 'complete' | 'aborted' = 'open';
-  /** What was written beside the one answer, while the client was there: a second head, or bytes after the end. */
+  /** Writes that violate the protocol while the client is connected: a second head, or data after the end. */
   readonly unexpectedWrites: string[] = [];
 
   constructor(
@@ -123,7 +122,7 @@
     if (this.ending === 'open') this.ending = 'aborted';
   }
 
-  /** The client goes; what is written from now on does not reach it. */
+  /** Disconnects the client; later writes are ignored. */
   leave(): void {
     this.abort();
     this.controller.abort();
@@ -169,7 +168,7 @@
   readNotice: () => EMPTY_NOTICE,
 };
 
-/** A forwarder on virtual time. */
+/** Forwarder with scripted back ends in virtual time. */
 export class ForwardingWorld {
   readonly world = new SimulatedWorld();
   readonly process = new SimulatedProcess(this.world, { name: 'd', zone: 'a', region: 'r' });
@@ -178,7 +177,7 @@
   readonly stop = new AbortController();
   readonly calls: BackendCall[] = [];
   readonly demands: ResidencyDemand[] = [];
-  /** Causes of refusals, as journaled. */
+  /** Causes of refusals from the journal. */
   readonly refusals: string[] = [];
   /** Answers demands; refuses them at once by default. */
   residency: (demand: ResidencyDemand) => Promise<ResidencyOutcome> = () =>
@@ -186,15 +185,15 @@
   readonly forwarder: Forwarder;
   private readonly configuration = new ConfigurationHolder();
   readonly scripts = new Map<string, BackendScript>();
-  /** What a back end says when it is asked whether it runs. */
+  /** Result of probing whether the process of a back end runs. */
   probe: (backEnd: BackEnd) => ProcessAnswer = () => 'running';
-  /** Records that the quarantine has written. */
+  /** Verdicts that the quarantine has stored. */
   readonly quarantineRecords: QuarantineRecord[] = [];
   readonly quarantine: RequestQuarantine;
   private readonly health = new Map<string, BackendHealth>();
-  /** Hands out permits to send; for all that is asked for by default. */
+  /** Grants permits to send; grants all by default. */
   permits: SendPermits = { waitMs: () => 0, acquire: () => Promise.resolve(FREE_PERMIT) };
-  /** Answers wishes of tenants; grants them all by default. */
+  /** Answers quota requests of tenants; grants all by default. */
   quota: RequestQuota['acquire'] = () =>
     Promise.resolve({ kind: 'granted', ticket: { isValid: () => true, giveBack: () => undefined } });
 
@@ -252,7 +251,7 @@
     return backEnd;
   }
 
-  /** Sends a request and resolves once it has been answered or ended. @throws Error when that never happens. */
+  /** Sends a request and resolves once it has ended. @throws Error if it does not end within the maximum time. */
   async ask(
     headers: Record<string, string> = {},
     target = '/r0/',
@@ -273,7 +272,7 @@
     return exchange;
   }
 
-  /** Resolves after virtual time. */
+  /** Resolves after a duration in virtual time. */
   wait(durationMs: number): Promise<void> {
     return new Promise((resolve) => {
       this.process.schedule(durationMs, resolve);
@@ -378,7 +377,7 @@
   });
 }
 
-/** An answer whose body stops without an end. */
+/** Builds an answer whose body stalls after the text. */
 export function stalled(status: number, text: string): BackendAnswer {
   async function* body(): AsyncGenerator<Uint8Array> {
     yield encodeText(text);
@@ -387,12 +386,12 @@
   return { ...answer(status), body: body() };
 }
 
-/** An answer that has no length: its body ends with its connection. */
+/** Builds an answer without a length, whose body ends with its connection. */
 export function unframed(status: number, ...pieces: string[]): BackendAnswer {
   return { ...answer(status, ...pieces), endsWithConnection: true };
 }
 
-/** An answer with the given pieces; a piece that is an error breaks it off. One that begins with an event is a stream. */
+/** Builds an answer from chunks; an error breaks the body, and a first chunk that is an event makes it a stream. */
 export function answer(status: number, ...pieces: (string | Error)[]): BackendAnswer {
   async function* body(): AsyncGenerator<Uint8Array> {
     for (const piece of pieces) {
--- a/packages/forwarding/test/stream-order.property.test.ts
+++ b/packages/forwarding/test/stream-order.property.test.ts
@@ -6,18 +6,18 @@
 import { PROPERTY_TIMEOUT_MS, propertyParameters } from './property-parameters.js';
 import { ForwardingWorld } from './simulated-exchange.js';
 
-/** One request, the back ends it meets, and its client. */
+/** One request, its back ends and its client. */
 interface Scenario {
   readonly kind: RequestKind;
   readonly events: number;
-  /** The event that the client already has, modulo the number of events; 0 when none. */
+  /** Last event that the client already has, modulo the number of events; 0 if none. */
   readonly resumeAfter: number;
   readonly backEnds: number;
   readonly maximumAttempts: number;
   readonly timeoutMs: number;
   readonly plans: readonly RunPlan[];
   readonly leavesAfterMs: number | undefined;
-  /** Time that the client takes for each piece, in milliseconds. */
+  /** Time that the client needs to read each chunk, in milliseconds. */
   readonly drainMs: number;
 }
 
@@ -55,8 +55,8 @@
   return { kind, events, resumeAfter, maximumAttempts, exchange, runs, ranOn };
 }
 
-describe('order of streams', () => {
-  it('gives the client whole events in order, each once, and a complete answer only when it is whole', async () => {
+describe('Forwarder with arbitrary back ends', () => {
+  it('delivers each event once and in order, and completes an answer only if it has all data', async () => {
     const property = fc.asyncProperty(scenarios, async (situation) => {
       const played = await runScenario(situation);
       const fault = findAnswerFault(played);
--- a/packages/forwarding/test/stream-resume.test.ts
+++ b/packages/forwarding/test/stream-resume.test.ts
@@ -1,16 +1,6 @@
 /*
- * What users saw: a stream of events answered with 200, shorter than its worker had made it, ended as complete.
- *
- * Order of events: a worker begins the stream and breaks off after some events; the daemon sends the request on, naming the last
- * event that its client has; the second worker answers 500; the daemon writes the text of that failure into the stream that
- * the client is reading, and ends it.
- *
- * Cause: whether a client's answer had begun, and what might still follow in it, was decided anew by each branch that wrote to it.
- * The branch for answers that are no success never asked.
- *
- * Evidence: on a deployment of 8 daemons where three in ten answers broke off and two in five requests failed, 10 of the streams ended so
- * within 30 s; the daemon's log of each tells of two sends, the first broken, the second answered with 500, and what workers saw shows
- * the client's short answer. The cases after the first were found by reading the code with that cause in mind.
+ * Guards against error texts, or events of a wrong run, being written into an answer that has begun, and against incomplete
+ * answers that end as complete.
  */
 import { expect } from 'chai';
 import { ENGINE } from './engines.js';
@@ -26,7 +16,7 @@
 const CUT = new Error('cut');
 const FIRST_EVENTS = 'id: 1\ndata: a\n\nid: 2\ndata: b\n\n';
 
-/** Asks for a stream that may be taken up, of which the first run breaks off after two events. */
+/** Requests a resumable stream whose first run breaks after two events. */
 async function resumeWith(...runs: readonly BackendScript[]): Promise<{
   readonly body: string;
   readonly ending: string;
@@ -40,8 +30,8 @@
   return { body, ending, sends: world.calls.length };
 }
 
-describe('A stream that is taken up', () => {
-  it('does not end with what a back end answers that fails', async () => {
+describe('A resumed stream', () => {
+  it('does not contain the failure of another back end', async () => {
     const goesOn: BackendScript = () => Promise.resolve(answer(200, 'id: 3\ndata: c\n\n'));
     for (const status of [500, 404]) {
       const fails: BackendScript = () => Promise.resolve(answer(status, 'no such thing'));
@@ -52,17 +42,17 @@
     }
   });
 
-  it('does not go on with a run that begins anew', async () => {
+  it('is not continued by a run that starts from the beginning', async () => {
     const anew: BackendScript = () => Promise.resolve(answer(200, `${FIRST_EVENTS}id: 3\ndata: c\n\n`));
     expect(await resumeWith(anew, anew, anew)).to.include({ body: FIRST_EVENTS, ending: 'aborted' });
   });
 
-  it('does not go on with a run that leaves an event out', async () => {
+  it('is not continued by a run that omits an event', async () => {
     const skips: BackendScript = () => Promise.resolve(answer(200, 'id: 4\ndata: d\n\n'));
     expect(await resumeWith(skips, skips, skips)).to.include({ body: FIRST_EVENTS, ending: 'aborted' });
   });
 
-  it('does not go on with a success that is no stream', async () => {
+  it('is not continued by a success that is not a stream', async () => {
     const page: BackendScript = () => Promise.resolve(answer(200, 'welcome'));
     const empty: BackendScript = () => Promise.resolve(answer(200));
     for (const script of [page, empty]) {
@@ -71,7 +61,7 @@
     }
   });
 
-  it('does not end as complete inside an event', async () => {
+  it('is resumed again when a run ends inside an event', async () => {
     const torn: BackendScript = () => Promise.resolve(answer(200, 'id: 3\ndata: c\n\nid: 4\nda'));
     const rest: BackendScript = () => Promise.resolve(answer(200, 'id: 4\ndata: d\n\n'));
     const { body, ending } = await resumeWith(torn, rest);
@@ -79,7 +69,7 @@
     expect(ending).to.equal('complete');
   });
 
-  it('is complete when the run that took it up has nothing to add, unless an event was known to follow', async () => {
+  it('completes when the resumed run has no more events, unless another event must follow', async () => {
     const nothing: BackendScript = () => {
       const headers = { 'content-type': 'text/event-stream' };
       return Promise.resolve({ ...answer(200), headers });
@@ -96,7 +86,7 @@
     expect(await world.ask({ model: 'm' })).to.include({ body: FIRST_EVENTS, ending: 'complete' });
   });
 
-  it('is not joined from two runs where its events have no ids', async () => {
+  it('is not joined from two runs when its events have no ids', async () => {
     const world = new ForwardingWorld([{ kind: 'resumable_stream' }], ENGINE);
     const breaks: BackendScript = () => Promise.resolve(answer(200, 'data: a\n\n', CUT));
     for (const id of ['b1', 'b2']) world.add(id, breaks, ['m']);
@@ -104,7 +94,7 @@
     expect(world.calls).to.have.length(1);
   });
 
-  it('by its client, at another daemon, goes on after the event that the client has', async () => {
+  it('continues after the event that the client names', async () => {
     const world = new ForwardingWorld([{ kind: 'resumable_stream' }], ENGINE);
     const runs = [answer(200, FIRST_EVENTS), answer(200, 'id: 2\ndata: b\n\n')];
     const next: BackendScript = () => Promise.resolve(runs.shift() ?? answer(500));
@@ -114,7 +104,7 @@
     expect(world.calls).to.have.length(2);
   });
 
-  it('by its client is not answered with a success that is no stream', async () => {
+  it('is not answered with a success that is not a stream when its client resumes it', async () => {
     const world = new ForwardingWorld([{ kind: 'resumable_stream' }], ENGINE);
     const runs = [answer(200), answer(200, 'id: 2\ndata: b\n\n')];
     for (const id of ['b1', 'b2']) world.add(id, () => Promise.resolve(runs.shift() ?? answer(500)), ['m']);
@@ -122,7 +112,7 @@
     expect(exchange).to.include({ body: 'id: 2\ndata: b\n\n', ending: 'complete' });
   });
 
-  it('is asked for more where a process that was leaving ended with a body without a length', async () => {
+  it('is resumed when a draining process exits after a body without a length', async () => {
     const world = new ForwardingWorld([{ kind: 'resumable_stream' }], ENGINE);
     const ended = new Set<string>();
     world.probe = ({ id }) => (ended.has(id) ? 'refused' : 'running');
@@ -140,14 +130,14 @@
 });
 
 describe('An answer that has begun', () => {
-  it('does not end as complete inside an event where the stream may run only once', async () => {
+  it('is aborted when a stream that may run only once ends inside an event', async () => {
     const world = new ForwardingWorld([{ kind: 'stream' }], ENGINE);
     world.add('b1', () => Promise.resolve(answer(200, 'id: 1\ndata: a\n\nid: 2\nda')), ['m']);
     const exchange = await world.ask({ model: 'm' });
     expect(exchange).to.include({ body: 'id: 1\ndata: a\n\n', ending: 'aborted' });
   });
 
-  it('is not followed by the bytes of another run, though it may run again', async () => {
+  it('is not continued by another run of a repeatable request', async () => {
     const world = new ForwardingWorld([{ kind: 'repeatable' }]);
     const large = 'x'.repeat(70_000);
     const runs = [answer(200, large, CUT), answer(200, large)];
@@ -158,14 +148,14 @@
     expect(world.calls).to.have.length(1);
   });
 
-  it('passes a stream that may run only once as its worker sent it, comments at its end included', async () => {
+  it('contains a stream that may run only once unchanged, including trailing comments', async () => {
     const text = 'id: 7\ndata: a\n\nid: 7\ndata: b\n\nid: 3\ndata: c\n\n';
     const world = new ForwardingWorld([{ kind: 'stream' }], ENGINE);
     world.add('b1', () => Promise.resolve(answer(200, text, ': end\n')), ['m']);
     expect(await world.ask({ model: 'm' })).to.include({ body: `${text}: end\n`, ending: 'complete' });
   });
 
-  it('ends at the time-out of its route though its client does not read', async () => {
+  it('ends at the timeout of its route when the client does not read', async () => {
     const world = new ForwardingWorld([{ kind: 'stream', timeoutMs: 400 }], ENGINE);
     world.add('b1', () => Promise.resolve(answer(200, FIRST_EVENTS)), ['m']);
     const exchange = new SimulatedExchange('/r0/', { host: 'host', id: 'x', model: 'm' });
@@ -178,7 +168,7 @@
     expect(world.world.now).to.be.within(399, 420);
   });
 
-  it('does not stay open where giving it fails', async () => {
+  it('is aborted when writing it fails', async () => {
     const world = new ForwardingWorld([{}]);
     world.add('b1', () => Promise.resolve(answer(200, 'served')));
     const exchange = new SimulatedExchange('/r0/', { host: 'host', id: 'x' });
@@ -189,7 +179,7 @@
     expect(exchange.ending).to.equal('aborted');
   });
 
-  it('lets nothing be written by way of a state that it has left', async () => {
+  it('rejects writes through an outdated state', async () => {
     const exchange = new SimulatedExchange('/r0/', {});
     const client = new ClientAnswer(exchange);
     const unbegun = client.state as PendingAnswer;
@@ -204,7 +194,7 @@
     await Promise.resolve();
   });
 
-  it('may be given by another back end while no event has come', async () => {
+  it('can come from another back end while no event has arrived', async () => {
     const world = new ForwardingWorld([{ kind: 'resumable_stream' }], ENGINE);
     const runs = [answer(200, 'id: 1\nda', CUT), answer(200, FIRST_EVENTS)];
     for (const id of ['b1', 'b2']) world.add(id, () => Promise.resolve(runs.shift() ?? answer(500)), ['m']);
@@ -215,7 +205,7 @@
 describe('An answer that ends with its connection', () => {
   const REST = 'id: 3\ndata: c\n\n';
 
-  /** Two back ends, of which the first answers without a length; after that answer it is as the probe says. */
+  /** Builds two back ends; the first answers without a length, and its process then has the given state. */
   function worldOf(
     kind: 'repeatable' | 'resumable_stream' | 'stream',
     processState: 'running' | 'refused',
@@ -235,7 +225,7 @@
     return world;
   }
 
-  it('is whole while its process runs', async () => {
+  it('is complete while its process runs', async () => {
     const plain = await worldOf('repeatable', 'running').ask();
     expect(plain).to.include({ body: 'half of it', ending: 'complete' });
     for (const kind of ['resumable_stream', 'stream'] as const) {
@@ -244,7 +234,7 @@
     }
   });
 
-  it('has broken off where its process has ended with it', async () => {
+  it('is incomplete when its process has exited', async () => {
     expect(await worldOf('repeatable', 'refused').ask()).to.include({ body: 'whole', ending: 'complete' });
     const resumed = await worldOf('resumable_stream', 'refused').ask({ model: 'm' });
     expect(resumed).to.include({ body: `${FIRST_EVENTS}${REST}`, ending: 'complete' });
@@ -252,7 +242,7 @@
     expect(once).to.include({ body: FIRST_EVENTS, ending: 'aborted' });
   });
 
-  it('is whole where its process was leaving, and may end after its last answer', async () => {
+  it('is complete when its process was draining and may exit after its last answer', async () => {
     const world = new ForwardingWorld([{ kind: 'stream' }], ENGINE);
     world.probe = () => 'refused';
     const worker = world.add(
@@ -267,7 +257,7 @@
     expect(exchange).to.include({ body: FIRST_EVENTS, ending: 'complete' });
   });
 
-  it('has broken off where its process has ended, also once its record is gone', async () => {
+  it('is incomplete when its process has exited and its record is gone', async () => {
     const world = new ForwardingWorld([{ kind: 'stream' }], ENGINE);
     world.probe = () => 'refused';
     const script: BackendScript = () => {
@@ -278,14 +268,14 @@
     expect(await world.ask({ model: 'm' })).to.include({ body: FIRST_EVENTS, ending: 'aborted' });
   });
 
-  it('is whole where its process does not answer: only one that has ended proves otherwise', async () => {
+  it('is complete when its process does not respond to the probe', async () => {
     const world = new ForwardingWorld([{ kind: 'once' }]);
     world.probe = () => 'unknown';
     world.add('b1', () => Promise.resolve(unframed(200, 'done')));
     expect(await world.ask()).to.include({ status: 200, body: 'done' });
   });
 
-  it('is not waited for beyond the time-out of its route', async () => {
+  it('ends at the timeout of its route when the probe has no result', async () => {
     const world = new ForwardingWorld([{ kind: 'once', timeoutMs: 200 }]);
     world.probe = () => 'unknown';
     world.add('b1', () => Promise.resolve(unframed(200, 'done')));
