--- a/packages/forwarding/test/arbitrary-workers.ts
+++ b/packages/forwarding/test/arbitrary-workers.ts
@@ -216,7 +216,7 @@
 function failWithoutAnswer(kind: NoAnswer): Promise<BackendAnswer> {
   switch (kind) {
     case 'unreachable':
-      return Promise.reject(new HttpNotSentError('nobody'));
+      return Promise.reject(new HttpNotSentError('no such back end'));
     case 'declined':
       return Promise.resolve(toAnswer(503, [], Readable.from([])));
     case 'reset':
--- a/packages/forwarding/test/backend-notices.test.ts
+++ b/packages/forwarding/test/backend-notices.test.ts
@@ -20,24 +20,24 @@
     world = new SimulatedWorld();
     clock = new SimulatedProcess(world, { name: 'd', zone: 'a', region: 'r' });
     logged = [];
-    const tell = (event: LogEventName): void => void logged.push(event);
-    notices = new BackendNotices(clock, { ...silentLog, changed: tell, warned: tell });
+    const logEvent = (event: LogEventName): void => void logged.push(event);
+    notices = new BackendNotices(clock, { ...silentLog, changed: logEvent, warned: logEvent });
   });
 
-  const hear = (requestsPerSecond: NoticeField<number>, sentAt = clock.monotonic()): void => {
+  const receive = (requestsPerSecond: NoticeField<number>, sentAt = clock.monotonic()): void => {
     notices.hear('b1', { ...EMPTY_NOTICE, requestsPerSecond }, sentAt);
   };
   const limit = (): number | undefined => notices.requestsPerSecond('b1');
 
   it('keeps a rate limit until an answer without one arrives, and logs each change once', () => {
-    hear(NONE);
+    receive(NONE);
     expect(limit()).to.equal(undefined);
-    hear(limitOf(2));
-    hear(limitOf(2));
+    receive(limitOf(2));
+    receive(limitOf(2));
     expect(limit()).to.equal(2);
-    hear(limitOf(0.5));
+    receive(limitOf(0.5));
     expect(limit()).to.equal(0.5);
-    hear(NONE);
+    receive(NONE);
     expect(limit()).to.equal(undefined);
     expect(logged).to.deep.equal(['back_end_limited', 'back_end_limited', 'back_end_unlimited']);
     expect(notices.totals).to.include({ limited: 0, limitsHeard: 3, malformed: 0 });
@@ -46,22 +46,22 @@
   it('keeps a rate limit when an answer to an earlier request has none', async () => {
     const sentBefore = clock.monotonic();
     await world.run(100);
-    hear(limitOf(1));
-    hear(NONE, sentBefore);
+    receive(limitOf(1));
+    receive(NONE, sentBefore);
     expect(limit()).to.equal(1);
   });
 
   it('ignores malformed fields, counts each, and logs them once', () => {
-    hear(limitOf(1));
-    hear(malformed);
-    hear(malformed);
+    receive(limitOf(1));
+    receive(malformed);
+    receive(malformed);
     expect(limit()).to.equal(1);
     expect(logged).to.deep.equal(['back_end_limited', 'notice_malformed']);
     expect(notices.totals.malformed).to.equal(2);
   });
 
   it('raises a limit of zero to the minimum rate, so that answers can lift it', () => {
-    hear(limitOf(0));
+    receive(limitOf(0));
     expect(limit()).to.equal(0.25);
   });
 
@@ -71,7 +71,7 @@
     notices.hearFromPeer('b1', { requestsPerSecond: 3, heardAt: clock.monotonic() });
     expect(limit()).to.equal(3);
     await world.run(100);
-    hear(limitOf(1));
+    receive(limitOf(1));
     notices.hearFromPeer('b1', { requestsPerSecond: 3, heardAt: 50 });
     expect(limit(), 'older').to.equal(1);
     await world.run(200);
@@ -82,21 +82,21 @@
   });
 
   it('reports changes from answers to other daemons, and adjusted limits at most once per second', async () => {
-    const news: (number | undefined)[] = [];
-    notices.onNews = (_backEndId, heard) => void news.push(heard.requestsPerSecond);
-    hear(limitOf(1));
-    hear(limitOf(2));
-    hear(NONE);
+    const reports: (number | undefined)[] = [];
+    notices.onNews = (_backEndId, heard) => void reports.push(heard.requestsPerSecond);
+    receive(limitOf(1));
+    receive(limitOf(2));
+    receive(NONE);
     notices.hearFromPeer('b1', { requestsPerSecond: 5, heardAt: clock.monotonic() + 1 });
-    hear(limitOf(5));
-    expect(news).to.deep.equal([1, undefined]);
+    receive(limitOf(5));
+    expect(reports).to.deep.equal([1, undefined]);
     await world.run(1000);
-    hear(limitOf(3));
-    expect(news).to.deep.equal([1, undefined, 3]);
+    receive(limitOf(3));
+    expect(reports).to.deep.equal([1, undefined, 3]);
   });
 
   it('keeps limits per back end, and removes them with the incarnation', () => {
-    hear(limitOf(1));
+    receive(limitOf(1));
     expect(notices.requestsPerSecond('b2')).to.equal(undefined);
     notices.forget('b1');
     expect(limit()).to.equal(undefined);
--- a/packages/forwarding/test/forwarder.test.ts
+++ b/packages/forwarding/test/forwarder.test.ts
@@ -5,7 +5,7 @@
 const serve: BackendScript = () => Promise.resolve(answer(200, 'served'));
 const reset: BackendScript = () => Promise.reject(new Error('reset'));
 const decline: BackendScript = () => Promise.resolve(answer(503));
-const silent: BackendScript = () => new Promise(() => undefined);
+const hang: BackendScript = () => new Promise(() => undefined);
 const CUT = new Error('cut');
 
 describe('Forwarder', () => {
@@ -20,7 +20,7 @@
   });
 
   it('does not resend a request that must run once after it may have run', async () => {
-    for (const script of [reset, silent]) {
+    for (const script of [reset, hang]) {
       const world = new ForwardingWorld([{ kind: 'once' }, { kind: 'stream' }]);
       world.add('b1', script);
       world.add('b2', script);
@@ -49,7 +49,7 @@
 
   it('forwards the remaining time, and answers at the timeout of the route', async () => {
     const world = new ForwardingWorld([{ kind: 'once', timeoutMs: 500 }]);
-    world.add('b1', silent);
+    world.add('b1', hang);
     const exchange = await world.ask({ wait: '900' });
     expect(exchange.status).to.equal(504);
     expect(world.world.now).to.be.within(499, 520);
@@ -77,7 +77,7 @@
 
   it('limits concurrent requests to a back end to its share of the connections', async () => {
     const world = new ForwardingWorld([{ kind: 'once', timeoutMs: 500 }], undefined, 10);
-    world.add('b1', silent);
+    world.add('b1', hang);
     const asked = Array.from({ length: 8 }, (_, index) => world.ask({ id: String(index) }));
     const statuses = (await Promise.all(asked)).map((exchange) => exchange.status);
     expect(world.calls).to.have.length(4);
@@ -86,7 +86,7 @@
 
   it('refuses with connections_exhausted when an available worker holds the model', async () => {
     const world = new ForwardingWorld([{ kind: 'stream', timeoutMs: 500 }], ENGINE, 10);
-    world.add('b1', silent, ['m']);
+    world.add('b1', hang, ['m']);
     world.residency = () => Promise.resolve({ held: true, backEndId: 'b1' });
     const asked = Array.from({ length: 8 }, (_, index) => world.ask({ id: String(index), model: 'm' }));
     await Promise.all(asked);
@@ -186,10 +186,10 @@
       return Promise.resolve({ ...whole, body: body() });
     };
     const route = { kind: 'resumable_stream', targetGapMs: 150, clientGapMs: 2000 } as const;
-    const lone = new ForwardingWorld([route], ENGINE);
-    lone.add('b1', slow, ['m']);
-    expect(await lone.ask({ model: 'm' })).to.include({ body: events.join(''), ending: 'complete' });
-    expect(lone.calls).to.have.length(1);
+    const single = new ForwardingWorld([route], ENGINE);
+    single.add('b1', slow, ['m']);
+    expect(await single.ask({ model: 'm' })).to.include({ body: events.join(''), ending: 'complete' });
+    expect(single.calls).to.have.length(1);
     const two = new ForwardingWorld([route], ENGINE);
     for (const id of ['b1', 'b2']) two.add(id, slow, ['m']);
     await two.ask({ model: 'm' });
--- a/packages/forwarding/test/simulated-exchange.ts
+++ b/packages/forwarding/test/simulated-exchange.ts
@@ -287,7 +287,7 @@
         this.calls.push(call);
         const script = this.scripts.get(call.address);
         return script === undefined
-          ? Promise.reject(new HttpNotSentError('nobody'))
+          ? Promise.reject(new HttpNotSentError('no such back end'))
           : abortable(script(call, this), call);
       },
     };
@@ -335,9 +335,9 @@
       },
       stopWaiting: this.stop.signal,
       healthOf: (name) => {
-        const known = this.health.get(name) ?? new BackendHealth(this.process);
-        this.health.set(name, known);
-        return known;
+        const health = this.health.get(name) ?? new BackendHealth(this.process);
+        this.health.set(name, health);
+        return health;
       },
     };
   }
--- a/packages/forwarding/test/stream-resume.test.ts
+++ b/packages/forwarding/test/stream-resume.test.ts
@@ -32,19 +32,22 @@
 
 describe('A resumed stream', () => {
   it('does not contain the failure of another back end', async () => {
-    const goesOn: BackendScript = () => Promise.resolve(answer(200, 'id: 3\ndata: c\n\n'));
+    const resumes: BackendScript = () => Promise.resolve(answer(200, 'id: 3\ndata: c\n\n'));
     for (const status of [500, 404]) {
       const fails: BackendScript = () => Promise.resolve(answer(status, 'no such thing'));
       const whole = `${FIRST_EVENTS}id: 3\ndata: c\n\n`;
-      expect(await resumeWith(fails, goesOn)).to.deep.equal({ body: whole, ending: 'complete', sends: 3 });
+      expect(await resumeWith(fails, resumes)).to.deep.equal({ body: whole, ending: 'complete', sends: 3 });
       const alone = await resumeWith(fails, fails, fails);
       expect(alone).to.include({ body: FIRST_EVENTS, ending: 'aborted' });
     }
   });
 
   it('is not continued by a run that starts from the beginning', async () => {
-    const anew: BackendScript = () => Promise.resolve(answer(200, `${FIRST_EVENTS}id: 3\ndata: c\n\n`));
-    expect(await resumeWith(anew, anew, anew)).to.include({ body: FIRST_EVENTS, ending: 'aborted' });
+    const restarts: BackendScript = () => Promise.resolve(answer(200, `${FIRST_EVENTS}id: 3\ndata: c\n\n`));
+    expect(await resumeWith(restarts, restarts, restarts)).to.include({
+      body: FIRST_EVENTS,
+      ending: 'aborted',
+    });
   });
 
   it('is not continued by a run that omits an event', async () => {
@@ -53,34 +56,34 @@
   });
 
   it('is not continued by a success that is not a stream', async () => {
-    const page: BackendScript = () => Promise.resolve(answer(200, 'welcome'));
+    const plainText: BackendScript = () => Promise.resolve(answer(200, 'welcome'));
     const empty: BackendScript = () => Promise.resolve(answer(200));
-    for (const script of [page, empty]) {
+    for (const script of [plainText, empty]) {
       const taken = await resumeWith(script, script, script);
       expect(taken).to.include({ body: FIRST_EVENTS, ending: 'aborted' });
     }
   });
 
   it('is resumed again when a run ends inside an event', async () => {
-    const torn: BackendScript = () => Promise.resolve(answer(200, 'id: 3\ndata: c\n\nid: 4\nda'));
+    const incomplete: BackendScript = () => Promise.resolve(answer(200, 'id: 3\ndata: c\n\nid: 4\nda'));
     const rest: BackendScript = () => Promise.resolve(answer(200, 'id: 4\ndata: d\n\n'));
-    const { body, ending } = await resumeWith(torn, rest);
+    const { body, ending } = await resumeWith(incomplete, rest);
     expect(body).to.equal(`${FIRST_EVENTS}id: 3\ndata: c\n\nid: 4\ndata: d\n\n`);
     expect(ending).to.equal('complete');
   });
 
   it('completes when the resumed run has no more events, unless another event must follow', async () => {
-    const nothing: BackendScript = () => {
+    const endOnly: BackendScript = () => {
       const headers = { 'content-type': 'text/event-stream' };
       return Promise.resolve({ ...answer(200), headers });
     };
-    const torn = await resumeWith(nothing, nothing, nothing);
-    expect(torn).to.include({ body: FIRST_EVENTS, ending: 'aborted' });
+    const afterPartialEvent = await resumeWith(endOnly, endOnly, endOnly);
+    expect(afterPartialEvent).to.include({ body: FIRST_EVENTS, ending: 'aborted' });
     const world = new ForwardingWorld([{ kind: 'resumable_stream' }], ENGINE);
     const runs = [answer(200, FIRST_EVENTS, CUT)];
     const script: BackendScript = (call) => {
       const run = runs.shift();
-      return run === undefined ? nothing(call, world) : Promise.resolve(run);
+      return run === undefined ? endOnly(call, world) : Promise.resolve(run);
     };
     for (const id of ['b1', 'b2']) world.add(id, script, ['m']);
     expect(await world.ask({ model: 'm' })).to.include({ body: FIRST_EVENTS, ending: 'complete' });
