--- /dev/null
+++ b/packages/forwarding/src/answer-forwarder.ts
@@ -0,0 +1,222 @@
+/** Forwards a back end's answer to the client and records its outcome for health, quarantine and run times. */
+import type { BackEnd } from '@woodbarrow/backends';
+import type { BackendAnswer } from '@woodbarrow/runtime';
+import { ABORTED, raceAbort } from './race-abort.js';
+import {
+  AnswerRelay,
+  type BrokenResult,
+  type StreamRelayOptions,
+  type StreamRelayResult,
+} from './answer-relay.js';
+import type { EventStreamAnswer, PendingAnswer } from './client-answer.js';
+import type { StreamSummary } from './request-completion.js';
+import type { AttemptResult, RequestScope } from './request-scope.js';
+import type { RunTimeEstimate } from './run-time-estimate.js';
+import { isStream, mayRunAgain } from './route.js';
+import type { SendFailures } from './send-failures.js';
+import { StreamPosition } from './stream-position.js';
+
+/** A stream without data for this multiple of the target gap is resumed on another back end. */
+const STALL_GAP_MULTIPLE = 2.5;
+/** Share of the client's gap limit that a stream may stay without data while no other back end holds the model. */
+const SOLE_HOLDER_GAP_SHARE = 0.5;
+const EVENT_STREAM_TYPE = 'text/event-stream';
+
+/** An answer, its back end, and the time at which the request was sent. */
+export interface SentAnswer {
+  readonly answer: BackendAnswer;
+  readonly backEnd: BackEnd;
+  /** Monotonic time in milliseconds. */
+  readonly sentAt: number;
+}
+
+/** Why an answer cannot resume a stream. */
+type ResumeRefusal = 'failure' | 'not_a_stream' | Extract<StreamRelayResult, { kind: 'refused' }>['reason'];
+
+/** Forwards the answers to one request, which may come from several back ends. */
+export class AnswerForwarder {
+  private readonly relay: AnswerRelay;
+  /** Position of the client in a resumable stream; absent for other kinds of requests. */
+  private readonly position: StreamPosition | undefined;
+
+  constructor(
+    private readonly scope: RequestScope,
+    private readonly runTimeEstimate: RunTimeEstimate,
+    private readonly failures: SendFailures,
+  ) {
+    const { context, route, facts } = scope;
+    this.relay = new AnswerRelay(context.dialect, context.clock, scope.expired);
+    this.position = route.kind === 'resumable_stream' ? new StreamPosition(facts.resumeAfter) : undefined;
+  }
+
+  /** Forwards an answer as far as it continues what the client has received. */
+  async forward(sent: SentAnswer): Promise<AttemptResult> {
+    const { answer, progress, route } = this.scope;
+    progress.mayHaveRunOn.add(sent.backEnd.id);
+    const client = answer.state;
+    switch (client.kind) {
+      case 'not_begun':
+        if (isStream(route.kind) && isEventStream(sent.answer)) return this.forwardStream(client, sent);
+        if (this.position?.hasBegun === true && isSuccess(sent.answer)) return this.refuseNonStream(sent);
+        return this.forwardBody(client, sent);
+      case 'events':
+        return this.resumeStream(client, sent);
+      case 'bytes':
+      case 'ended':
+        sent.answer.discard();
+        return { kind: 'maybe_run' };
+    }
+  }
+
+  /**
+   * Continues a stream that has begun. Only another event stream may do so: the text of any other answer would become part of
+   * the client's stream and end it as complete.
+   */
+  private resumeStream(client: EventStreamAnswer, sent: SentAnswer): Promise<AttemptResult> {
+    const { backEnd, answer } = sent;
+    const afterEvent = client.lastEventId;
+    this.recordDecision('request_resumed', { backEnd: backEnd.id, afterEvent, status: answer.status });
+    return isEventStream(answer)
+      ? this.forwardStream(client, sent)
+      : Promise.resolve(this.refuseNonStream(sent));
+  }
+
+  /** Refuses an answer that is not an event stream as the continuation of a stream. */
+  private refuseNonStream(sent: SentAnswer): AttemptResult {
+    sent.answer.discard();
+    return this.recordRefused(sent, isSuccess(sent.answer) ? 'not_a_stream' : 'failure');
+  }
+
+  private async forwardBody(client: PendingAnswer, sent: SentAnswer): Promise<AttemptResult> {
+    const { context, route, progress, times, completion } = this.scope;
+    const { answer, backEnd, sentAt } = sent;
+    const latencyMs = context.clock.monotonic() - sentAt;
+    const idleTimeoutMs = this.failures.answerTimeoutMs(progress.mayHaveRunOn.size);
+    const isProcessAlive = (): Promise<boolean> => this.isProcessAlive(backEnd);
+    const result = await this.relay.relayBody(client, answer, idleTimeoutMs, isProcessAlive);
+    if (result.kind === 'broken') return this.recordBroken(sent, result);
+    context.quarantine.noteServed(this.scope.digest);
+    const failed = answer.status >= 500;
+    const latencyRatio = failed ? undefined : latencyMs / times.expectedMs();
+    this.failures.health().record(backEnd.id, failed ? 'failed_answer' : 'good', latencyRatio);
+    if (result.kind === 'held') {
+      if (failed && mayRunAgain(route.kind)) {
+        progress.excluded.add(backEnd.id);
+        progress.bufferedFailure = result.answer;
+        return { kind: 'failure' };
+      }
+      client.respond(result.answer, result.answer.body);
+    }
+    completion.recordAnswered(answer.status, backEnd.id);
+    return { kind: 'finished' };
+  }
+
+  private async forwardStream(
+    client: PendingAnswer | EventStreamAnswer,
+    sent: SentAnswer,
+  ): Promise<AttemptResult> {
+    const { context, progress, times, completion } = this.scope;
+    const { answer, backEnd, sentAt } = sent;
+    const firstMs = times.elapsedMs();
+    const result = await this.relay.relayStream(client, answer, this.streamOptions(sent));
+    if (result.kind === 'broken') return this.recordBroken(sent, result);
+    if (result.kind === 'refused') return this.recordRefused(sent, result.reason, result.firstEvent);
+    context.quarantine.noteServed(this.scope.digest);
+    // The duration of a resumed run is not that of a whole run.
+    if (progress.mayHaveRunOn.size === 1) this.runTimeEstimate.recordRun(context.clock.monotonic() - sentAt);
+    completion.recordAnswered(answer.status, backEnd.id, this.streamSummary(firstMs, result.lastEvent));
+    return { kind: 'finished' };
+  }
+
+  private streamSummary(firstMs: number, lastEvent: string | undefined): StreamSummary {
+    const { longestGapMs, firstEventIdOfRun } = this.relay;
+    return { firstMs, longestGapMs, firstEvent: firstEventIdOfRun, lastEvent };
+  }
+
+  private streamOptions({ backEnd, sentAt }: SentAnswer): StreamRelayOptions {
+    const { context, times } = this.scope;
+    const latencyRatio = (context.clock.monotonic() - sentAt) / times.expectedMs();
+    return {
+      ...(this.position === undefined ? {} : { position: this.position }),
+      idleTimeoutMs: () => this.idleTimeoutMs(backEnd),
+      isProcessAlive: () => this.isProcessAlive(backEnd),
+      onAccepted: () => {
+        this.failures.health().record(backEnd.id, 'good', latencyRatio);
+      },
+    };
+  }
+
+  private idleTimeoutMs(backEnd: BackEnd): number | undefined {
+    const { route } = this.scope;
+    if (route.kind !== 'resumable_stream') return undefined;
+    const gapMs = route.targetGapMs ?? route.targetLatencyMs;
+    const clientGapMs = route.clientGapMs ?? Infinity;
+    return this.hasAlternative(backEnd)
+      ? gapMs * STALL_GAP_MULTIPLE
+      : Math.max(gapMs, clientGapMs * SOLE_HOLDER_GAP_SHARE);
+  }
+
+  /**
+   * Returns false if the process has exited, or if that is unknown when time is up. A draining process may exit right after its
+   * last answer, so it counts as alive unless another run can check for missing data.
+   */
+  private async isProcessAlive(backEnd: BackEnd): Promise<boolean> {
+    const { context, expired, route } = this.scope;
+    const isLeaving = context.directory.get(backEnd.id)?.draining === true;
+    if (isLeaving && !mayRunAgain(route.kind)) return true;
+    const fate = await raceAbort(context.quarantine.fateOf(backEnd), expired);
+    return fate !== ABORTED && fate !== 'ended';
+  }
+
+  /** Whether another back end that holds the model could resume the stream. */
+  private hasAlternative(backEnd: BackEnd): boolean {
+    const { context, facts, service, progress } = this.scope;
+    if (facts.target === undefined || progress.isStopping) return false;
+    return context.directory
+      .holdersOf(service.name, facts.target)
+      .some(({ id }) => id !== backEnd.id && !progress.excluded.has(id));
+  }
+
+  /** Records an answer that does not continue the client's stream; the client's answer stays unchanged. */
+  private recordRefused(
+    { backEnd, answer }: SentAnswer,
+    reason: ResumeRefusal,
+    firstEvent?: string,
+  ): AttemptResult {
+    const { progress, facts } = this.scope;
+    const { lastEventId: afterEvent = facts.resumeAfter, hasBegun } = this.scope.answer;
+    progress.excluded.add(backEnd.id);
+    // If only the client has named the event, the client may be wrong, so the back end's health is not affected.
+    if (hasBegun) this.failures.health().record(backEnd.id, 'failed_answer');
+    const { status } = answer;
+    this.recordDecision('take_up_refused', { backEnd: backEnd.id, reason, status, afterEvent, firstEvent });
+    return { kind: 'maybe_run' };
+  }
+
+  private recordBroken({ backEnd, sentAt }: SentAnswer, { tornBytes }: BrokenResult): AttemptResult {
+    if (this.scope.expired.aborted) return { kind: 'maybe_run' };
+    const detail = tornBytes === 0 ? 'the answer broke off' : 'the answer ended inside an event';
+    if (tornBytes > 0) {
+      const afterEvent = this.scope.answer.lastEventId;
+      this.recordDecision('event_torn', { backEnd: backEnd.id, afterEvent, tornBytes });
+    }
+    this.failures.recordBroken(backEnd, sentAt, detail);
+    return { kind: 'maybe_run' };
+  }
+
+  private recordDecision(
+    decision: 'request_resumed' | 'take_up_refused' | 'event_torn',
+    facts: Readonly<Record<string, string | number | undefined>>,
+  ): void {
+    this.scope.context.journal.decided(decision, this.scope.facts.id, facts);
+  }
+}
+
+function isSuccess({ status }: BackendAnswer): boolean {
+  return status >= 200 && status < 300;
+}
+
+function isEventStream(answer: BackendAnswer): boolean {
+  const type = answer.headers['content-type']?.split(';')[0]?.trim().toLowerCase();
+  return isSuccess(answer) && type === EVENT_STREAM_TYPE;
+}
--- a/packages/forwarding/src/backend-health.ts
+++ b/packages/forwarding/src/backend-health.ts
@@ -1,81 +1,81 @@
-/** What the answers of each back end tell of its health: avoidance and outlier detection by recent results. */
+/** Tracks the health of back ends from recent results: backoff after failed connections and outlier detection. */
 import type { Clock } from '@woodbarrow/runtime';
 
-/** How one request to a back end went. */
+/** Result of one request to a back end. */
 export type SendResult = 'good' | 'failed_answer' | 'broken' | 'unreachable' | 'timed_out';
 
-/** Weight of the newest result in the running averages. */
-const SMOOTHING = 0.2;
-/** Weight of the newest result in the average of a whole service. */
-const SERVICE_SMOOTHING = 0.05;
-/** First pause after a back end could not be reached, and the largest, in milliseconds. */
-const FIRST_PAUSE_MS = 400;
-const LARGEST_PAUSE_MS = 4000;
-/** Share of failures above that of the service at which a back end is avoided. */
-const FAILURE_MARGIN = 0.3;
+/** Weight of the newest result in the moving averages of one back end. */
+const RESULT_WEIGHT = 0.2;
+/** Weight of the newest result in the moving average of a service. */
+const SERVICE_RESULT_WEIGHT = 0.05;
+/** Initial and maximum time for which a back end that did not respond is avoided, in milliseconds. */
+const INITIAL_BACKOFF_MS = 400;
+const MAX_BACKOFF_MS = 4000;
+/** Margin by which the failure rate of an outlier exceeds the mean of the other back ends. */
+const OUTLIER_FAILURE_MARGIN = 0.3;
 
 interface HealthRecord {
-  failures: number;
-  /** Measured time over expected time. */
-  ratio: number;
-  /** Monotonic time until which it is avoided. */
+  failureRate: number;
+  /** Moving average of measured time over expected time. */
+  latencyRatio: number;
+  /** Monotonic time until which the back end is avoided. */
   avoidUntil: number;
-  pauseMs: number;
+  backoffMs: number;
 }
 
-/** Health of the back ends of one service, as this daemon sees it. */
+/** Health of the back ends of one service as observed by this daemon. */
 export class BackendHealth {
   private readonly records = new Map<string, HealthRecord>();
-  private serviceRatio = 1;
+  private serviceLatencyRatio = 1;
 
   constructor(private readonly clock: Clock) {}
 
   /**
-   * Notes the result of a request.
+   * Records the result of a request.
    *
-   * @param ratio Measured time over the time expected for a request of that size; absent when nothing was measured.
+   * @param ratio Measured time over the time expected for a request of that size; absent if nothing was measured.
    */
   record(backEndId: string, result: SendResult, ratio?: number): void {
     const record = this.recordOf(backEndId);
     const failed = result !== 'good';
-    record.failures += SMOOTHING * ((failed ? 1 : 0) - record.failures);
+    record.failureRate += RESULT_WEIGHT * ((failed ? 1 : 0) - record.failureRate);
     if (ratio !== undefined) {
-      record.ratio += SMOOTHING * (ratio - record.ratio);
-      this.serviceRatio += SERVICE_SMOOTHING * (ratio - this.serviceRatio);
+      record.latencyRatio += RESULT_WEIGHT * (ratio - record.latencyRatio);
+      this.serviceLatencyRatio += SERVICE_RESULT_WEIGHT * (ratio - this.serviceLatencyRatio);
     }
     if (result === 'good') {
-      record.pauseMs = FIRST_PAUSE_MS;
+      record.backoffMs = INITIAL_BACKOFF_MS;
       record.avoidUntil = 0;
     } else if (result === 'unreachable' || result === 'timed_out') {
-      record.avoidUntil = this.clock.monotonic() + record.pauseMs;
-      record.pauseMs = Math.min(LARGEST_PAUSE_MS, record.pauseMs * 2);
+      record.avoidUntil = this.clock.monotonic() + record.backoffMs;
+      record.backoffMs = Math.min(MAX_BACKOFF_MS, record.backoffMs * 2);
     }
   }
 
-  /** Whether other back ends should be preferred for now. */
+  /** Whether the back end is in backoff and others should be preferred. */
   isAvoided(backEndId: string): boolean {
     const record = this.records.get(backEndId);
     return record !== undefined && record.avoidUntil > this.clock.monotonic();
   }
 
-  /** Whether it fails clearly more often than the others given. */
+  /** Whether the back end fails clearly more often than the given peers. */
   isOutlier(backEndId: string, peers: readonly string[]): boolean {
-    const own = this.records.get(backEndId)?.failures ?? 0;
-    if (own < FAILURE_MARGIN) return false;
+    const own = this.records.get(backEndId)?.failureRate ?? 0;
+    if (own < OUTLIER_FAILURE_MARGIN) return false;
     const others = peers.filter((peer) => peer !== backEndId);
     if (others.length === 0) return false;
     const mean =
-      others.reduce((sum, peer) => sum + (this.records.get(peer)?.failures ?? 0), 0) / others.length;
-    return own > mean + FAILURE_MARGIN;
+      others.reduce((sum, peer) => sum + (this.records.get(peer)?.failureRate ?? 0), 0) / others.length;
+    return own > mean + OUTLIER_FAILURE_MARGIN;
   }
 
-  /** How many times slower than the service's average it is; at least a half. */
+  /** Latency relative to the average of the service; at least 0.5, and 1 for an unknown back end. */
   slowness(backEndId: string): number {
     const record = this.records.get(backEndId);
-    return record === undefined ? 1 : Math.max(0.5, record.ratio / this.serviceRatio);
+    return record === undefined ? 1 : Math.max(0.5, record.latencyRatio / this.serviceLatencyRatio);
   }
 
-  /** Drops what is known of a back end that is gone. */
+  /** Removes the record of a back end that no longer exists. */
   forget(backEndId: string): void {
     this.records.delete(backEndId);
   }
@@ -83,7 +83,12 @@
   private recordOf(backEndId: string): HealthRecord {
     let record = this.records.get(backEndId);
     if (record === undefined) {
-      record = { failures: 0, ratio: this.serviceRatio, avoidUntil: 0, pauseMs: FIRST_PAUSE_MS };
+      record = {
+        failureRate: 0,
+        latencyRatio: this.serviceLatencyRatio,
+        avoidUntil: 0,
+        backoffMs: INITIAL_BACKOFF_MS,
+      };
       this.records.set(backEndId, record);
     }
     return record;
--- a/packages/forwarding/src/body-reader.ts
+++ b/packages/forwarding/src/body-reader.ts
@@ -1,14 +1,14 @@
-/** Reads the body of a back end's answer to its true end, with a limit on the time between two chunks. */
+/** Reads the body of a back end's answer, limits the time between chunks, and detects incomplete bodies. */
 import { settleWithin, type BackendAnswer, type Clock } from '@woodbarrow/runtime';
 
-/** Next piece of a body. */
+/** Result of one read. */
 export type BodyStep =
   | { readonly kind: 'chunk'; readonly chunk: Uint8Array }
   | { readonly kind: 'end' }
-  /** It broke off, or nothing came in time; it is not complete. */
-  | { readonly kind: 'broken'; readonly silent: boolean };
+  /** The body is incomplete: the connection broke, the process exited, or no data arrived in time. */
+  | { readonly kind: 'broken'; readonly hasTimedOut: boolean };
 
-/** Tells whether the process behind an answer still runs, or was to end. */
+/** Returns whether the process behind an answer still runs, or exited as announced. */
 export type ProcessCheck = () => Promise<boolean>;
 
 /** Reader of one body. */
@@ -18,38 +18,38 @@
   constructor(
     private readonly answer: BackendAnswer,
     private readonly clock: Clock,
-    private readonly processLives: ProcessCheck,
+    private readonly isProcessAlive: ProcessCheck,
   ) {
     this.iterator = answer.body[Symbol.asyncIterator]();
   }
 
-  /** @param patienceMs Milliseconds to wait; without end when absent. */
-  async next(patienceMs?: number): Promise<BodyStep> {
+  /** Reads the next chunk. Never rejects. @param timeoutMs Milliseconds to wait; unlimited when absent. */
+  async next(timeoutMs?: number): Promise<BodyStep> {
     try {
-      const step = await this.step(patienceMs);
+      const step = await this.readChunk(timeoutMs);
       if (step === undefined) {
         this.answer.discard();
-        return { kind: 'broken', silent: true };
+        return { kind: 'broken', hasTimedOut: true };
       }
       if (step.done !== true) return { kind: 'chunk', chunk: step.value };
-      return (await this.isWhole()) ? { kind: 'end' } : { kind: 'broken', silent: false };
+      return (await this.isComplete()) ? { kind: 'end' } : { kind: 'broken', hasTimedOut: false };
     } catch {
-      return { kind: 'broken', silent: false };
+      return { kind: 'broken', hasTimedOut: false };
     }
   }
 
   /**
-   * A body without a length ends when its connection is closed, and the kernel of a process that was killed closes connections in the
-   * same way as one that has finished: only the process itself can tell.
+   * A body without a length ends when its connection is closed. The connection of a killed process closes in the same way as that
+   * of a finished answer, so the process has to be checked.
    */
-  private async isWhole(): Promise<boolean> {
-    return !this.answer.endsWithConnection || this.processLives();
+  private async isComplete(): Promise<boolean> {
+    return !this.answer.endsWithConnection || this.isProcessAlive();
   }
 
-  private async step(patienceMs?: number): Promise<IteratorResult<Uint8Array> | undefined> {
+  private async readChunk(timeoutMs?: number): Promise<IteratorResult<Uint8Array> | undefined> {
     const pending = this.iterator.next();
-    if (patienceMs === undefined) return pending;
-    const settled = await settleWithin(this.clock, patienceMs, pending);
+    if (timeoutMs === undefined) return pending;
+    const settled = await settleWithin(this.clock, timeoutMs, pending);
     return settled.timedOut ? undefined : settled.value;
   }
 }
--- a/packages/forwarding/src/client-answer.ts
+++ b/packages/forwarding/src/client-answer.ts
@@ -1,73 +1,71 @@
 /**
- * The answer of one client: what it has received so far, and what may still follow. Everything that is written to a client passes
- * through here. What may follow depends on the state alone: a whole answer can be given only while none has begun; after the first
- * byte only what belongs to that answer may follow, or the connection is cut. Guards against a failure's text, or the pieces of
- * another run, written into an answer that has begun: where each branch that wrote decided for itself, 10 streams ended as complete
- * with events missing within 24 s (8 daemons, three in ten answers broken, two in five requests failing).
+ * State machine of the answer to one client; all writes to the client go through it. A complete answer can be given only before
+ * the first byte. After that only data of the same answer may follow, or the connection is aborted. This prevents error texts or
+ * parts of another run from being written into an answer that has begun.
  */
 import type { IncomingExchange, ResponseHead, ResponseStream } from '@woodbarrow/runtime';
 import type { StreamEvent } from './event-splitter.js';
 import type { Continuation, StreamPosition } from './stream-position.js';
 
 /** State of a client's answer. */
-export type ClientAnswerState = UnbegunAnswer | EventAnswer | ByteAnswer | EndedAnswer;
+export type ClientAnswerState = PendingAnswer | EventStreamAnswer | ByteStreamAnswer | EndedAnswer;
 
-/** Nothing has been written. */
-export interface UnbegunAnswer {
+/** No answer has begun. */
+export interface PendingAnswer {
   readonly kind: 'not_begun';
-  /** Gives a whole answer. */
+  /** Sends a complete answer. */
   respond(head: ResponseHead, body: Uint8Array): void;
-  /** Begins a series of events. @param position What the client has; absent where no other run may go on. */
-  beginEvents(head: ResponseHead, position?: StreamPosition): EventAnswer;
-  /** Begins a body that only the back end which sent this head can go on with. */
-  beginBytes(head: ResponseHead): ByteAnswer;
+  /** Begins an event stream. @param position Position of the client; absent if the stream cannot be resumed. */
+  beginEvents(head: ResponseHead, position?: StreamPosition): EventStreamAnswer;
+  /** Begins a body that no other run can continue. */
+  beginBytes(head: ResponseHead): ByteStreamAnswer;
 }
 
-/** Events have been passed on; another run may go on right after the last of them. */
-export interface EventAnswer {
+/** An event stream has begun; another run may continue after its last event. */
+export interface EventStreamAnswer {
   readonly kind: 'events';
-  /** Last event passed on. */
+  /** Id of the last event written. */
   readonly lastEventId: string | undefined;
-  /** Another run can be told where to go on. */
-  readonly canBeTakenUp: boolean;
+  /** Whether another run can resume after the last event. */
+  readonly canResume: boolean;
   /** The next events come from another run. */
   startRun(): void;
-  /** Passes events on up to the first that does not follow, and says what was wrong with that one. */
-  pass(events: readonly StreamEvent[]): PassedEvents;
-  /** Ends it as complete. */
+  /** Writes the events before the first one that does not follow, and returns why that one was refused. */
+  write(events: readonly StreamEvent[]): EventWriteResult;
+  /** Ends the stream as complete. */
   complete(): void;
 }
 
-/** What became of events that were passed on. */
-export interface PassedEvents {
-  /** Whether all of them followed. */
+/** Result of writing events. */
+export interface EventWriteResult {
+  /** `follows` if all events were written, else why one was refused. */
   readonly continuation: Continuation;
-  /** Resolves when the client's side can take more; absent where it can at once, as it nearly always can. */
-  readonly taken: Promise<void> | undefined;
+  /** Resolves when the client's side can accept more data; absent if it can at once. */
+  readonly drained: Promise<void> | undefined;
 }
 
-/** Part of a body has been passed on. */
-export interface ByteAnswer {
+/** A body that is not a resumable stream has begun. */
+export interface ByteStreamAnswer {
   readonly kind: 'bytes';
-  pass(chunk: Uint8Array): Promise<void> | undefined;
-  /** Ends it as complete. */
+  write(chunk: Uint8Array): Promise<void> | undefined;
+  /** Ends the body as complete. */
   complete(): void;
 }
 
-/** Nothing more may be written. */
+/** The answer has ended; nothing more may be written. */
 export interface EndedAnswer {
   readonly kind: 'ended';
 }
 
 const ENDED: EndedAnswer = { kind: 'ended' };
 
-/** The only writer to one client. */
+/** Answer to one client. */
 export class ClientAnswer {
   private current: ClientAnswerState;
   private stream: ResponseStream | undefined;
 
   constructor(private readonly exchange: IncomingExchange) {
-    this.current = this.unbegun();
+    this.current = this.pendingState();
   }
 
   get state(): ClientAnswerState {
@@ -79,27 +77,27 @@
     return this.current.kind !== 'not_begun';
   }
 
-  /** Whether a further send can still bring about a whole answer. */
-  get mayGoOn(): boolean {
+  /** Whether another send can still lead to a complete answer. */
+  get canContinue(): boolean {
     const state = this.current;
-    return state.kind === 'not_begun' || (state.kind === 'events' && state.canBeTakenUp);
+    return state.kind === 'not_begun' || (state.kind === 'events' && state.canResume);
   }
 
-  /** Last event that the client has; undefined until a stream has begun. */
+  /** Id of the last event that the client has; undefined until a stream has begun. */
   get lastEventId(): string | undefined {
     return this.current.kind === 'events' ? this.current.lastEventId : undefined;
   }
 
-  /** Cuts the connection, so that what the client has cannot be taken for complete. */
-  cut(): void {
+  /** Aborts the connection, so that the client cannot mistake a partial answer for a complete one. */
+  abort(): void {
     if (this.current.kind === 'ended') return;
     this.current = ENDED;
     if (this.stream === undefined) this.exchange.abort();
     else this.stream.abort();
   }
 
-  private unbegun(): UnbegunAnswer {
-    const state: UnbegunAnswer = {
+  private pendingState(): PendingAnswer {
+    const state: PendingAnswer = {
       kind: 'not_begun',
       respond: (head, body) => {
         this.requireCurrent(state);
@@ -112,22 +110,26 @@
     return state;
   }
 
-  private beginEvents(from: UnbegunAnswer, head: ResponseHead, position?: StreamPosition): EventAnswer {
-    const stream = this.beginStream(from, head);
-    const state: EventAnswer = {
+  private beginEvents(
+    expected: PendingAnswer,
+    head: ResponseHead,
+    position?: StreamPosition,
+  ): EventStreamAnswer {
+    const stream = this.beginStream(expected, head);
+    const state: EventStreamAnswer = {
       kind: 'events',
       get lastEventId() {
         return position?.lastId;
       },
-      get canBeTakenUp() {
-        return position?.canBeTakenUp === true;
+      get canResume() {
+        return position?.canResume === true;
       },
       startRun: () => {
         position?.startRun();
       },
-      pass: (events) => {
+      write: (events) => {
         this.requireCurrent(state);
-        return passEvents(stream, position, events);
+        return writeEvents(stream, position, events);
       },
       complete: () => {
         this.end(state, stream);
@@ -137,11 +139,11 @@
     return state;
   }
 
-  private beginBytes(from: UnbegunAnswer, head: ResponseHead): ByteAnswer {
-    const stream = this.beginStream(from, head);
-    const state: ByteAnswer = {
+  private beginBytes(expected: PendingAnswer, head: ResponseHead): ByteStreamAnswer {
+    const stream = this.beginStream(expected, head);
+    const state: ByteStreamAnswer = {
       kind: 'bytes',
-      pass: (chunk) => {
+      write: (chunk) => {
         this.requireCurrent(state);
         return stream.write(chunk);
       },
@@ -153,37 +155,37 @@
     return state;
   }
 
-  private beginStream(from: UnbegunAnswer, head: ResponseHead): ResponseStream {
-    this.requireCurrent(from);
+  private beginStream(expected: PendingAnswer, head: ResponseHead): ResponseStream {
+    this.requireCurrent(expected);
     this.stream = this.exchange.beginStream(head);
     return this.stream;
   }
 
-  private end(from: ClientAnswerState, stream: ResponseStream): void {
-    this.requireCurrent(from);
+  private end(expected: ClientAnswerState, stream: ResponseStream): void {
+    this.requireCurrent(expected);
     stream.end();
     this.current = ENDED;
   }
 
-  /** A state that was left must not be written to: what it allowed may no longer follow. */
+  /** Throws if the given state is no longer the current one. */
   private requireCurrent(state: ClientAnswerState): void {
-    if (this.current !== state) throw new Error(`written to an answer that is no longer ${state.kind}`);
+    if (this.current !== state) throw new Error(`cannot write: the answer is no longer ${state.kind}`);
   }
 }
 
-function passEvents(
+function writeEvents(
   stream: ResponseStream,
   position: StreamPosition | undefined,
   events: readonly StreamEvent[],
-): PassedEvents {
-  const fitting: Uint8Array[] = [];
+): EventWriteResult {
+  const accepted: Uint8Array[] = [];
   let continuation: Continuation = 'follows';
   for (const event of events) {
-    continuation = position?.take(event) ?? 'follows';
+    continuation = position?.accept(event) ?? 'follows';
     if (continuation !== 'follows') break;
-    fitting.push(event.bytes);
+    accepted.push(event.bytes);
   }
-  const [first] = fitting;
-  if (first === undefined) return { continuation, taken: undefined };
-  return { continuation, taken: stream.write(fitting.length === 1 ? first : Buffer.concat(fitting)) };
+  const [first] = accepted;
+  if (first === undefined) return { continuation, drained: undefined };
+  return { continuation, drained: stream.write(accepted.length === 1 ? first : Buffer.concat(accepted)) };
 }
--- a/packages/forwarding/src/index.ts
+++ b/packages/forwarding/src/index.ts
@@ -1,4 +1,4 @@
-/** Requests passed through to back ends. */
+/** Forwarding of client requests to back ends. */
 export * from './backend-choice.js';
 export * from './backend-health.js';
 export * from './backend-notice.js';
@@ -13,12 +13,12 @@
 export * from './notice-gate.js';
 export * from './plain-selector.js';
 export * from './prompt-affinity.js';
-export * from './repeat-budget.js';
+export * from './retry-budget.js';
 export * from './replica-selector.js';
 export * from './request-allowance.js';
 export * from './request-journal.js';
 export * from './request-quota.js';
-export * from './residency-port.js';
+export * from './residency-client.js';
 export * from './route-table.js';
 export * from './route.js';
 export * from './send-permits.js';
--- a/packages/forwarding/src/plain-selector.ts
+++ b/packages/forwarding/src/plain-selector.ts
@@ -1,4 +1,4 @@
-/** Chooses among the back ends of a service without models: the least loaded sound one. */
+/** Chooses the least loaded healthy back end of a service without models. */
 import type { BackEnd, BackendDirectory, LoadBook, ServiceDefinition } from '@woodbarrow/backends';
 import { leastBy } from '@woodbarrow/runtime';
 import { refusal, type BackendChoice } from './backend-choice.js';
@@ -6,16 +6,16 @@
 import type { ConnectionShare } from './connection-share.js';
 import type { SendPermits } from './send-permits.js';
 
-/** Time after which to come back when no back end takes requests, in milliseconds. */
+/** Suggested retry delay when no back end accepts requests, in milliseconds. */
 const NO_BACKEND_RETRY_MS = 100;
-/** Cost of a back end in another zone, as a share of one request under way. */
+/** Cost of a back end in another zone, in requests in flight. */
 const OTHER_ZONE_COST = 0.25;
-/** Cost of a back end that is avoided: used only when there is no other. */
+/** Cost of a back end in backoff, in requests in flight; it is used only if there is no other. */
 const AVOIDED_COST = 1000;
-/** Cost of a back end that fails more often than the others. */
+/** Cost of a failure outlier, in requests in flight. */
 const OUTLIER_COST = 100;
 
-/** Chooser of one daemon for plain services. */
+/** Back-end selection for services without models. */
 export class PlainSelector {
   constructor(
     private readonly directory: BackendDirectory,
@@ -25,28 +25,28 @@
     private readonly zone: string,
   ) {}
 
-  /** @param excluded Back ends that have refused or failed this request. */
+  /** Selects a back end. @param excluded Back ends that have declined or failed this request. */
   select(service: ServiceDefinition, health: BackendHealth, excluded: ReadonlySet<string>): BackendChoice {
-    const open = this.directory.ofService(service.name).filter((backEnd) => !backEnd.draining);
-    const willing = open.filter((backEnd) => !excluded.has(backEnd.id));
-    const mayTake = this.connections.checkOf(service);
-    const usable = willing.filter(({ id }) => mayTake(id) && this.permits.waitMs(id) === 0);
-    const ids = open.map((backEnd) => backEnd.id);
+    const available = this.directory.ofService(service.name).filter((backEnd) => !backEnd.draining);
+    const eligible = available.filter((backEnd) => !excluded.has(backEnd.id));
+    const hasConnection = this.connections.limiterFor(service);
+    const usable = eligible.filter(({ id }) => hasConnection(id) && this.permits.waitMs(id) === 0);
+    const ids = available.map((backEnd) => backEnd.id);
     const best = leastBy(usable, (backEnd) => this.costOf(backEnd, health, ids));
-    if (best === undefined) return this.refuse(open, willing);
+    if (best === undefined) return this.refuse(available, eligible);
     return { kind: 'send', backEnd: best, reason: 'least_loaded' };
   }
 
   /**
-   * @param open Back ends that are not draining, of which none can be sent to now.
-   * @param willing Those of them that have not refused or failed the request.
+   * @param available Back ends that are not draining; none of them can be sent to now.
+   * @param eligible Available back ends that have not declined or failed the request.
    */
-  private refuse(open: readonly BackEnd[], willing: readonly BackEnd[]): BackendChoice {
-    if (open.length === 0) return refusal('no_backend', NO_BACKEND_RETRY_MS);
-    const asked = willing.length === 0 ? open : willing;
-    const waits = asked.map(({ id }) => this.permits.waitMs(id));
+  private refuse(available: readonly BackEnd[], eligible: readonly BackEnd[]): BackendChoice {
+    if (available.length === 0) return refusal('no_backend', NO_BACKEND_RETRY_MS);
+    const candidates = eligible.length === 0 ? available : eligible;
+    const waits = candidates.map(({ id }) => this.permits.waitMs(id));
     if (waits.every((waitMs) => waitMs > 0)) return refusal('not_accepting', Math.min(...waits));
-    return refusal(willing.length === 0 ? 'all_excluded' : 'connections_exhausted', NO_BACKEND_RETRY_MS);
+    return refusal(eligible.length === 0 ? 'all_excluded' : 'connections_exhausted', NO_BACKEND_RETRY_MS);
   }
 
   private costOf(backEnd: BackEnd, health: BackendHealth, ids: readonly string[]): number {
--- a/packages/forwarding/src/stream-position.ts
+++ b/packages/forwarding/src/stream-position.ts
@@ -1,110 +1,109 @@
 /**
- * Which event of a stream a client has, and whether the next one follows it. Ids of events are whole numbers that rise; where another
- * run takes the stream up, its first event must be the very next one: a run that begins anew, or leaves events out, would give the client
- * events twice or not at all.
+ * Tracks the last event of a stream that a client has, and checks that the next one follows it. Event ids are increasing integers.
+ * The first event of a resumed run must be the next one, so that the client gets no event twice and misses none.
  */
 import type { StreamEvent } from './event-splitter.js';
 
-/** How an event relates to what the client has. */
+/** How an event relates to the last event of the client. */
 export type Continuation =
   | 'follows'
-  /** Another run gives events again that the client has. */
+  /** Another run repeats events that the client has. */
   | 'begins_anew'
-  /** Another run leaves events out. */
+  /** Another run omits events. */
   | 'skips'
-  /** Within a run the ids do not rise. */
+  /** The ids within a run do not increase. */
   | 'not_rising'
-  /** Another run gives an event whose id cannot be compared. */
+  /** Another run sends an event without a numeric id. */
   | 'without_id';
 
-const WHOLE_NUMBER = /^\d{1,15}$/;
-/** Difference between the ids of two events; larger only where a run of the stream itself has shown it. */
-const USUAL_STEP = 1;
+const NUMERIC_ID = /^\d{1,15}$/;
+/** Assumed difference between consecutive ids, until a run shows a larger one. */
+const DEFAULT_ID_STEP = 1;
 
 /** Position in one stream. */
 export class StreamPosition {
-  private last: number | undefined;
-  private lastText: string | undefined;
-  /** Largest difference between the ids of two events of one run. */
-  private step = USUAL_STEP;
-  /** An event was passed on that no other run can be told to go on after. */
-  private isOpaque = false;
-  private isAtStartOfRun = true;
+  private lastNumber: number | undefined;
+  private lastIdText: string | undefined;
+  /** Largest difference between consecutive ids within a run. */
+  private maxStep = DEFAULT_ID_STEP;
+  /** Whether an event without a numeric id was accepted, so that the stream cannot be resumed. */
+  private hasOpaqueId = false;
+  private isFirstOfRun = true;
 
-  /** @param after Event that the client had before. */
-  constructor(after: string | undefined) {
-    this.lastText = after;
-    this.last = toNumber(after);
-    this.isOpaque = after !== undefined && this.last === undefined;
+  /** @param lastEventId Id of the last event that the client already has. */
+  constructor(lastEventId: string | undefined) {
+    this.lastIdText = lastEventId;
+    this.lastNumber = toNumber(lastEventId);
+    this.hasOpaqueId = lastEventId !== undefined && this.lastNumber === undefined;
   }
 
-  /** Whether the client has an event. */
+  /** Whether the client has received an event. */
   get hasBegun(): boolean {
-    return this.lastText !== undefined;
+    return this.lastIdText !== undefined;
   }
 
-  /** Last event that the client has. */
+  /** Id of the last event that the client has. */
   get lastId(): string | undefined {
-    return this.lastText;
+    return this.lastIdText;
   }
 
-  /** Whether another run can be told where to go on. */
-  get canBeTakenUp(): boolean {
-    return !this.isOpaque;
+  /** Whether another run can resume after the last event. */
+  get canResume(): boolean {
+    return !this.hasOpaqueId;
   }
 
-  /** The next event is the first of another run. */
+  /** Marks the next event as the first of another run. */
   startRun(): void {
-    this.isAtStartOfRun = true;
+    this.isFirstOfRun = true;
   }
 
-  /** Whether the first of these events follows; does not move on. */
-  judge(events: readonly StreamEvent[]): Continuation {
+  /** Checks whether the first of these events follows, without changing the position. */
+  check(events: readonly StreamEvent[]): Continuation {
     const first = events.find(({ isEvent }) => isEvent);
     if (first === undefined) return 'follows';
     const id = toNumber(first.id);
     return id === undefined ? this.compareOpaque() : this.compare(id);
   }
 
-  /** Moves on by one event, if it follows. */
-  take(event: StreamEvent): Continuation {
+  /** Advances the position by one event if it follows. */
+  accept(event: StreamEvent): Continuation {
     if (!event.isEvent) return 'follows';
     const id = toNumber(event.id);
-    if (id === undefined) return this.takeOpaque(event);
+    if (id === undefined) return this.acceptOpaque(event);
     const continuation = this.compare(id);
     if (continuation === 'follows') this.advance(event.id, id);
     return continuation;
   }
 
-  private takeOpaque(event: StreamEvent): Continuation {
+  private acceptOpaque(event: StreamEvent): Continuation {
     if (this.compareOpaque() !== 'follows') return 'without_id';
-    this.isOpaque = true;
-    this.isAtStartOfRun = false;
-    this.lastText = event.id ?? this.lastText;
+    this.hasOpaqueId = true;
+    this.isFirstOfRun = false;
+    this.lastIdText = event.id ?? this.lastIdText;
     return 'follows';
   }
 
   private compareOpaque(): Continuation {
-    return this.isAtStartOfRun && this.last !== undefined ? 'without_id' : 'follows';
+    return this.isFirstOfRun && this.lastNumber !== undefined ? 'without_id' : 'follows';
   }
 
   private compare(id: number): Continuation {
-    if (this.last === undefined) return 'follows';
-    if (!this.isAtStartOfRun) return id > this.last ? 'follows' : 'not_rising';
-    if (id <= this.last) return 'begins_anew';
-    return id > this.last + this.step ? 'skips' : 'follows';
+    if (this.lastNumber === undefined) return 'follows';
+    if (!this.isFirstOfRun) return id > this.lastNumber ? 'follows' : 'not_rising';
+    if (id <= this.lastNumber) return 'begins_anew';
+    return id > this.lastNumber + this.maxStep ? 'skips' : 'follows';
   }
 
   private advance(text: string | undefined, id: number): void {
-    if (!this.isAtStartOfRun && this.last !== undefined) {
-      this.step = Math.max(this.step, id - this.last);
+    if (!this.isFirstOfRun && this.lastNumber !== undefined) {
+      this.maxStep = Math.max(this.maxStep, id - this.lastNumber);
     }
-    this.last = id;
-    this.lastText = text;
-    this.isAtStartOfRun = false;
+    this.lastNumber = id;
+    this.lastIdText = text;
+    this.isFirstOfRun = false;
   }
 }
 
 function toNumber(id: string | undefined): number | undefined {
-  return id !== undefined && WHOLE_NUMBER.test(id) ? Number(id) : undefined;
+  return id !== undefined && NUMERIC_ID.test(id) ? Number(id) : undefined;
 }
--- a/packages/forwarding/test/arbitrary-workers.ts
+++ b/packages/forwarding/test/arbitrary-workers.ts
@@ -1,11 +1,11 @@
-/** Back ends that answer a request in arbitrary ways, most of them faulty, and a record of what each of them sent. */
+/** Back ends with generated, mostly faulty behaviour, and a record of what each of them sent. */
 import { Readable } from 'node:stream';
 import fc from 'fast-check';
 import { HttpNotSentError, type BackendAnswer, type BackendCall } from '@woodbarrow/runtime';
 import type { ForwardingWorld } from './simulated-exchange.js';
 
-/** How the ids of a run go: where it begins that is asked to go on after an event, or what is wrong within any run. */
-export type Course =
+/** Event ids of a run: where a resumed run begins, or which fault its ids have. */
+export type EventIdSequence =
   | 'next'
   | 'anew'
   | 'skipped'
@@ -17,67 +17,67 @@
   | 'back_within'
   | 'twice_within';
 
-/** How the events of a run look on the wire. */
+/** Text format of the events of a run. */
 export interface EventLayout {
-  readonly lineEnd: '\n' | '\r\n';
+  readonly lineEnding: '\n' | '\r\n';
   readonly idLine: 'id: ' | 'id:';
-  /** The id comes after the data. */
+  /** Whether the id comes after the data. */
   readonly idLast: boolean;
   readonly comments: 'none' | 'within' | 'between';
 }
 
-/** How the bytes of an answer come. */
+/** How the bytes of an answer are delivered. */
 export interface Delivery {
-  /** Where it ends early, counted modulo all bytes or all events; all of it comes when absent. */
+  /** Where the body is cut, modulo the number of bytes or events; the whole body is sent if absent. */
   readonly cut: { readonly behind: 'byte' | 'event'; readonly count: number } | undefined;
   readonly ending: 'plain' | 'killed' | 'broken' | 'stalled';
-  /** The body ends with its connection, which closes in the same way when the process is killed. */
+  /** Whether the end of the connection ends the body, so that a killed process looks like a regular end. */
   readonly endsWithConnection: boolean;
-  /** Sizes of the pieces in turn, in bytes. */
+  /** Sizes of the chunks in bytes, used in rotation. */
   readonly chunkSizes: readonly number[];
-  /** A pause before one of the pieces. */
+  /** Pause before one of the chunks. */
   readonly pause: { readonly beforeChunk: number; readonly ms: number } | undefined;
-  /** Until the head, in milliseconds. */
+  /** Delay of the head, in milliseconds. */
   readonly headMs: number;
 }
 
-/** A send that brings no answer to the request. */
+/** Ways in which a send gets no answer to the request. */
 type NoAnswer = 'unreachable' | 'declined' | 'reset' | 'silent';
 
-/** What a back end does with one request. */
+/** Behaviour of a back end for one send. */
 export type RunPlan =
   | { readonly kind: NoAnswer }
   | {
       readonly kind: 'answer';
       readonly status: number;
       readonly contentType: string;
-      readonly course: Course;
+      readonly idSequence: EventIdSequence;
       readonly layout: EventLayout;
-      /** Size of an answer that is no stream, in bytes. */
+      /** Size of an answer that is not a stream, in bytes. */
       readonly size: number;
       readonly delivery: Delivery;
     };
 
 type AnswerPlan = Extract<RunPlan, { readonly kind: 'answer' }>;
 
-/** A run that answered, and all that it sends if it is read to the end. */
+/** A run that answered, with all bytes that it sends if read to the end. */
 export interface Run {
   readonly number: number;
   readonly status: number;
   readonly isEventStream: boolean;
-  /** The event after which it was asked to begin; 0 for the beginning. */
+  /** Event after which it was asked to resume; 0 for the beginning. */
   readonly after: number;
   readonly bytes: string;
   readonly ending: Delivery['ending'];
 }
 
-/** Name of the header by which a client sees which run began its answer. */
+/** Header with the number of the run that began the answer. */
 export const STAMP_HEADER = 'Stamp';
 const EVENT_STREAM = 'text/event-stream';
-/** Sizes around the one up to which answers are held until they are whole, in bytes. */
-const LARGE_SIZES = { min: 60_000, max: 140_000 };
+/** Body sizes in bytes around the limit up to which answers are buffered. */
+const LARGE_BODY_BYTES = { min: 60_000, max: 140_000 };
 
-/** The usual value three times in four. */
+/** Generates the usual value in three of four cases. */
 function mostly<Value>(usual: Value, ...others: Value[]): fc.Arbitrary<Value> {
   return fc.oneof(
     { weight: 3, arbitrary: fc.constant(usual) },
@@ -86,17 +86,20 @@
 }
 
 const layouts: fc.Arbitrary<EventLayout> = fc.record({
-  lineEnd: fc.constantFrom('\n', '\r\n'),
+  lineEnding: fc.constantFrom('\n', '\r\n'),
   idLine: fc.constantFrom('id: ', 'id:'),
   idLast: fc.boolean(),
   comments: fc.constantFrom('none', 'within', 'between'),
 });
 
 const deliveries: fc.Arbitrary<Delivery> = fc.record({
-  cut: fc.option(fc.record({ behind: fc.constantFrom('event', 'byte'), count: fc.nat(LARGE_SIZES.max) }), {
-    nil: undefined,
-    freq: 2,
-  }),
+  cut: fc.option(
+    fc.record({ behind: fc.constantFrom('event', 'byte'), count: fc.nat(LARGE_BODY_BYTES.max) }),
+    {
+      nil: undefined,
+      freq: 2,
+    },
+  ),
   ending: fc.constantFrom('plain', 'plain', 'broken', 'broken', 'killed', 'stalled'),
   endsWithConnection: fc.boolean(),
   chunkSizes: fc.array(fc.integer({ min: 1, max: 200 }), { minLength: 1, maxLength: 4 }),
@@ -111,7 +114,7 @@
   kind: fc.constant('answer' as const),
   status: mostly(200, 201, 400, 404, 500),
   contentType: mostly(EVENT_STREAM, 'Text/Event-Stream; charset=utf-8', 'text/plain'),
-  course: mostly<Course>(
+  idSequence: mostly<EventIdSequence>(
     'next',
     'anew',
     'skipped',
@@ -124,11 +127,11 @@
     'twice_within',
   ),
   layout: layouts,
-  size: fc.oneof({ withCrossShrink: true }, fc.nat(200), fc.integer(LARGE_SIZES)),
+  size: fc.oneof({ withCrossShrink: true }, fc.nat(200), fc.integer(LARGE_BODY_BYTES)),
   delivery: deliveries,
 });
 
-/** What back ends do with the sends of one request, in the order of the sends. */
+/** Behaviour of back ends for the sends of one request, in the order of the sends. */
 export const runPlans: fc.Arbitrary<readonly RunPlan[]> = fc.array(
   fc.oneof(
     { weight: 6, arbitrary: answers },
@@ -140,17 +143,17 @@
   { minLength: 1, maxLength: 6 },
 );
 
-/** Sends of one request: each follows the next plan, and all beyond them are declined. */
+/** Answers the sends of one request: each follows the next plan; further sends are declined. */
 export class PlannedSends {
   /** Runs that answered, in the order of the sends. */
   readonly runs: Run[] = [];
   /** Back ends that may have run the request. */
   readonly ranOn: string[] = [];
-  /** Back ends whose process has ended. */
+  /** Back ends whose process was killed. */
   readonly killed = new Set<string>();
   private sends = 0;
 
-  /** @param events Length of the whole stream. @param isStream Whether successes are streams of events. */
+  /** @param events Number of events in the stream. @param isStream Whether successes are event streams. */
   constructor(
     private readonly plans: readonly RunPlan[],
     private readonly events: number,
@@ -162,7 +165,7 @@
     const plan = this.plans[this.sends] ?? { kind: 'declined' };
     this.sends += 1;
     if (plan.kind !== 'unreachable' && plan.kind !== 'declined') this.ranOn.push(call.address);
-    if (plan.kind !== 'answer') return withoutAnswer(plan.kind);
+    if (plan.kind !== 'answer') return failWithoutAnswer(plan.kind);
     const run = this.begin(plan, Number(call.headers[call.headers.indexOf('resume') + 1]));
     if (plan.delivery.headMs > 0) await world.wait(plan.delivery.headMs);
     const headers = ['Content-Type', plan.contentType, STAMP_HEADER, String(run.number)];
@@ -210,10 +213,10 @@
   return [0, ...ends][cut.count % (ends.length + 1)] ?? 0;
 }
 
-function withoutAnswer(kind: NoAnswer): Promise<BackendAnswer> {
+function failWithoutAnswer(kind: NoAnswer): Promise<BackendAnswer> {
   switch (kind) {
     case 'unreachable':
-      return Promise.reject(new HttpNotSentError('nobody'));
+      return Promise.reject(new HttpNotSentError('no such back end'));
     case 'declined':
       return Promise.resolve(toAnswer(503, [], Readable.from([])));
     case 'reset':
@@ -224,15 +227,15 @@
 }
 
 function eventsOf(plan: AnswerPlan, run: number, after: number, last: number): string {
-  const { course } = plan;
+  const { idSequence } = plan;
   const isNameless = (index: number): boolean =>
-    course === 'no_ids' || (course === 'nameless' && after > 0 && index === 0);
-  return idsOf(course, after, last)
+    idSequence === 'no_ids' || (idSequence === 'nameless' && after > 0 && index === 0);
+  return idsOf(idSequence, after, last)
     .map((id, index) => eventText(plan.layout, run, id, isNameless(index)))
     .join('');
 }
 
-function idsOf(course: Course, after: number, last: number): number[] {
+function idsOf(course: EventIdSequence, after: number, last: number): number[] {
   const ids: number[] = [];
   for (let id = firstIdOf(course, after, last); id <= last; id += 1) ids.push(id);
   const [first] = ids;
@@ -241,8 +244,8 @@
   return ids;
 }
 
-/** A run that is asked for the beginning gives it. */
-function firstIdOf(course: Course, after: number, last: number): number {
+/** Id of the first event of a run; only resumed runs can begin at a wrong one. */
+function firstIdOf(course: EventIdSequence, after: number, last: number): number {
   const next = after + 1;
   if (after === 0) return next;
   switch (course) {
@@ -261,9 +264,9 @@
   }
 }
 
-/** Blocks of different runs differ. */
+/** Text of an event; it contains the run number, so that blocks of different runs differ. */
 function eventText(layout: EventLayout, run: number, id: number, isNameless: boolean): string {
-  const { lineEnd, comments } = layout;
+  const { lineEnding, comments } = layout;
   const name = `run ${String(run)} piece ${String(id)}`;
   const idLines = isNameless ? [] : [`${layout.idLine}${String(id)}`];
   const dataLines = [`data: ${name}`, 'data: id: 1'];
@@ -271,7 +274,7 @@
   const comment = `: before ${name}`;
   if (comments === 'within') lines.unshift(comment);
   if (comments === 'between') lines.unshift(comment, '');
-  return [...lines, '', ''].join(lineEnd);
+  return [...lines, '', ''].join(lineEnding);
 }
 
 async function* piecesOf(
@@ -280,7 +283,7 @@
   world: ForwardingWorld,
 ): AsyncGenerator<Uint8Array> {
   const bytes = Buffer.from(run.bytes);
-  // Large answers come in few pieces.
+  // Large answers are sent in few chunks.
   const scale = Math.max(1, Math.floor(bytes.byteLength / 2000));
   let position = 0;
   for (let count = 0; position < bytes.byteLength; count += 1) {
--- a/packages/forwarding/test/backend-notices.test.ts
+++ b/packages/forwarding/test/backend-notices.test.ts
@@ -6,97 +6,97 @@
 const NONE: NoticeField<number> = { kind: 'none' };
 const malformed: NoticeField<number> = { kind: 'malformed', text: 'many' };
 
-function named(value: number): NoticeField<number> {
+function limitOf(value: number): NoticeField<number> {
   return { kind: 'said', value };
 }
 
-describe('notices of back ends', () => {
+describe('BackendNotices', () => {
   let world: SimulatedWorld;
   let clock: SimulatedProcess;
   let notices: BackendNotices;
-  let told: LogEventName[];
+  let logged: LogEventName[];
 
   beforeEach(() => {
     world = new SimulatedWorld();
     clock = new SimulatedProcess(world, { name: 'd', zone: 'a', region: 'r' });
-    told = [];
-    const tell = (event: LogEventName): void => void told.push(event);
-    notices = new BackendNotices(clock, { ...silentLog, changed: tell, warned: tell });
+    logged = [];
+    const logEvent = (event: LogEventName): void => void logged.push(event);
+    notices = new BackendNotices(clock, { ...silentLog, changed: logEvent, warned: logEvent });
   });
 
-  const hear = (requestsPerSecond: NoticeField<number>, sentAt = clock.monotonic()): void => {
+  const receive = (requestsPerSecond: NoticeField<number>, sentAt = clock.monotonic()): void => {
     notices.hear('b1', { ...EMPTY_NOTICE, requestsPerSecond }, sentAt);
   };
   const limit = (): number | undefined => notices.requestsPerSecond('b1');
 
-  it('hold a rate limit from the answer that names it until one names none, and tell each change once', () => {
-    hear(NONE);
+  it('keeps a rate limit until an answer without one arrives, and logs each change once', () => {
+    receive(NONE);
     expect(limit()).to.equal(undefined);
-    hear(named(2));
-    hear(named(2));
+    receive(limitOf(2));
+    receive(limitOf(2));
     expect(limit()).to.equal(2);
-    hear(named(0.5));
+    receive(limitOf(0.5));
     expect(limit()).to.equal(0.5);
-    hear(NONE);
+    receive(NONE);
     expect(limit()).to.equal(undefined);
-    expect(told).to.deep.equal(['back_end_limited', 'back_end_limited', 'back_end_unlimited']);
+    expect(logged).to.deep.equal(['back_end_limited', 'back_end_limited', 'back_end_unlimited']);
     expect(notices.totals).to.include({ limited: 0, limitsHeard: 3, malformed: 0 });
   });
 
-  it('are not taken back by an answer to a request from before', async () => {
+  it('keeps a rate limit when an answer to an earlier request has none', async () => {
     const sentBefore = clock.monotonic();
     await world.run(100);
-    hear(named(1));
-    hear(NONE, sentBefore);
+    receive(limitOf(1));
+    receive(NONE, sentBefore);
     expect(limit()).to.equal(1);
   });
 
-  it('are changed by no malformed word, which is counted each time and told once', () => {
-    hear(named(1));
-    hear(malformed);
-    hear(malformed);
+  it('ignores malformed fields, counts each, and logs them once', () => {
+    receive(limitOf(1));
+    receive(malformed);
+    receive(malformed);
     expect(limit()).to.equal(1);
-    expect(told).to.deep.equal(['back_end_limited', 'notice_malformed']);
+    expect(logged).to.deep.equal(['back_end_limited', 'notice_malformed']);
     expect(notices.totals.malformed).to.equal(2);
   });
 
-  it('go on being asked for where a back end takes nothing: only its answers can say that its need is over', () => {
-    hear(named(0));
+  it('raises a limit of zero to the minimum rate, so that answers can lift it', () => {
+    receive(limitOf(0));
     expect(limit()).to.equal(0.25);
   });
 
-  it('are taken from other daemons where they are newer', async () => {
+  it('accepts limits from other daemons only if they are newer', async () => {
     notices.hearFromPeer('b1', { heardAt: clock.monotonic() });
     expect(notices.lastHeard('b1'), 'nothing new').to.equal(undefined);
     notices.hearFromPeer('b1', { requestsPerSecond: 3, heardAt: clock.monotonic() });
     expect(limit()).to.equal(3);
     await world.run(100);
-    hear(named(1));
+    receive(limitOf(1));
     notices.hearFromPeer('b1', { requestsPerSecond: 3, heardAt: 50 });
     expect(limit(), 'older').to.equal(1);
     await world.run(200);
     notices.hearFromPeer('b1', { requestsPerSecond: 1, heardAt: 150 });
-    expect(notices.lastHeard('b1')?.heardAt, 'the same word').to.equal(100);
+    expect(notices.lastHeard('b1')?.heardAt, 'the same limit').to.equal(100);
     notices.hearFromPeer('b1', { heardAt: 160 });
     expect(limit()).to.equal(undefined);
   });
 
-  it('are news for others when an answer changes them, and not more than once a second while the limit only moves', async () => {
-    const news: (number | undefined)[] = [];
-    notices.onNews = (_backEndId, heard) => void news.push(heard.requestsPerSecond);
-    hear(named(1));
-    hear(named(2));
-    hear(NONE);
+  it('reports changes from answers to other daemons, and adjusted limits at most once per second', async () => {
+    const reports: (number | undefined)[] = [];
+    notices.onNews = (_backEndId, heard) => void reports.push(heard.requestsPerSecond);
+    receive(limitOf(1));
+    receive(limitOf(2));
+    receive(NONE);
     notices.hearFromPeer('b1', { requestsPerSecond: 5, heardAt: clock.monotonic() + 1 });
-    hear(named(5));
-    expect(news).to.deep.equal([1, undefined]);
+    receive(limitOf(5));
+    expect(reports).to.deep.equal([1, undefined]);
     await world.run(1000);
-    hear(named(3));
-    expect(news).to.deep.equal([1, undefined, 3]);
+    receive(limitOf(3));
+    expect(reports).to.deep.equal([1, undefined, 3]);
   });
 
-  it('end with their incarnation, and say nothing of another back end', () => {
-    hear(named(1));
+  it('keeps limits per back end, and removes them with the incarnation', () => {
+    receive(limitOf(1));
     expect(notices.requestsPerSecond('b2')).to.equal(undefined);
     notices.forget('b1');
     expect(limit()).to.equal(undefined);
--- a/packages/forwarding/test/parts.test.ts
+++ b/packages/forwarding/test/parts.test.ts
@@ -47,14 +47,14 @@
     expect(table.match('other.example', '/a/')?.name).to.equal('other');
   });
 
-  it('knows no route for other hosts and paths', () => {
+  it('returns no route for other hosts and paths', () => {
     expect(table.match('unknown', '/a/')).to.equal(undefined);
     expect(table.match('other.example', '/b/')).to.equal(undefined);
   });
 });
 
 describe('TrafficSplitter', () => {
-  it('gives each part its share, on one daemon and over several with few requests each', () => {
+  it('respects the weights over several daemons with few requests each', () => {
     const split = route('split', '/', [90, 10]);
     let second = 0;
     for (let daemon = 0; daemon < 40; daemon += 1) {
@@ -66,24 +66,24 @@
 });
 
 describe('RepeatBudget', () => {
-  it('bounds repeats in every window by a share of the requests and a fixed part for each daemon', async () => {
+  it('limits retries per window to a ratio of the requests plus a fixed share per daemon', async () => {
     const { world, process } = simulatedClock();
     const budget = new RepeatBudget({ ratio: 0.2, extra: 70, windowMs: 10_000, sharers: () => 7 }, process);
     let repeats = 0;
     for (let count = 0; count < 100; count += 1) {
       budget.recordRequest('s');
-      if (budget.tryRepeat('s')) repeats += 1;
+      if (budget.tryRetry('s')) repeats += 1;
     }
     expect(repeats).to.be.at.most(0.2 * 100 + 70 / 7);
     expect(repeats).to.be.greaterThan(10);
-    expect(budget.tryRepeat('other')).to.equal(true);
+    expect(budget.tryRetry('other')).to.equal(true);
     await world.run(10_001);
-    expect(budget.tryRepeat('s')).to.equal(true);
+    expect(budget.tryRetry('s')).to.equal(true);
   });
 });
 
 describe('EventSplitter', () => {
-  it('gives whole events and their ids, however the bytes are cut', () => {
+  it('returns complete events and their ids for any chunk boundaries', () => {
     const text = 'id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nretry: 9\n\n\nid:3\ndata: ü\n\ndata: id: 4\n\n';
     const bytes = Buffer.from(text);
     for (let seed = 0; seed < 50; seed += 1) {
@@ -98,19 +98,19 @@
       expect(Buffer.concat(events.map((event) => event.bytes)).toString()).to.equal(text);
       expect(events.map(({ id }) => id)).to.deep.equal(['1', '2', undefined, undefined, '3', undefined]);
       expect(events.map(({ isEvent }) => isEvent)).to.deep.equal([true, true, false, false, true, true]);
-      expect(splitter.partialBytes).to.equal(0);
+      expect(splitter.incompleteEventBytes).to.equal(0);
     }
   });
 
-  it('holds a torn event back', () => {
+  it('holds an incomplete event back', () => {
     const splitter = new EventSplitter();
     expect(splitter.push(Buffer.from('id: 1\ndata: a\n'))).to.deep.equal([]);
-    expect(splitter.partialBytes).to.equal(14);
+    expect(splitter.incompleteEventBytes).to.equal(14);
     expect(splitter.push(Buffer.from('\nid: 2\nda')).map(({ id }) => id)).to.deep.equal(['1']);
-    expect(splitter.partialBytes).to.equal('id: 2\nda'.length);
+    expect(splitter.incompleteEventBytes).to.equal('id: 2\nda'.length);
     const ended = new EventSplitter();
     ended.push(Buffer.from('id: 1\ndata: a\n\n: bye\n'));
-    expect(ended.partialBytes).to.equal(0);
+    expect(ended.incompleteEventBytes).to.equal(0);
   });
 });
 
@@ -121,45 +121,45 @@
   };
   const positionAfter = (...ids: readonly (string | undefined)[]): StreamPosition => {
     const position = new StreamPosition(undefined);
-    for (const id of ids) expect(position.take(event(id))).to.equal('follows');
+    for (const id of ids) expect(position.accept(event(id))).to.equal('follows');
     position.startRun();
     return position;
   };
 
-  it('goes on with another run at the very next event only', () => {
-    expect(positionAfter('1', '2').take(event('3'))).to.equal('follows');
-    expect(positionAfter('1').take(event('2'))).to.equal('follows');
-    expect(positionAfter('1', '2').take(event('1'))).to.equal('begins_anew');
-    expect(positionAfter('1', '2').take(event('2'))).to.equal('begins_anew');
-    expect(positionAfter('1', '2').take(event('4'))).to.equal('skips');
-    expect(positionAfter('1', '2').take(event())).to.equal('without_id');
-    expect(positionAfter('10', '20').take(event('30'))).to.equal('follows');
-    expect(positionAfter('10', '20').take(event('40'))).to.equal('skips');
-    expect(positionAfter('1', '2', '5').take(event('8'))).to.equal('follows');
-    expect(positionAfter('1', '2').judge([event('3'), event('3')])).to.equal('follows');
-    expect(positionAfter('1', '2').judge([event('2')])).to.equal('begins_anew');
-    expect(positionAfter().take(event('1'))).to.equal('follows');
+  it('continues with another run only at the next event', () => {
+    expect(positionAfter('1', '2').accept(event('3'))).to.equal('follows');
+    expect(positionAfter('1').accept(event('2'))).to.equal('follows');
+    expect(positionAfter('1', '2').accept(event('1'))).to.equal('begins_anew');
+    expect(positionAfter('1', '2').accept(event('2'))).to.equal('begins_anew');
+    expect(positionAfter('1', '2').accept(event('4'))).to.equal('skips');
+    expect(positionAfter('1', '2').accept(event())).to.equal('without_id');
+    expect(positionAfter('10', '20').accept(event('30'))).to.equal('follows');
+    expect(positionAfter('10', '20').accept(event('40'))).to.equal('skips');
+    expect(positionAfter('1', '2', '5').accept(event('8'))).to.equal('follows');
+    expect(positionAfter('1', '2').check([event('3'), event('3')])).to.equal('follows');
+    expect(positionAfter('1', '2').check([event('2')])).to.equal('begins_anew');
+    expect(positionAfter().accept(event('1'))).to.equal('follows');
   });
 
-  it('takes the event that a client has of an earlier answer for the last one', () => {
-    expect(new StreamPosition('12').take(event('13'))).to.equal('follows');
-    expect(new StreamPosition('12').take(event('1'))).to.equal('begins_anew');
-    expect(new StreamPosition('opaque').take(event('next'))).to.equal('follows');
+  it('starts after the event that the client has from an earlier answer', () => {
+    expect(new StreamPosition('12').accept(event('13'))).to.equal('follows');
+    expect(new StreamPosition('12').accept(event('1'))).to.equal('begins_anew');
+    expect(new StreamPosition('opaque').accept(event('next'))).to.equal('follows');
   });
 
-  it('knows ids that do not rise, and streams that no other run can be told to go on with', () => {
+  it('detects ids that do not increase, and streams that cannot be resumed', () => {
     const position = new StreamPosition(undefined);
-    for (const id of ['1', '2']) position.take(event(id));
-    expect(position.canBeTakenUp).to.equal(true);
-    expect(position.take(event('2'))).to.equal('not_rising');
-    expect(positionAfter('a', 'b').canBeTakenUp).to.equal(false);
-    expect(positionAfter(undefined).canBeTakenUp).to.equal(false);
-    expect(positionAfter().canBeTakenUp).to.equal(true);
+    for (const id of ['1', '2']) position.accept(event(id));
+    expect(position.canResume).to.equal(true);
+    expect(position.accept(event('2'))).to.equal('not_rising');
+    expect(positionAfter('a', 'b').canResume).to.equal(false);
+    expect(positionAfter(undefined).canResume).to.equal(false);
+    expect(positionAfter().canResume).to.equal(true);
   });
 });
 
 describe('BackendHealth', () => {
-  it('avoids what cannot be reached for a while, and longer each time', async () => {
+  it('avoids an unreachable back end for a time that grows with each failure', async () => {
     const { world, process } = simulatedClock();
     const health = new BackendHealth(process);
     health.record('b', 'unreachable');
@@ -173,7 +173,7 @@
     expect(health.isAvoided('b')).to.equal(false);
   });
 
-  it('tells one that fails from a service that fails', () => {
+  it('detects a failing back end as outlier, unless all of them fail', () => {
     const health = new BackendHealth(simulatedClock().process);
     const ids = ['b1', 'b2', 'b3'];
     for (let count = 0; count < 8; count += 1) health.record('b1', 'failed_answer');
@@ -182,7 +182,7 @@
     expect(health.isOutlier('b1', ids)).to.equal(false);
   });
 
-  it('measures slowness against the service', () => {
+  it('measures slowness relative to the service', () => {
     const health = new BackendHealth(simulatedClock().process);
     for (let count = 0; count < 40; count += 1) {
       health.record('slow', 'good', 5);
--- a/packages/forwarding/test/simulated-exchange.ts
+++ b/packages/forwarding/test/simulated-exchange.ts
@@ -1,4 +1,4 @@
-/** Exchanges, back ends and a dialect in memory, for tests of forwarding on virtual time. */
+/** In-memory exchanges, back ends and dialect for forwarding tests in virtual time. */
 import {
   BackendDirectory,
   LoadBook,
@@ -41,7 +41,7 @@
   PromptAffinity,
   RepeatBudget,
   ReplicaSelector,
-  silentJournal,
+  noopJournal,
   type ForwardingContext,
   type ResidencyClient,
   type ResidencyDemand,
@@ -52,21 +52,21 @@
   type WireDialect,
 } from '../src/index.js';
 
-/** Virtual time after which a request that has not ended never will, in milliseconds. */
-const LONGEST_REQUEST_MS = 60_000;
+/** Virtual time after which an unfinished request fails the test, in milliseconds. */
+const MAX_REQUEST_MS = 60_000;
 
-/** What a back end does with a request. */
+/** Answers the requests to one back end. */
 export type BackendScript = (call: BackendCall, world: ForwardingWorld) => Promise<BackendAnswer>;
 
-/** How a client behaves while it is answered. */
+/** Behaviour of a client while it receives an answer. */
 export interface ClientBehaviour {
-  /** It leaves after so many milliseconds; it stays when absent. */
+  /** Milliseconds after which the client disconnects; it stays connected when absent. */
   readonly leavesAfterMs?: number | undefined;
-  /** Resolves once the client has taken a piece of a stream. */
-  readonly take?: () => Promise<void>;
+  /** Resolves once the client has read a chunk of a stream. */
+  readonly drain?: () => Promise<void>;
 }
 
-/** An exchange that keeps what it was answered with. */
+/** Exchange that records its answer. */
 export class SimulatedExchange implements IncomingExchange {
   readonly method = 'POST';
   readonly rawHeaders: string[];
@@ -74,15 +74,14 @@
   status = 0;
   answerHeaders: readonly string[] = [];
   body = '';
-  /** How it ended. */
   ending: 'open' | 'complete' | 'aborted' = 'open';
-  /** What was written beside the one answer, while the client was there: a second head, or bytes after the end. */
-  readonly surplus: string[] = [];
+  /** Writes that violate the protocol while the client is connected: a second head, or data after the end. */
+  readonly unexpectedWrites: string[] = [];
 
   constructor(
     readonly target: string,
     readonly headers: Record<string, string | undefined>,
-    private readonly take: () => Promise<void> = () => Promise.resolve(),
+    private readonly drain: () => Promise<void> = () => Promise.resolve(),
   ) {
     this.rawHeaders = Object.entries(headers).flatMap(([name, value]) =>
       value === undefined ? [] : [name, value],
@@ -108,7 +107,7 @@
     return {
       write: async (chunk) => {
         if (this.isOpenFor('bytes')) this.body += Buffer.from(chunk).toString();
-        await this.take();
+        await this.drain();
       },
       end: () => {
         if (this.isOpenFor('an end')) this.ending = 'complete';
@@ -123,7 +122,7 @@
     if (this.ending === 'open') this.ending = 'aborted';
   }
 
-  /** The client goes; what is written from now on does not reach it. */
+  /** Disconnects the client; later writes are ignored. */
   leave(): void {
     this.abort();
     this.controller.abort();
@@ -131,7 +130,7 @@
 
   private begin(head: ResponseHead): boolean {
     if (!this.isOpenFor('a head')) return false;
-    if (this.status !== 0) this.surplus.push(`a second head of status ${String(head.status)}`);
+    if (this.status !== 0) this.unexpectedWrites.push(`a second head of status ${String(head.status)}`);
     this.status = head.status;
     this.answerHeaders = head.headers;
     return true;
@@ -139,7 +138,7 @@
 
   private isOpenFor(what: string): boolean {
     if (this.ending === 'open') return true;
-    if (!this.signal.aborted) this.surplus.push(`${what} after the end`);
+    if (!this.signal.aborted) this.unexpectedWrites.push(`${what} after the end`);
     return false;
   }
 }
@@ -169,7 +168,7 @@
   readNotice: () => EMPTY_NOTICE,
 };
 
-/** A forwarder on virtual time. */
+/** Forwarder with scripted back ends in virtual time. */
 export class ForwardingWorld {
   readonly world = new SimulatedWorld();
   readonly process = new SimulatedProcess(this.world, { name: 'd', zone: 'a', region: 'r' });
@@ -178,7 +177,7 @@
   readonly stop = new AbortController();
   readonly calls: BackendCall[] = [];
   readonly demands: ResidencyDemand[] = [];
-  /** Causes of refusals, as journaled. */
+  /** Causes of refusals from the journal. */
   readonly refusals: string[] = [];
   /** Answers demands; refuses them at once by default. */
   residency: (demand: ResidencyDemand) => Promise<ResidencyOutcome> = () =>
@@ -186,15 +185,15 @@
   readonly forwarder: Forwarder;
   private readonly configuration = new ConfigurationHolder();
   readonly scripts = new Map<string, BackendScript>();
-  /** What a back end says when it is asked whether it runs. */
+  /** Result of probing whether the process of a back end runs. */
   probe: (backEnd: BackEnd) => ProcessAnswer = () => 'running';
-  /** Records that the quarantine has written. */
+  /** Verdicts that the quarantine has stored. */
   readonly quarantineRecords: QuarantineRecord[] = [];
   readonly quarantine: RequestQuarantine;
   private readonly health = new Map<string, BackendHealth>();
-  /** Hands out permits to send; for all that is asked for by default. */
+  /** Grants permits to send; grants all by default. */
   permits: SendPermits = { waitMs: () => 0, acquire: () => Promise.resolve(FREE_PERMIT) };
-  /** Answers wishes of tenants; grants them all by default. */
+  /** Answers quota requests of tenants; grants all by default. */
   quota: RequestQuota['acquire'] = () =>
     Promise.resolve({ kind: 'granted', ticket: { isValid: () => true, giveBack: () => undefined } });
 
@@ -252,13 +251,13 @@
     return backEnd;
   }
 
-  /** Sends a request and resolves once it has been answered or ended. @throws Error when that never happens. */
+  /** Sends a request and resolves once it has ended. @throws Error if it does not end within the maximum time. */
   async ask(
     headers: Record<string, string> = {},
     target = '/r0/',
     client: ClientBehaviour = {},
   ): Promise<SimulatedExchange> {
-    const exchange = new SimulatedExchange(target, { host: 'host', id: 'x', ...headers }, client.take);
+    const exchange = new SimulatedExchange(target, { host: 'host', id: 'x', ...headers }, client.drain);
     let settled = false;
     const handled = this.forwarder.handle(exchange).finally(() => (settled = true));
     const { leavesAfterMs } = client;
@@ -267,13 +266,13 @@
         exchange.leave();
       });
     }
-    await this.world.run(this.world.now + LONGEST_REQUEST_MS, () => settled);
+    await this.world.run(this.world.now + MAX_REQUEST_MS, () => settled);
     if (!settled) throw new Error('the request never ended');
     await handled;
     return exchange;
   }
 
-  /** Resolves after virtual time. */
+  /** Resolves after a duration in virtual time. */
   wait(durationMs: number): Promise<void> {
     return new Promise((resolve) => {
       this.process.schedule(durationMs, resolve);
@@ -288,7 +287,7 @@
         this.calls.push(call);
         const script = this.scripts.get(call.address);
         return script === undefined
-          ? Promise.reject(new HttpNotSentError('nobody'))
+          ? Promise.reject(new HttpNotSentError('no such back end'))
           : abortable(script(call, this), call);
       },
     };
@@ -329,16 +328,16 @@
       quota: { acquire: (...wish) => this.quota(...wish) },
       quarantine: this.quarantine,
       journal: {
-        ...silentJournal,
+        ...noopJournal,
         decided: (decision, _id, { cause }) => {
           if (decision === 'request_refused') this.refusals.push(String(cause));
         },
       },
       stopWaiting: this.stop.signal,
       healthOf: (name) => {
-        const known = this.health.get(name) ?? new BackendHealth(this.process);
-        this.health.set(name, known);
-        return known;
+        const health = this.health.get(name) ?? new BackendHealth(this.process);
+        this.health.set(name, health);
+        return health;
       },
     };
   }
@@ -378,7 +377,7 @@
   });
 }
 
-/** An answer whose body stops without an end. */
+/** Builds an answer whose body stalls after the text. */
 export function stalled(status: number, text: string): BackendAnswer {
   async function* body(): AsyncGenerator<Uint8Array> {
     yield encodeText(text);
@@ -387,12 +386,12 @@
   return { ...answer(status), body: body() };
 }
 
-/** An answer that has no length: its body ends with its connection. */
+/** Builds an answer without a length, whose body ends with its connection. */
 export function unframed(status: number, ...pieces: string[]): BackendAnswer {
   return { ...answer(status, ...pieces), endsWithConnection: true };
 }
 
-/** An answer with the given pieces; a piece that is an error breaks it off. One that begins with an event is a stream. */
+/** Builds an answer from chunks; an error breaks the body, and a first chunk that is an event makes it a stream. */
 export function answer(status: number, ...pieces: (string | Error)[]): BackendAnswer {
   async function* body(): AsyncGenerator<Uint8Array> {
     for (const piece of pieces) {
