--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -34,20 +34,20 @@
 import { sleep, tlsFromFiles, type HttpServer } from '@woodbarrow/runtime';
 import type { Settings } from '@woodbarrow/settings';
 import { registerMetrics } from './daemon-metrics.js';
-import type { DaemonEnvironment } from './environment.js';
-import { LEDGER_GROUP, coordinatorGroup, relayGroup } from './groups.js';
+import type { DaemonEnvironment } from './daemon-environment.js';
+import { LEDGER_GROUP, coordinatorGroup, relayGroup } from './lease-groups.js';
 import { withHealth } from './health.js';
 import { SeedSource } from './seed-source.js';
 
 const MAXIMUM_KEY_LIFETIME_MS = 86_400_000;
-const LEDGER_VOTERS = 5;
+const LEDGER_VOTER_COUNT = 5;
 const DRAIN_POLL_MS = 100;
 /** Longest time a planned stop waits for others to take over this daemon's queues and votes. */
-const HAND_OVER_LIMIT_MS = 10_000;
+const HANDOVER_TIMEOUT_MS = 10_000;
 /** Time for word of the leave to spread before queues are expected to empty. */
-const HAND_OVER_MINIMUM_MS = 1500;
+const HANDOVER_MIN_WAIT_MS = 1500;
 /** Part of the grace that is kept for answers which have begun. */
-const FINISH_MARGIN_MS = 30_000;
+const RESPONSE_COMPLETION_MARGIN_MS = 30_000;
 const INSTANCE_STEPS_PER_MS = 1000;
 
 /** Where a daemon is in its life. */
@@ -70,7 +70,7 @@
   private readonly coordinatorLease: LeaseCandidate;
   private readonly relayLease: LeaseCandidate;
   private readonly ledgerLease: LeaseCandidate;
-  private readonly keepers: readonly VoterSetKeeper[];
+  private readonly voterSetKeepers: readonly VoterSetKeeper[];
   private readonly jobs: JobService;
   private readonly locator: LeaseLocator;
   private readonly seeds: SeedSource;
@@ -121,7 +121,7 @@
     this.coordinatorLease = this.leaseCandidate(coordinatorGroup(zone));
     this.relayLease = this.leaseCandidate(relayGroup(zone));
     this.ledgerLease = this.leaseCandidate(LEDGER_GROUP);
-    this.keepers = [
+    this.voterSetKeepers = [
       new VoterSetKeeper({
         ...common,
         group: coordinatorGroup(zone),
@@ -138,7 +138,7 @@
         membership,
         platform: this.platform,
         electorate: () => membership.eligible(),
-        size: LEDGER_VOTERS,
+        size: LEDGER_VOTER_COUNT,
         spreadOverZones: true,
       }),
     ];
@@ -257,7 +257,7 @@
     this.queues.start();
     this.jobs.start();
     for (const candidate of this.candidates()) candidate.start();
-    for (const keeper of this.keepers) keeper.start();
+    for (const keeper of this.voterSetKeepers) keeper.start();
     await this.listen();
     this.currentState = 'running';
     this.environment.log.changed('daemon_started', { addresses: this.addresses });
@@ -265,7 +265,7 @@
 
   /** A planned stop: takes no new requests, hands its roles over, finishes what is in progress, then ends. */
   drain(): Promise<void> {
-    this.draining ??= this.stopAsPlanned();
+    this.draining ??= this.drainAndStop();
     return this.draining;
   }
 
@@ -280,23 +280,25 @@
     for (const part of [this.membership, this.relay, this.ledger, this.queues, this.jobs, this.seeds])
       part.abort();
     for (const candidate of this.candidates()) candidate.abort();
-    for (const keeper of this.keepers) keeper.abort();
+    for (const keeper of this.voterSetKeepers) keeper.abort();
     this.coordinator.abort();
   }
 
-  private async stopAsPlanned(): Promise<void> {
+  private async drainAndStop(): Promise<void> {
     const { clock, log } = this.environment;
     this.currentState = 'draining';
     log.changed('daemon_draining');
     await this.membership.announceLeaving();
-    await Promise.all(this.keepers.map((keeper) => keeper.stop()));
+    await Promise.all(this.voterSetKeepers.map((keeper) => keeper.stop()));
     await Promise.all(this.candidates().map((candidate) => candidate.stop()));
-    const graceEnds = clock.monotonic() + this.settings.shutdown.graceSeconds * 1000;
-    this.router.refuseWaitingBeyond(graceEnds - FINISH_MARGIN_MS);
-    const handedOverBy = clock.monotonic() + HAND_OVER_LIMIT_MS;
-    await sleep(clock, HAND_OVER_MINIMUM_MS);
-    while (clock.monotonic() < handedOverBy && !this.isHandedOver()) await sleep(clock, DRAIN_POLL_MS);
-    while (clock.monotonic() < graceEnds && this.requestsInProgress() > 0) await sleep(clock, DRAIN_POLL_MS);
+    const graceDeadline = clock.monotonic() + this.settings.shutdown.graceSeconds * 1000;
+    this.router.refuseWaitingBeyond(graceDeadline - RESPONSE_COMPLETION_MARGIN_MS);
+    const handoverDeadline = clock.monotonic() + HANDOVER_TIMEOUT_MS;
+    await sleep(clock, HANDOVER_MIN_WAIT_MS);
+    while (clock.monotonic() < handoverDeadline && !this.isHandoverComplete())
+      await sleep(clock, DRAIN_POLL_MS);
+    while (clock.monotonic() < graceDeadline && this.requestsInProgress() > 0)
+      await sleep(clock, DRAIN_POLL_MS);
     log.changed('daemon_stopping', { unfinished: this.requestsInProgress() });
     await this.membership.leave();
     for (const server of this.servers) await server.close();
@@ -314,10 +316,10 @@
   }
 
   /** Whether no queue here has waiters and no voter set names this daemon any more. */
-  private isHandedOver(): boolean {
+  private isHandoverComplete(): boolean {
     const groups = [coordinatorGroup(this.settings.zone), LEDGER_GROUP];
-    const votes = groups.some((group) => this.isVoter(readVoterSets(this.store, group)));
-    return !votes && this.queues.waiting === 0;
+    const isStillVoter = groups.some((group) => this.isVoter(readVoterSets(this.store, group)));
+    return !isStillVoter && this.queues.waiting === 0;
   }
 
   private isVoter(sets: VoterSets | undefined): boolean {
--- a/packages/daemon/src/index.ts
+++ b/packages/daemon/src/index.ts
@@ -1,5 +1,5 @@
 /** One daemon, put together. */
 export * from './daemon.js';
-export * from './environment.js';
-export * from './groups.js';
+export * from './daemon-environment.js';
+export * from './lease-groups.js';
 export * from './system-environment.js';
--- a/packages/daemon/src/seed-source.ts
+++ b/packages/daemon/src/seed-source.ts
@@ -2,12 +2,12 @@
 import type { Machine, MachineListClient } from '@woodbarrow/object-store';
 import { TaskGroup, type Clock } from '@woodbarrow/runtime';
 
-const REFRESH_MS = 30_000;
-const RETRY_MS = 1000;
+const REFRESH_INTERVAL_MS = 30_000;
+const RETRY_INTERVAL_MS = 1000;
 
 /** Reads the machine list now and then. */
 export class SeedSource {
-  private listed: readonly Machine[] = [];
+  private listedMachines: readonly Machine[] = [];
   private readonly tasks: TaskGroup;
 
   constructor(
@@ -20,12 +20,12 @@
 
   /** Addresses known now. */
   addresses(): readonly string[] {
-    return [...this.configured, ...this.listed.map((machine) => machine.address)];
+    return [...this.configured, ...this.listedMachines.map((machine) => machine.address)];
   }
 
   /** Names of a zone's daemons by the list. */
   daemonsIn(zone: string): readonly string[] {
-    return this.listed.filter((machine) => machine.zone === zone).map((machine) => machine.id);
+    return this.listedMachines.filter((machine) => machine.zone === zone).map((machine) => machine.id);
   }
 
   /** Reads the list once, then keeps reading it in the background. A list that cannot be read is left as it was. */
@@ -33,7 +33,7 @@
     await this.refresh().catch(() => undefined);
     this.tasks.loop(
       'seeds.refresh',
-      () => (this.listed.length === 0 ? RETRY_MS : REFRESH_MS),
+      () => (this.listedMachines.length === 0 ? RETRY_INTERVAL_MS : REFRESH_INTERVAL_MS),
       () => this.refresh(),
     );
   }
@@ -44,6 +44,6 @@
   }
 
   private async refresh(): Promise<void> {
-    this.listed = await this.machines.list({ kind: 'daemon' });
+    this.listedMachines = await this.machines.list({ kind: 'daemon' });
   }
 }
--- a/packages/daemon/src/system-environment.ts
+++ b/packages/daemon/src/system-environment.ts
@@ -9,7 +9,7 @@
   tlsFromFiles,
 } from '@woodbarrow/runtime';
 import type { Settings } from '@woodbarrow/settings';
-import type { DaemonEnvironment } from './environment.js';
+import type { DaemonEnvironment } from './daemon-environment.js';
 
 /** Makes the environment that the settings ask for. */
 export function createSystemEnvironment(settings: Settings): DaemonEnvironment {
--- a/packages/serving/src/backend-notice-service.ts
+++ b/packages/serving/src/backend-notice-service.ts
@@ -33,7 +33,7 @@
 }
 
 /** Time for which the notices of a back end are kept whose record has vanished, in milliseconds: records lapse while the store is in trouble. */
-const GONE_MEMORY_MS = 60_000;
+const REMOVED_BACK_END_RETENTION_MS = 60_000;
 
 /** Notices of one daemon. */
 export class BackendNoticeService {
@@ -41,9 +41,9 @@
   /** Permits for sends, under all that back ends ask for. */
   readonly permits: SendPermits;
   private readonly rateLimits: RateLimitGate;
-  private readonly granters: RateLimitService;
+  private readonly rateLimitAllocators: RateLimitService;
   /** Back ends that are gone, the first of them first. */
-  private readonly gone: { readonly backEndId: string; readonly at: number }[] = [];
+  private readonly removedBackEnds: { readonly backEndId: string; readonly at: number }[] = [];
 
   constructor(private readonly options: BackendNoticeServiceOptions) {
     const { directory, announce, clock, log } = options;
@@ -57,25 +57,25 @@
     const zoneOf = (backEndId: string): string | undefined => directory.get(backEndId)?.zone;
     this.rateLimits = new RateLimitGate({ ...options, notices: this.notices, zoneOf });
     this.permits = new NoticeGate(this.notices.pauses, this.rateLimits);
-    this.granters = new RateLimitService({ ...options, notices: this.notices });
+    this.rateLimitAllocators = new RateLimitService({ ...options, notices: this.notices });
   }
 
   /** Starts answering other daemons. The peer network must be listening. */
   start(): void {
-    this.granters.start();
+    this.rateLimitAllocators.start();
   }
 
   /** Takes what other daemons heard. */
-  take(news: readonly BackendNews[]): void {
+  applyPeerNews(news: readonly BackendNews[]): void {
     for (const item of news) {
       // Of a back end that is not known yet, its first answer tells.
       if (this.options.directory.get(item.backEndId) === undefined) continue;
-      this.takeOne(item);
+      this.applyNews(item);
     }
   }
 
   /** A daemon of a newer build may tell what this one does not know: that changes nothing here. */
-  private takeOne(news: BackendNews): void {
+  private applyNews(news: BackendNews): void {
     switch (news.kind) {
       case 'leaving':
         this.noteLeaving(news.backEndId, 'peer');
@@ -99,12 +99,15 @@
   }
 
   /** A back end is gone from the directory. Its record may come back, and what it asked for still holds then. */
-  noteGone(backEndId: string): void {
+  noteRemoved(backEndId: string): void {
     const now = this.options.clock.monotonic();
-    this.gone.push({ backEndId, at: now });
-    while (this.gone[0] !== undefined && now - this.gone[0].at > GONE_MEMORY_MS) {
-      const { backEndId: oldest } = this.gone[0];
-      this.gone.shift();
+    this.removedBackEnds.push({ backEndId, at: now });
+    while (
+      this.removedBackEnds[0] !== undefined &&
+      now - this.removedBackEnds[0].at > REMOVED_BACK_END_RETENTION_MS
+    ) {
+      const { backEndId: oldest } = this.removedBackEnds[0];
+      this.removedBackEnds.shift();
       if (this.options.directory.get(oldest) === undefined) this.forget(oldest);
     }
   }
@@ -112,6 +115,6 @@
   private forget(backEndId: string): void {
     this.notices.forget(backEndId);
     this.rateLimits.forget(backEndId);
-    this.granters.forget(backEndId);
+    this.rateLimitAllocators.forget(backEndId);
   }
 }
--- a/packages/serving/src/deployment-view.ts
+++ b/packages/serving/src/deployment-view.ts
@@ -9,11 +9,11 @@
 
 /** Sink of a daemon's feed. */
 export class DeploymentView implements DeploymentSink {
-  private listed = false;
+  private areBackEndsListed = false;
   private isQuarantineListed = false;
 
   constructor(
-    private readonly holder: ConfigurationHolder,
+    private readonly configurationHolder: ConfigurationHolder,
     private readonly directory: BackendDirectory,
     private readonly quarantine: RequestQuarantine,
     private readonly log: EventLog,
@@ -22,12 +22,14 @@
 
   /** Whether configuration, back ends and quarantined contents have been read. */
   get isComplete(): boolean {
-    return this.listed && this.isQuarantineListed && this.holder.current !== undefined;
+    return (
+      this.areBackEndsListed && this.isQuarantineListed && this.configurationHolder.current !== undefined
+    );
   }
 
   configuration(configuration: ForwardingConfiguration): void {
-    const before = this.holder.current?.version;
-    if (!this.holder.apply(configuration)) return;
+    const before = this.configurationHolder.current?.version;
+    if (!this.configurationHolder.apply(configuration)) return;
     this.onLimits(configuration.limits);
     this.log.changed('configuration_applied', {
       version: configuration.version,
@@ -38,7 +40,7 @@
   }
 
   backEndsListed(backEnds: readonly BackEnd[], origin: ListingOrigin): void {
-    this.listed = true;
+    this.areBackEndsListed = true;
     if (origin === 'restored_store') this.directory.restoreAll(backEnds);
     else this.directory.replaceAll(backEnds);
     this.log.changed('back_ends_listed', { count: backEnds.length, origin });
--- a/packages/serving/src/index.ts
+++ b/packages/serving/src/index.ts
@@ -1,6 +1,6 @@
 /** One serving daemon, put together from its parts. */
 export * from './deployment-view.js';
-export * from './journal.js';
+export * from './logged-journal.js';
 export * from './member-registration.js';
 export * from './ports.js';
 export * from './record-follower.js';
--- a/packages/serving/src/journal.ts
+++ b/packages/serving/src/logged-journal.ts
@@ -4,7 +4,7 @@
 import type { ServingMetrics } from './serving-metrics.js';
 
 /** Decisions that say that something went wrong. */
-const FAILURES: ReadonlySet<RequestDecision> = new Set([
+const WARNING_DECISIONS: ReadonlySet<RequestDecision> = new Set([
   'request_refused',
   'request_failed',
   'request_declined',
@@ -22,14 +22,14 @@
   ) {}
 
   decided(decision: RequestDecision, requestId: string, facts: DecisionFacts): void {
-    this.metrics.decided(decision);
-    if (decision === 'take_up_refused') this.metrics.takeUpRefused(String(facts['reason']));
+    this.metrics.countDecision(decision);
+    if (decision === 'take_up_refused') this.metrics.countRefusedResume(String(facts['reason']));
     const details = { request: requestId, ...facts };
-    if (FAILURES.has(decision)) this.log.warned(decision, details);
+    if (WARNING_DECISIONS.has(decision)) this.log.warned(decision, details);
     else this.log.routine(decision, details);
   }
 
   ended(_route: string, outcome: string, durationMs: number): void {
-    this.metrics.ended(outcome, durationMs);
+    this.metrics.recordRequestEnd(outcome, durationMs);
   }
 }
--- a/packages/serving/src/record-watch.ts
+++ b/packages/serving/src/record-watch.ts
@@ -32,43 +32,43 @@
  * at most 0.7 s to follow it and to pass a change on to all: 2.7 s in all, while a worker that leaves may get requests for
  * 3.0 s after its word. With 2500 ms, 12 of 20 daemons on virtual time had not heard of it after 2.9 s.
  */
-const WATCH_WAIT_MS = 1000;
+const DEFAULT_WATCH_WAIT_MS = 1000;
 /** While the store need not be followed, this is looked at again after so many milliseconds at most. */
-const IDLE_WAIT_MS = 1000;
-const RETRY = { initialMs: 100, maximumMs: 800 };
+const IDLE_CHECK_INTERVAL_MS = 1000;
+const RETRY_BACKOFF = { initialMs: 100, maximumMs: 800 };
 /** A newer record elsewhere is looked for after this long: watches are answered at different moments. */
-const BEHIND_PATIENCE_MS = 700;
+const STALE_WATCH_TIMEOUT_MS = 700;
 
 /** Watch of the records of one kind. */
 export class RecordWatch {
-  private wanted = true;
-  private following = false;
-  private cutShort: AbortController | undefined;
+  private isWanted = true;
+  private isStoreResponding = false;
+  private watchAbort: AbortController | undefined;
   private readonly wakeup = new Wakeup();
 
-  private readonly behind: BehindTracker;
+  private readonly staleness: BehindTracker;
 
   constructor(private readonly options: RecordWatchOptions) {
-    this.behind = new BehindTracker(options.clock, () => options.set.position);
+    this.staleness = new BehindTracker(options.clock, () => options.set.position);
   }
 
   /** Whether the store answers, and no other daemon is ahead. */
   get isFollowing(): boolean {
-    return this.following && !this.behind.isBehind;
+    return this.isStoreResponding && !this.staleness.isBehind;
   }
 
   /** Whether the store is to be followed. A watch under way ends by itself. */
   setWanted(wanted: boolean): void {
-    this.wanted = wanted;
+    this.isWanted = wanted;
     if (wanted) this.wakeup.wake();
   }
 
   /** Another daemon has come this far. */
   noteElsewhere(position: RecordPosition): void {
-    this.behind.note(position);
-    if (this.behind.behindMs < BEHIND_PATIENCE_MS) return;
-    this.behind.restart();
-    this.cutShort?.abort();
+    this.staleness.note(position);
+    if (this.staleness.behindMs < STALE_WATCH_TIMEOUT_MS) return;
+    this.staleness.restart();
+    this.watchAbort?.abort();
   }
 
   /** Follows until `signal` aborts. */
@@ -77,34 +77,35 @@
     let position: StorePosition | undefined;
     let failures = 0;
     while (!signal.aborted) {
-      if (!this.wanted) {
+      if (!this.isWanted) {
         position = undefined;
-        this.following = false;
-        await this.wakeup.wait(clock, IDLE_WAIT_MS, signal);
+        this.isStoreResponding = false;
+        await this.wakeup.wait(clock, IDLE_CHECK_INTERVAL_MS, signal);
         continue;
       }
       try {
-        position = position === undefined ? await this.list() : await this.wait(position, signal);
+        position =
+          position === undefined ? await this.listRecords() : await this.waitForChanges(position, signal);
         if (failures > 0) log.changed('store_regained', { kind: set.source, failures });
         failures = 0;
-        this.following = true;
+        this.isStoreResponding = true;
       } catch (error) {
         position = undefined;
-        this.following = false;
-        if (failures === 0) this.noteLost(error);
-        await sleep(clock, backoffDelay(RETRY, failures, random), signal);
+        this.isStoreResponding = false;
+        if (failures === 0) this.reportStoreLost(error);
+        await sleep(clock, backoffDelay(RETRY_BACKOFF, failures, random), signal);
         failures += 1;
       }
     }
   }
 
-  private noteLost(error: unknown): void {
+  private reportStoreLost(error: unknown): void {
     const { log, set, onLost } = this.options;
     log.warned('store_lost', { kind: set.source, cause: messageOf(error) });
     onLost();
   }
 
-  private async list(): Promise<StorePosition> {
+  private async listRecords(): Promise<StorePosition> {
     const { store, set, log } = this.options;
     const { records, at } = await store.listAll(set.source);
     const { era: knownEra, revision: known } = set.position;
@@ -116,16 +117,16 @@
   }
 
   /** Waits for changes. Returns the position to go on from, or undefined to list again. */
-  private async wait(from: StorePosition, signal: AbortSignal): Promise<StorePosition | undefined> {
-    const { store, set, clock, log, pauseMs, waitMs = WATCH_WAIT_MS } = this.options;
-    const cutShort = new AbortController();
-    this.cutShort = cutShort;
+  private async waitForChanges(from: StorePosition, signal: AbortSignal): Promise<StorePosition | undefined> {
+    const { store, set, clock, log, pauseMs, waitMs = DEFAULT_WATCH_WAIT_MS } = this.options;
+    const watchAbort = new AbortController();
+    this.watchAbort = watchAbort;
     const stop = (): void => {
-      cutShort.abort();
+      watchAbort.abort();
     };
     signal.addEventListener('abort', stop);
     try {
-      const result = await store.watch(set.source, from.revision, waitMs, cutShort.signal);
+      const result = await store.watch(set.source, from.revision, waitMs, watchAbort.signal);
       if (result.kind === 'history_gone') {
         log.changed('store_history_gone', { kind: set.source, ...from });
         return undefined;
@@ -134,10 +135,10 @@
       if (result.at.era !== from.era || set.position.era !== from.era) return undefined;
       for (const change of result.changes) this.apply(change);
       set.noteComplete(result.at.revision);
-      if (result.changes.length > 0) await sleep(clock, pauseMs, cutShort.signal);
-      return cutShort.signal.aborted ? undefined : result.at;
+      if (result.changes.length > 0) await sleep(clock, pauseMs, watchAbort.signal);
+      return watchAbort.signal.aborted ? undefined : result.at;
     } catch (error) {
-      if (!cutShort.signal.aborted || signal.aborted) throw error;
+      if (!watchAbort.signal.aborted || signal.aborted) throw error;
       log.changed('store_watch_behind', { kind: set.source, ...from, newest: set.position.revision });
       return undefined;
     } finally {
--- a/packages/serving/src/serving-daemon.ts
+++ b/packages/serving/src/serving-daemon.ts
@@ -29,7 +29,7 @@
 } from '@woodbarrow/runtime';
 import { BackendNoticeService } from './backend-notice-service.js';
 import { DeploymentView } from './deployment-view.js';
-import { LoggedJournal } from './journal.js';
+import { LoggedJournal } from './logged-journal.js';
 import { ServingMetrics } from './serving-metrics.js';
 import { MemberRegistration } from './member-registration.js';
 import type { ServingPorts } from './ports.js';
@@ -39,7 +39,7 @@
 /** Name under which daemons accept each other's connections. */
 const PEER_DEPLOYMENT = 'woodbarrow-serving';
 /** Limits until the configuration has been read. */
-const FIRST_LIMITS: IngressLimits = {
+const INITIAL_INGRESS_LIMITS: IngressLimits = {
   maximumHeaderBytes: 16_384,
   headerTimeoutMs: 3000,
   idleTimeoutMs: 15_000,
@@ -61,9 +61,9 @@
  * Time after the word to stop in which requests are still taken: clients are led elsewhere after two missed looks
  * at the readiness, a second apart. What is taken later may not end within the grace.
  */
-const LEAVE_ENTRY_MS = 2600;
+const DRAIN_ACCEPT_MS = 2600;
 /** Time kept at the end of the grace for the process to end, in milliseconds. */
-const STOP_MARGIN_MS = 500;
+const STOP_EXIT_MARGIN_MS = 500;
 const STOP_POLL_MS = 50;
 
 /** A daemon from start to stop. */
@@ -85,7 +85,7 @@
   private readonly exchange: PeerExchange;
   private readonly forwarder: Forwarder;
   private readonly metrics: ServingMetrics;
-  private readonly view: DeploymentView;
+  private readonly deploymentView: DeploymentView;
   private readonly tasks: TaskGroup;
   private readonly failures: CallFailures;
   private readonly registration: MemberRegistration;
@@ -93,9 +93,9 @@
   private readiness: NodeIngress | undefined;
   private metricsServer: NodeIngress | undefined;
   private readonly stopWaiting = new AbortController();
-  private stopping = false;
+  private isStopping = false;
   /** The planned stop, once it has begun. */
-  private stopped: Promise<void> | undefined;
+  private stopCompletion: Promise<void> | undefined;
 
   constructor(
     private readonly settings: ServingSettings,
@@ -112,8 +112,12 @@
     this.quarantine = this.createQuarantine();
     const { directory, quarantine: contents } = this;
     this.loadQuarantine = new LoadQuarantine({ contents, directory, clock, log });
-    this.view = new DeploymentView(this.configuration, this.directory, this.quarantine, log, (limits) =>
-      this.ingress?.setLimits(limits),
+    this.deploymentView = new DeploymentView(
+      this.configuration,
+      this.directory,
+      this.quarantine,
+      log,
+      (limits) => this.ingress?.setLimits(limits),
     );
     this.peers = new PeerNetwork({
       transport,
@@ -142,7 +146,7 @@
     this.directory.events.on('removed', (backEnd) => {
       this.affinity.forget(backEnd.id);
       this.health.get(backEnd.service)?.forget(backEnd.id);
-      this.noticeService.noteGone(backEnd.id);
+      this.noticeService.noteRemoved(backEnd.id);
       ports.client.forget(backEnd.address);
     });
     this.directory.events.on('residency', ({ backEndId, target, resident }) => {
@@ -152,7 +156,7 @@
 
   /** Whether new requests should come here. */
   get isReady(): boolean {
-    return !this.stopping && this.view.isComplete;
+    return !this.isStopping && this.deploymentView.isComplete;
   }
 
   /** Starts listening and following the deployment. */
@@ -161,7 +165,7 @@
     this.readiness = await NodeIngress.listen(settings.readinessAddress, READINESS_LIMITS, (exchange) =>
       this.answerReadiness(exchange),
     );
-    this.ingress = await NodeIngress.listen(settings.ingressAddress, FIRST_LIMITS, (exchange) =>
+    this.ingress = await NodeIngress.listen(settings.ingressAddress, INITIAL_INGRESS_LIMITS, (exchange) =>
       this.forwarder.handle(exchange),
     );
     await this.startMetrics();
@@ -182,22 +186,25 @@
    * asked for again is the one under way.
    */
   stop(): Promise<void> {
-    this.stopped ??= this.carryOutStop();
-    return this.stopped;
+    this.stopCompletion ??= this.drainAndStop();
+    return this.stopCompletion;
   }
 
-  private async carryOutStop(): Promise<void> {
-    this.stopping = true;
+  private async drainAndStop(): Promise<void> {
+    this.isStopping = true;
     const { clock } = this.ports;
     const startedAt = clock.monotonic();
     const elapsed = (): number => clock.monotonic() - startedAt;
     this.log.changed('daemon_stopping', { inProgress: this.ingress?.inProgress });
     this.ingress?.startDraining();
     await Promise.all([this.residency.leave(), this.membership.announceLeaving()]);
-    await sleep(clock, LEAVE_ENTRY_MS - elapsed());
+    await sleep(clock, DRAIN_ACCEPT_MS - elapsed());
     this.ingress?.closeIdle();
     this.stopWaiting.abort();
-    while ((this.ingress?.inProgress ?? 0) > 0 && elapsed() < this.settings.stopGraceMs - STOP_MARGIN_MS) {
+    while (
+      (this.ingress?.inProgress ?? 0) > 0 &&
+      elapsed() < this.settings.stopGraceMs - STOP_EXIT_MARGIN_MS
+    ) {
       await sleep(clock, STOP_POLL_MS);
     }
     this.log.changed('daemon_stopped', {
@@ -209,7 +216,7 @@
 
   /** Ends everything at once, as a crash would. */
   async abort(): Promise<void> {
-    this.stopping = true;
+    this.isStopping = true;
     this.tasks.abort();
     this.residency.abort();
     this.quarantine.abort();
@@ -269,7 +276,7 @@
       knownMembers: () =>
         this.membership.known().map((member) => ({ ...member, isPresent: isPresent(member) })),
       // A lease taken before others are met would name no witnesses, and a lost holder be waited for twice as long.
-      isGroupKnown: () => this.registration.hasMetOthers,
+      isGroupKnown: () => this.registration.hasResolvedPeers,
       peers,
       directory,
       loads,
@@ -354,10 +361,10 @@
   }
 
   private createFollower(): RecordFollower {
-    const { ports, log, view } = this;
+    const { ports, log, deploymentView } = this;
     return new RecordFollower({
       feed: ports.feed,
-      sink: view,
+      sink: deploymentView,
       onUrgent: () => {
         this.exchange.passOnUrgent();
       },
@@ -377,7 +384,7 @@
     const { ports, log, loads, peers, records } = this;
     return new PeerExchange({
       self: this.self(),
-      members: () => this.membersToBe(),
+      members: () => this.expectedMembers(),
       isGroupKnown: () => this.registration.isGroupKnown,
       peers,
       loads,
@@ -391,7 +398,7 @@
         }
       },
       onBackendNews: (news) => {
-        this.noticeService.take(news);
+        this.noticeService.applyPeerNews(news);
       },
       crashMarks: this.quarantine,
       failures: this.failures,
@@ -471,11 +478,13 @@
   }
 
   /** Members, and those that a daemon which has just started knows from the register only. */
-  private membersToBe(): readonly Member[] {
-    const unmet = this.registration.provisionalMembers.filter(
+  private expectedMembers(): readonly Member[] {
+    const provisional = this.registration.provisionalMembers.filter(
       ({ id }) => this.membership.get(id) === undefined,
     );
-    return unmet.length === 0 ? this.membership.eligible() : [...this.membership.eligible(), ...unmet];
+    return provisional.length === 0
+      ? this.membership.eligible()
+      : [...this.membership.eligible(), ...provisional];
   }
 
   private serviceOf(name: string): ServiceDefinition | undefined {
@@ -495,11 +504,11 @@
     const { metrics: endpoint } = this.settings;
     if (endpoint === undefined) return;
     this.metricsServer = await NodeIngress.listen(endpoint.address, READINESS_LIMITS, (exchange) => {
-      const isAsked = exchange.target === endpoint.path;
-      const headers = isAsked ? ['Content-Type', this.metrics.contentType] : [];
+      const isMetricsPath = exchange.target === endpoint.path;
+      const headers = isMetricsPath ? ['Content-Type', this.metrics.contentType] : [];
       exchange.respond(
-        { status: isAsked ? 200 : 404, headers },
-        encodeText(isAsked ? this.metrics.render() : ''),
+        { status: isMetricsPath ? 200 : 404, headers },
+        encodeText(isMetricsPath ? this.metrics.render() : ''),
       );
       return Promise.resolve();
     });
--- a/packages/serving/src/serving-metrics.ts
+++ b/packages/serving/src/serving-metrics.ts
@@ -6,7 +6,7 @@
 import { MetricRegistry, type BoundedLog, type Counter, type Histogram } from '@woodbarrow/observability';
 
 /** Tenants that are told of in each figure at most. */
-const TOLD_TENANTS = 50;
+const MAX_REPORTED_TENANTS = 50;
 
 /** What the gauges read. */
 export interface MetricSources {
@@ -39,14 +39,14 @@
   private readonly registry = new MetricRegistry();
   private readonly requests: Counter;
   private readonly decisions: Counter;
-  private readonly refusedTakeUps: Counter;
+  private readonly refusedResumes: Counter;
   private readonly durations: Histogram;
 
   constructor(sources: MetricSources) {
     const { registry } = this;
     this.requests = registry.counter('woodbarrow_requests_total', 'Ended requests, by outcome.');
     this.decisions = registry.counter('woodbarrow_request_decisions_total', 'Decisions on requests.');
-    this.refusedTakeUps = registry.counter(
+    this.refusedResumes = registry.counter(
       'woodbarrow_take_ups_refused_total',
       'Answers that could not go on with a stream, by reason.',
     );
@@ -129,13 +129,13 @@
     registry.gauge(
       'woodbarrow_no_place',
       'Quotes and demands for which no worker could make room since the start, by cause.',
-      () => summed([...unserved().values()].map(({ noPlaceByCause }) => noPlaceByCause)),
+      () => sumByKey([...unserved().values()].map(({ noPlaceByCause }) => noPlaceByCause)),
       'cause',
     );
     registry.gauge(
       'woodbarrow_demands_refused',
       'Demands for models turned down since the start, by reason.',
-      () => summed([...unserved().values()].map(({ refusalsByReason }) => refusalsByReason)),
+      () => sumByKey([...unserved().values()].map(({ refusalsByReason }) => refusalsByReason)),
       'reason',
     );
   }
@@ -160,19 +160,19 @@
     registry.gauge(
       'woodbarrow_tenant_used_units',
       'Units of limited tenants that requests of this daemon have used since the start.',
-      () => busiest(quotaUse(), ({ used }) => used),
+      () => largestByTenant(quotaUse(), ({ used }) => used),
       'tenant',
     );
     registry.gauge(
       'woodbarrow_tenant_refused_units',
       'Units of limited tenants that were asked for beyond their limits since the start.',
-      () => busiest(quotaUse(), ({ refused }) => refused),
+      () => largestByTenant(quotaUse(), ({ refused }) => refused),
       'tenant',
     );
     registry.gauge(
       'woodbarrow_tenant_granted_units',
       'Units of limited tenants that this daemon has handed out for the zones coordinated here.',
-      () => busiest(quotaGranted(), ({ granted }) => granted),
+      () => largestByTenant(quotaGranted(), ({ granted }) => granted),
       'tenant',
     );
   }
@@ -197,17 +197,17 @@
   }
 
   /** Counts a decision on a request. */
-  decided(decision: string): void {
+  countDecision(decision: string): void {
     this.decisions.add({ decision });
   }
 
   /** Counts an answer that could not go on with a stream. */
-  takeUpRefused(reason: string): void {
-    this.refusedTakeUps.add({ reason });
+  countRefusedResume(reason: string): void {
+    this.refusedResumes.add({ reason });
   }
 
   /** Counts the end of a request. @param durationMs From its arrival. */
-  ended(outcome: string, durationMs: number): void {
+  recordRequestEnd(outcome: string, durationMs: number): void {
     this.requests.add({ outcome });
     this.durations.observe({ outcome }, durationMs / 1000);
   }
@@ -226,12 +226,15 @@
 }
 
 /** The tenants with the largest figures: a deployment may have thousands. */
-function busiest<T>(tenants: ReadonlyMap<string, T>, value: (use: T) => number): ReadonlyMap<string, number> {
+function largestByTenant<T>(
+  tenants: ReadonlyMap<string, T>,
+  value: (use: T) => number,
+): ReadonlyMap<string, number> {
   const figures = [...tenants].map(([tenant, use]) => [tenant, Math.round(value(use))] as const);
-  return new Map(figures.sort(([, left], [, right]) => right - left).slice(0, TOLD_TENANTS));
+  return new Map(figures.sort(([, left], [, right]) => right - left).slice(0, MAX_REPORTED_TENANTS));
 }
 
-function summed(counts: readonly ReadonlyMap<string, number>[]): ReadonlyMap<string, number> {
+function sumByKey(counts: readonly ReadonlyMap<string, number>[]): ReadonlyMap<string, number> {
   const sums = new Map<string, number>();
   for (const count of counts) {
     for (const [key, value] of count) sums.set(key, (sums.get(key) ?? 0) + value);
--- a/packages/serving/test/exchange.test.ts
+++ b/packages/serving/test/exchange.test.ts
@@ -7,12 +7,12 @@
 import type { BackendNews, ResidencyChange, ZoneClaim } from '@woodbarrow/protocol';
 import { CrashMarks } from '@woodbarrow/quarantine';
 import { RecordFollower, type DeploymentSink, type FeedKind } from '../src/index.js';
-import { StoreInMemory } from './store-in-memory.js';
+import { InMemoryRecordStore } from './in-memory-record-store.js';
 
 const CONFIGURATION = 'settings';
 const BACK_ENDS = 'workers';
 /** Time in which the word that a worker leaves is to be known everywhere, in milliseconds: the contract gives 3000 until the last request. */
-const LEAVING_WORD_MS = 2900;
+const LEAVE_PROPAGATION_LIMIT_MS = 2900;
 const noSink: DeploymentSink = {
   configuration: () => undefined,
   backEndsListed: () => undefined,
@@ -24,7 +24,7 @@
 };
 
 /** Marks that count how often they were put into a message. */
-class CountedMarks extends CrashMarks {
+class CountingCrashMarks extends CrashMarks {
   timesSent = 0;
 
   override entries(): ReturnType<CrashMarks['entries']> {
@@ -37,7 +37,7 @@
 class ExchangingDaemon {
   readonly loads: LoadBook;
   readonly coordinators: CoordinatorDirectory;
-  readonly crashMarks: CountedMarks;
+  readonly crashMarks: CountingCrashMarks;
   readonly changes: ResidencyChange[] = [];
   readonly news: BackendNews[] = [];
   readonly values = new Map<string, unknown>();
@@ -49,13 +49,13 @@
   constructor(
     readonly self: Member,
     private readonly node: SimulatedNode,
-    store: StoreInMemory,
+    store: InMemoryRecordStore,
     members: () => readonly Member[],
   ) {
     const { process: clock, peers, random } = node;
     this.loads = new LoadBook(clock);
     this.coordinators = new CoordinatorDirectory(clock, self.id);
-    this.crashMarks = new CountedMarks(clock);
+    this.crashMarks = new CountingCrashMarks(clock);
     this.follower = new RecordFollower({
       feed: {
         store: store.clientOf(self.id, clock),
@@ -134,7 +134,7 @@
 /** Daemons of two zones and a store. */
 class ExchangeWorld {
   readonly cluster = new SimulatedCluster({ seed: 7 });
-  readonly store = new StoreInMemory();
+  readonly store = new InMemoryRecordStore();
   readonly daemons: ExchangingDaemon[] = [];
   private readonly members: Member[] = [];
 
@@ -160,7 +160,7 @@
   }
 
   /** Daemons for which a condition does not hold. */
-  except(condition: (daemon: ExchangingDaemon) => boolean, among = this.daemons): string[] {
+  daemonsFailing(condition: (daemon: ExchangingDaemon) => boolean, among = this.daemons): string[] {
     return among.filter((daemon) => !condition(daemon)).map((daemon) => daemon.self.id);
   }
 }
@@ -228,30 +228,32 @@
     world.store.put(BACK_ENDS, 'w2', 'here');
     world.store.remove(BACK_ENDS, 'w1');
     await world.cluster.advance(1500);
-    expect(world.except(hasConfiguration(2))).to.deep.equal([]);
-    expect(world.except(({ values }) => values.has(`${BACK_ENDS}/w2`))).to.deep.equal([]);
-    expect(world.except(({ values }) => !values.has(`${BACK_ENDS}/w1`))).to.deep.equal([]);
+    expect(world.daemonsFailing(hasConfiguration(2))).to.deep.equal([]);
+    expect(world.daemonsFailing(({ values }) => values.has(`${BACK_ENDS}/w2`))).to.deep.equal([]);
+    expect(world.daemonsFailing(({ values }) => !values.has(`${BACK_ENDS}/w1`))).to.deep.equal([]);
     const callers = world.store.takeCallers();
     expect(world.relays().map(({ self }) => self.id)).to.include.members(callers);
     expect(callers).to.have.lengthOf(STORE_FOLLOWERS);
   });
 
   it('has all daemons begin anew when the store is restored, and take what is written then', async () => {
-    const restore = world.store.takeCopy();
+    const restore = world.store.takeSnapshot();
     for (let change = 0; change < 40; change += 1) world.store.put(BACK_ENDS, 'other', change);
     await world.cluster.advance(1500);
     restore();
     await world.cluster.advance(2000);
-    expect(world.except(({ values }) => !values.has(`${BACK_ENDS}/other`))).to.deep.equal([]);
+    expect(world.daemonsFailing(({ values }) => !values.has(`${BACK_ENDS}/other`))).to.deep.equal([]);
     world.store.put(CONFIGURATION, 'main', 2);
     world.store.put(BACK_ENDS, 'w1', 'leaves');
     await world.cluster.advance(1500);
-    expect(world.except(hasConfiguration(2))).to.deep.equal([]);
-    expect(world.except(({ values }) => values.get(`${BACK_ENDS}/w1`) === 'leaves')).to.deep.equal([]);
+    expect(world.daemonsFailing(hasConfiguration(2))).to.deep.equal([]);
+    expect(world.daemonsFailing(({ values }) => values.get(`${BACK_ENDS}/w1`) === 'leaves')).to.deep.equal(
+      [],
+    );
   });
 
   it('has daemons begin anew that the store does not answer, by the word of the others', async () => {
-    const restore = world.store.takeCopy();
+    const restore = world.store.takeSnapshot();
     for (let change = 0; change < 40; change += 1) world.store.put(BACK_ENDS, 'other', change);
     await world.cluster.advance(1500);
     const cutOff = world.relays('alpha');
@@ -260,11 +262,13 @@
     await world.cluster.advance(2000);
     world.store.put(BACK_ENDS, 'w1', 'leaves');
     await world.cluster.advance(1500);
-    expect(world.except(({ values }) => values.get(`${BACK_ENDS}/w1`) === 'leaves')).to.deep.equal([]);
+    expect(world.daemonsFailing(({ values }) => values.get(`${BACK_ENDS}/w1`) === 'leaves')).to.deep.equal(
+      [],
+    );
   });
 
   it('goes on where the revision that is watched from is given out again at once', async () => {
-    const restore = world.store.takeCopy();
+    const restore = world.store.takeSnapshot();
     world.store.put(BACK_ENDS, 'lost', 'here');
     await world.cluster.advance(1500);
     restore();
@@ -274,10 +278,10 @@
     await world.cluster.advance(3000);
     for (const name of ['w2', 'w3'])
       expect(
-        world.except(({ values }) => values.has(`${BACK_ENDS}/${name}`)),
+        world.daemonsFailing(({ values }) => values.has(`${BACK_ENDS}/${name}`)),
         name,
       ).to.deep.equal([]);
-    expect(world.except(({ values }) => !values.has(`${BACK_ENDS}/lost`))).to.deep.equal([]);
+    expect(world.daemonsFailing(({ values }) => !values.has(`${BACK_ENDS}/lost`))).to.deep.equal([]);
   });
 
   it('has other relays follow the store where it turns those away that did', async () => {
@@ -289,8 +293,8 @@
     world.store.put(CONFIGURATION, 'main', 2);
     world.store.put(BACK_ENDS, 'w2', 'here');
     await world.cluster.advance(1500);
-    expect(world.except(hasConfiguration(2))).to.deep.equal([]);
-    expect(world.except(({ values }) => values.has(`${BACK_ENDS}/w2`))).to.deep.equal([]);
+    expect(world.daemonsFailing(hasConfiguration(2))).to.deep.equal([]);
+    expect(world.daemonsFailing(({ values }) => values.has(`${BACK_ENDS}/w2`))).to.deep.equal([]);
     world.store.unreachableFor.clear();
     await world.cluster.advance(4000);
     world.store.takeCallers();
@@ -301,7 +305,7 @@
   it('passes urgent records on without waiting for the next report', async () => {
     world.store.put(CONFIGURATION, 'main', 2);
     await world.cluster.advance(120);
-    expect(world.except(hasConfiguration(2))).to.deep.equal([]);
+    expect(world.daemonsFailing(hasConfiguration(2))).to.deep.equal([]);
   });
 
   it('counts each request once at every daemon', async () => {
@@ -310,11 +314,11 @@
     );
     for (const { loads } of world.daemons) loads.noteDemand('m');
     await world.cluster.advance(1200);
-    expect(world.except(({ loads }) => loads.of('w1').requests === 20)).to.deep.equal([]);
-    expect(world.except(({ loads }) => loads.of('w1').heldTokens === 300)).to.deep.equal([]);
+    expect(world.daemonsFailing(({ loads }) => loads.of('w1').requests === 20)).to.deep.equal([]);
+    expect(world.daemonsFailing(({ loads }) => loads.of('w1').heldTokens === 300)).to.deep.equal([]);
     for (const ticket of tickets) ticket.ended();
     await world.cluster.advance(1500);
-    expect(world.except(({ loads }) => loads.of('w1').requests === 0)).to.deep.equal([]);
+    expect(world.daemonsFailing(({ loads }) => loads.of('w1').requests === 0)).to.deep.equal([]);
   });
 
   it('tells coordinators of the loads by target and of the demand', async () => {
@@ -332,18 +336,18 @@
     expect(coordinator.loads.demandFor('m')).to.be.within(14, 20);
     const knows = ({ coordinators }: ExchangingDaemon) =>
       coordinators.of('alpha')?.memberId === coordinator.self.id;
-    expect(world.except(knows)).to.deep.equal([]);
+    expect(world.daemonsFailing(knows)).to.deep.equal([]);
     coordinator.claims = [];
     coordinator.exchange.tellNow();
     await world.cluster.advance(1000);
-    expect(world.except((daemon) => !knows(daemon))).to.deep.equal([]);
+    expect(world.daemonsFailing((daemon) => !knows(daemon))).to.deep.equal([]);
   });
 
   it('announces changes of residency to all, each once', async () => {
     const change = { backEndId: 'w1', model: 'm', resident: false };
     world.daemons[5]?.exchange.announce(change);
     await world.cluster.advance(600);
-    expect(world.except(({ changes }) => changes.length === 1)).to.deep.equal([]);
+    expect(world.daemonsFailing(({ changes }) => changes.length === 1)).to.deep.equal([]);
   });
 
   it('announces what a back end said to one daemon to all others, each once and with its age', async () => {
@@ -354,7 +358,7 @@
       rateLimit: { requestsPerSecond: 2, heardAgoMs: 100 },
     });
     await world.cluster.advance(600);
-    expect(world.except((daemon) => daemon === teller || daemon.news.length === 1)).to.deep.equal([]);
+    expect(world.daemonsFailing((daemon) => daemon === teller || daemon.news.length === 1)).to.deep.equal([]);
     for (const { news } of world.daemons) {
       for (const item of news)
         if (item.kind === 'rate_limit') expect(item.rateLimit.heardAgoMs).to.be.within(100, 600);
@@ -373,7 +377,7 @@
     });
     teller?.exchange.passOnCrashMarks();
     await world.cluster.advance(1000);
-    expect(world.except(({ crashMarks }) => crashMarks.endsOf('c') === 1)).to.deep.equal([]);
+    expect(world.daemonsFailing(({ crashMarks }) => crashMarks.endsOf('c') === 1)).to.deep.equal([]);
     const sent = world.daemons.map(({ crashMarks }) => crashMarks.timesSent);
     await world.cluster.advance(3000);
     expect(world.daemons.map(({ crashMarks }) => crashMarks.timesSent)).to.deep.equal(sent);
@@ -395,7 +399,7 @@
       exchange.passOnCrashMarks();
       for (let step = 0; step < 10; step += 1) {
         await world.cluster.advance(5);
-        expect(world.except(isKnown), `after mark ${content}`).to.deep.equal([]);
+        expect(world.daemonsFailing(isKnown), `after mark ${content}`).to.deep.equal([]);
       }
     }
   });
@@ -415,7 +419,7 @@
     });
     await world.cluster.advance(3000);
     const alive = world.daemons.filter((daemon) => daemon !== relay);
-    expect(world.except(({ crashMarks }) => crashMarks.endsOf('c') === 3, alive)).to.deep.equal([]);
+    expect(world.daemonsFailing(({ crashMarks }) => crashMarks.endsOf('c') === 3, alive)).to.deep.equal([]);
   });
 
   it('goes on when a relay is killed, without counting anything twice', async () => {
@@ -425,9 +429,9 @@
     const alive = world.daemons.filter((daemon) => daemon !== relay);
     for (const { loads } of alive) loads.start('w1', { model: 'm' }, { promptTokens: 1, outputTokens: 1 });
     await world.cluster.advance(1500);
-    expect(world.except(hasConfiguration(2), alive)).to.deep.equal([]);
+    expect(world.daemonsFailing(hasConfiguration(2), alive)).to.deep.equal([]);
     await world.cluster.advance(2500);
-    expect(world.except(({ loads }) => loads.of('w1').requests === 19, alive)).to.deep.equal([]);
+    expect(world.daemonsFailing(({ loads }) => loads.of('w1').requests === 19, alive)).to.deep.equal([]);
   });
 
   it('goes on when a relay stands still', async () => {
@@ -436,7 +440,7 @@
     world.store.put(CONFIGURATION, 'main', 2);
     await world.cluster.advance(1500);
     const others = world.daemons.filter((daemon) => daemon !== relay);
-    expect(world.except(hasConfiguration(2), others)).to.deep.equal([]);
+    expect(world.daemonsFailing(hasConfiguration(2), others)).to.deep.equal([]);
   });
 
   it('takes records from other relays where the store does not answer a relay', async () => {
@@ -444,17 +448,17 @@
     await world.cluster.advance(500);
     world.store.put(CONFIGURATION, 'main', 2);
     await world.cluster.advance(1500);
-    expect(world.except(hasConfiguration(2))).to.deep.equal([]);
+    expect(world.daemonsFailing(hasConfiguration(2))).to.deep.equal([]);
   });
 
   it('takes records from other relays soon where the watches of a zone are silent', async () => {
-    for (const { self } of world.relays('beta')) world.store.silentFor.add(self.id);
+    for (const { self } of world.relays('beta')) world.store.unresponsiveFor.add(self.id);
     await world.cluster.advance(500);
     world.store.put(BACK_ENDS, 'w2', 'here');
     world.store.remove(BACK_ENDS, 'w1');
     await world.cluster.advance(1300);
-    expect(world.except(({ values }) => values.has(`${BACK_ENDS}/w2`))).to.deep.equal([]);
-    expect(world.except(({ values }) => !values.has(`${BACK_ENDS}/w1`))).to.deep.equal([]);
+    expect(world.daemonsFailing(({ values }) => values.has(`${BACK_ENDS}/w2`))).to.deep.equal([]);
+    expect(world.daemonsFailing(({ values }) => !values.has(`${BACK_ENDS}/w1`))).to.deep.equal([]);
   });
 
   it('hears of a change in time where the store falls silent to all that follow it, at whichever moment', async () => {
@@ -464,26 +468,26 @@
       world.store.put(BACK_ENDS, 'w1', sinceChangeMs);
       world.store.takeCallers();
       await world.cluster.advance(sinceChangeMs);
-      for (const id of world.store.takeCallers()) world.store.silentFor.add(id);
+      for (const id of world.store.takeCallers()) world.store.unresponsiveFor.add(id);
       const name = `after-${String(sinceChangeMs)}`;
       world.store.put(BACK_ENDS, name, 'here');
-      await world.cluster.advance(LEAVING_WORD_MS);
-      const late = world.except(({ values }) => values.has(`${BACK_ENDS}/${name}`));
+      await world.cluster.advance(LEAVE_PROPAGATION_LIMIT_MS);
+      const late = world.daemonsFailing(({ values }) => values.has(`${BACK_ENDS}/${name}`));
       if (late.length > 0) lateAfter[sinceChangeMs] = late;
-      world.store.silentFor.clear();
+      world.store.unresponsiveFor.clear();
       await world.cluster.advance(6000);
     }
     expect(lateAfter).to.deep.equal({});
   });
 
   it('hears of a change soon after the store has been silent to all', async () => {
-    for (const { self } of world.daemons) world.store.silentFor.add(self.id);
+    for (const { self } of world.daemons) world.store.unresponsiveFor.add(self.id);
     await world.cluster.advance(500);
-    world.store.silentFor.clear();
+    world.store.unresponsiveFor.clear();
     // The watches begun meanwhile stay without an answer.
     world.store.put(CONFIGURATION, 'main', 2);
     await world.cluster.advance(4500);
-    expect(world.except(hasConfiguration(2))).to.deep.equal([]);
+    expect(world.daemonsFailing(hasConfiguration(2))).to.deep.equal([]);
   });
 
   it('follows the store itself where no relay answers', async () => {
@@ -492,7 +496,7 @@
     world.store.put(CONFIGURATION, 'main', 2);
     await world.cluster.advance(1900);
     const alive = world.daemons.filter((daemon) => !dead.includes(daemon));
-    expect(world.except(hasConfiguration(2), alive)).to.deep.equal([]);
+    expect(world.daemonsFailing(hasConfiguration(2), alive)).to.deep.equal([]);
   });
 
   it('leaves a relay whose records have long been behind those of others', async () => {
@@ -513,6 +517,6 @@
     }
     await world.cluster.advance(900);
     const others = world.daemons.filter((daemon) => daemon !== relay);
-    expect(world.except(hasConfiguration(2), others)).to.deep.equal([]);
+    expect(world.daemonsFailing(hasConfiguration(2), others)).to.deep.equal([]);
   });
 });
--- a/packages/serving/test/store-in-memory.ts
+++ b/packages/serving/test/in-memory-record-store.ts
@@ -2,10 +2,10 @@
 import { sleep, type Clock } from '@woodbarrow/runtime';
 import type { RecordEntry, RecordListing, RecordSource, StorePosition, WatchResult } from '../src/index.js';
 
-const ANSWER_MS = 4;
-const LOOK_INTERVAL_MS = 20;
+const RESPONSE_DELAY_MS = 4;
+const POLL_INTERVAL_MS = 20;
 /** A call that gets no answer is given up by its caller this long after its begin, and what it asked to wait. */
-const CALL_PATIENCE_MS = 1000;
+const CALL_TIMEOUT_MS = 1000;
 
 interface Change {
   readonly kind: string;
@@ -14,11 +14,11 @@
 }
 
 /** Records and their history. */
-export class StoreInMemory {
+export class InMemoryRecordStore {
   /** Daemons that get no answer. */
   readonly unreachableFor = new Set<string>();
   /** Daemons whose calls are taken and never answered, watches under way included. */
-  readonly silentFor = new Set<string>();
+  readonly unresponsiveFor = new Set<string>();
   private changes: Change[] = [];
   private kinds = new Map<string, Map<string, RecordEntry>>();
   private readonly calls = new Map<string, number>();
@@ -42,7 +42,7 @@
   }
 
   /** Returns what makes the store what it is now; its revisions are given out again then, and the era rises. */
-  takeCopy(): () => void {
+  takeSnapshot(): () => void {
     const { revision } = this;
     const kinds = [...this.kinds].map(([kind, records]) => [kind, new Map(records)] as const);
     return () => {
@@ -69,7 +69,7 @@
   }
 
   private async list(daemon: string, kind: string, clock: Clock): Promise<RecordListing> {
-    await this.answer(daemon, clock);
+    await this.simulateResponse(daemon, clock);
     return { records: [...this.ofKind(kind).values()], at: this.at };
   }
 
@@ -87,26 +87,26 @@
   ): Promise<WatchResult> {
     const until = clock.monotonic() + waitMs;
     for (;;) {
-      await this.answer(daemon, clock, until + CALL_PATIENCE_MS);
+      await this.simulateResponse(daemon, clock, until + CALL_TIMEOUT_MS);
       if (from > this.revision) return { kind: 'history_gone' };
       const changes = this.changes.filter((change) => change.kind === kind && change.record.revision > from);
       if (changes.length > 0 || clock.monotonic() >= until) {
         return { kind: 'changes', changes, at: this.at };
       }
-      await sleep(clock, LOOK_INTERVAL_MS, signal);
+      await sleep(clock, POLL_INTERVAL_MS, signal);
       if (signal.aborted) throw new Error('cut short');
     }
   }
 
-  private async answer(
+  private async simulateResponse(
     daemon: string,
     clock: Clock,
-    givenUpAt = clock.monotonic() + CALL_PATIENCE_MS,
+    timeoutAt = clock.monotonic() + CALL_TIMEOUT_MS,
   ): Promise<void> {
-    await sleep(clock, ANSWER_MS);
+    await sleep(clock, RESPONSE_DELAY_MS);
     if (this.unreachableFor.has(daemon)) throw new Error('no answer');
-    if (this.silentFor.has(daemon)) {
-      await sleep(clock, givenUpAt - clock.monotonic());
+    if (this.unresponsiveFor.has(daemon)) {
+      await sleep(clock, timeoutAt - clock.monotonic());
       throw new Error('no answer in time');
     }
     this.calls.set(daemon, (this.calls.get(daemon) ?? 0) + 1);
--- a/packages/serving/test/member-registration.test.ts
+++ b/packages/serving/test/member-registration.test.ts
@@ -91,12 +91,15 @@
     world.stop();
     world = new RegistrationWorld([SELF, OTHER]);
     await world.run(100);
-    expect([world.registration.isGroupKnown, world.registration.hasMetOthers]).to.deep.equal([true, false]);
+    expect([world.registration.isGroupKnown, world.registration.hasResolvedPeers]).to.deep.equal([
+      true,
+      false,
+    ]);
     world.presentCount = 2;
-    expect(world.registration.hasMetOthers).to.equal(true);
+    expect(world.registration.hasResolvedPeers).to.equal(true);
     world.presentCount = 1;
     await world.run(3000);
-    expect(world.registration.hasMetOthers).to.equal(true);
+    expect(world.registration.hasResolvedPeers).to.equal(true);
   });
 
   it('enters a daemon once, and looks again until it has met others', async () => {
