--- a/packages/daemon/src/daemon-metrics.ts
+++ b/packages/daemon/src/daemon-metrics.ts
@@ -1,11 +1,11 @@
-/** Numbers of a daemon's parts, as they appear under `/metrics`. */
+/** Metrics of a daemon's parts, as served under `/metrics`. */
 import type { Metrics } from '@woodbarrow/observability';
 import type { TrafficCounters } from '@woodbarrow/peering';
 import type { PlatformClient } from '@woodbarrow/object-store';
 import type { JobService } from '@woodbarrow/gateway';
 import type { Daemon } from './daemon.js';
 
-/** Registers the numbers of all parts. They are read only when metrics are asked for. */
+/** Registers the counters of all parts. They are read whenever metrics are rendered. */
 export function registerMetrics(
   metrics: Metrics,
   daemon: Daemon,
--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -1,4 +1,4 @@
-/** One daemon: every role in one process, put together. */
+/** Assembles, starts and stops all roles of one daemon process. */
 import {
   Catalog,
   ConfigurationRelay,
@@ -42,18 +42,18 @@
 const MAXIMUM_KEY_LIFETIME_MS = 86_400_000;
 const LEDGER_VOTER_COUNT = 5;
 const DRAIN_POLL_MS = 100;
-/** Longest time a planned stop waits for others to take over this daemon's queues and votes. */
+/** Maximum time that a planned stop waits for other daemons to take over the queues and votes of this one. */
 const HANDOVER_TIMEOUT_MS = 10_000;
-/** Time for word of the leave to spread before queues are expected to empty. */
+/** Minimum wait for the announcement of the leave to reach all daemons before the handover is checked. */
 const HANDOVER_MIN_WAIT_MS = 1500;
-/** Part of the grace that is kept for answers which have begun. */
+/** Part of the grace period reserved for completing responses that have begun. */
 const RESPONSE_COMPLETION_MARGIN_MS = 30_000;
 const INSTANCE_STEPS_PER_MS = 1000;
 
-/** Where a daemon is in its life. */
+/** Lifecycle state of a daemon. */
 export type DaemonState = 'starting' | 'running' | 'draining' | 'stopped';
 
-/** All parts of one daemon. */
+/** One daemon with all its roles. */
 export class Daemon {
   readonly store = new ConfigurationStore();
   readonly catalog = new Catalog(this.store);
@@ -215,27 +215,27 @@
     registerMetrics(this.metrics, this, this.platform, this.jobs);
   }
 
-  /** Where the daemon is in its life. */
+  /** Current lifecycle state. */
   get state(): DaemonState {
     return this.currentState;
   }
 
-  /** Whether it may serve callers. */
+  /** Whether the daemon can serve callers. */
   get isReady(): boolean {
     return this.currentState === 'running' && this.relay.isFresh;
   }
 
-  /** Whether it reads the platform for its zone now. */
+  /** Whether the daemon holds the lease to read the platform for its zone. */
   get isRelay(): boolean {
     return this.relayLease.held !== undefined;
   }
 
-  /** Whether it leads the ledger of claims now. */
+  /** Whether the daemon holds the lease of the claim ledger. */
   get isLedgerLeader(): boolean {
     return this.ledgerLease.held !== undefined;
   }
 
-  /** Addresses of the listeners, once started. */
+  /** Addresses of the listeners; empty before the start. */
   get addresses(): { readonly callers: string; readonly operators: string; readonly peers: string } {
     const [callers, operators] = this.servers;
     return {
@@ -245,7 +245,7 @@
     };
   }
 
-  /** Starts everything. */
+  /** Starts all parts. Rejects if a listener cannot be opened. */
   async start(): Promise<void> {
     await this.peers.start();
     await this.seeds.start();
@@ -263,18 +263,18 @@
     this.environment.log.changed('daemon_started', { addresses: this.addresses });
   }
 
-  /** A planned stop: takes no new requests, hands its roles over, finishes what is in progress, then ends. */
+  /** Stops as planned: refuses new requests, hands roles over and finishes requests in progress. Further calls return the promise of the first. */
   drain(): Promise<void> {
     this.draining ??= this.drainAndStop();
     return this.draining;
   }
 
-  /** Calls `listener` once a planned stop is complete, whoever asked for it. */
+  /** Calls `listener` when a planned stop is complete. */
   onStopped(listener: () => void): void {
     this.stopListeners.push(listener);
   }
 
-  /** Ends at once, without a word to anyone. */
+  /** Stops immediately without notifying other daemons. */
   abort(): void {
     this.currentState = 'stopped';
     for (const part of [this.membership, this.relay, this.ledger, this.queues, this.jobs, this.seeds])
@@ -309,13 +309,13 @@
     for (const listener of this.stopListeners) listener();
   }
 
-  /** Requests that are not answered to the last byte, and jobs. */
+  /** Returns the number of requests whose responses are not complete, plus active jobs. */
   private requestsInProgress(): number {
     const [callers] = this.servers;
     return Math.max(this.completions.active, callers?.activeRequests() ?? 0) + this.jobs.active;
   }
 
-  /** Whether no queue here has waiters and no voter set names this daemon any more. */
+  /** Whether no request waits in a queue here and no voter set includes this daemon. */
   private isHandoverComplete(): boolean {
     const groups = [coordinatorGroup(this.settings.zone), LEDGER_GROUP];
     const isStillVoter = groups.some((group) => this.isVoter(readVoterSets(this.store, group)));
@@ -331,14 +331,14 @@
     return [this.coordinatorLease, this.relayLease, this.ledgerLease];
   }
 
-  /** Voters of a group. A zone's relay is voted on by the voters of its coordinator. */
+  /** Returns the voters of a group. The voters of a zone's coordinator also vote on its relay. */
   private voterSetsOf(group: string): VoterSets | undefined {
     const { zone } = this.settings;
     const votersOf = group === relayGroup(zone) ? coordinatorGroup(zone) : group;
     return renameGroup(readVoterSets(this.store, votersOf), group);
   }
 
-  /** A candidate for the lease of `group`. Only voters stand. */
+  /** Creates a candidate for the lease of `group`. Only voters become candidates. */
   private leaseCandidate(group: string): LeaseCandidate {
     const { clock, random, log } = this.environment;
     const voterSets = (): VoterSets | undefined => this.voterSetsOf(group);
--- a/packages/daemon/src/health.ts
+++ b/packages/daemon/src/health.ts
@@ -1,14 +1,14 @@
-/** Health and metrics, answered without a token on the operators' listener. */
+/** Health and metrics endpoints of the operators' listener, which need no token. */
 import type { Metrics } from '@woodbarrow/observability';
 import { encodeText, jsonResponse, type HttpHandler } from '@woodbarrow/runtime';
 
-/** What health is read from. */
+/** Sources of the health and metrics endpoints. */
 export interface HealthSources {
   readonly metrics: Metrics;
   readonly isReady: () => boolean;
 }
 
-/** Answers `/healthz`, `/readyz` and `/metrics`; passes all else on. */
+/** Wraps a handler: serves `/healthz`, `/readyz` and `/metrics`, and passes other requests to `next`. */
 export function withHealth(next: HttpHandler, sources: HealthSources): HttpHandler {
   return async (request) => {
     switch (request.path) {
--- a/packages/daemon/src/index.ts
+++ b/packages/daemon/src/index.ts
@@ -1,4 +1,4 @@
-/** One daemon, put together. */
+/** The daemon and its environment. */
 export * from './daemon.js';
 export * from './daemon-environment.js';
 export * from './lease-groups.js';
--- a/packages/daemon/src/lease-groups.ts
+++ b/packages/daemon/src/lease-groups.ts
@@ -1,14 +1,14 @@
-/** Names of the lease groups. */
+/** Names of the groups that vote on leases. */
 
-/** Group of the at-most-once ledger. */
+/** Group of the leader of the at-most-once ledger. */
 export const LEDGER_GROUP = 'ledger';
 
-/** Group of a zone's coordinator; its voters vote on the zone's relay too. */
+/** Returns the group of a zone's coordinator. Its voters also vote on the zone's relay. */
 export function coordinatorGroup(zone: string): string {
   return `zone/${zone}`;
 }
 
-/** Group of the lease to read the platform for a zone. */
+/** Returns the group of a zone's relay, which reads the platform for the zone. */
 export function relayGroup(zone: string): string {
   return `relay/${zone}`;
 }
--- a/packages/daemon/src/seed-source.ts
+++ b/packages/daemon/src/seed-source.ts
@@ -1,11 +1,11 @@
-/** Peer addresses to join through: from the settings, and from the machine list while the daemon is alone. */
+/** Provides peer addresses through which to join: those of the settings and of the machine list. */
 import type { Machine, MachineListClient } from '@woodbarrow/object-store';
 import { TaskGroup, type Clock } from '@woodbarrow/runtime';
 
 const REFRESH_INTERVAL_MS = 30_000;
 const RETRY_INTERVAL_MS = 1000;
 
-/** Reads the machine list now and then. */
+/** Combines the configured addresses with a machine list that is read periodically. */
 export class SeedSource {
   private listedMachines: readonly Machine[] = [];
   private readonly tasks: TaskGroup;
@@ -18,17 +18,17 @@
     this.tasks = new TaskGroup(clock, () => undefined);
   }
 
-  /** Addresses known now. */
+  /** Returns the configured addresses and those of the last machine list. */
   addresses(): readonly string[] {
     return [...this.configured, ...this.listedMachines.map((machine) => machine.address)];
   }
 
-  /** Names of a zone's daemons by the list. */
+  /** Returns the ids of the daemons of a zone in the last machine list. */
   daemonsIn(zone: string): readonly string[] {
     return this.listedMachines.filter((machine) => machine.zone === zone).map((machine) => machine.id);
   }
 
-  /** Reads the list once, then keeps reading it in the background. A list that cannot be read is left as it was. */
+  /** Reads the list once, then periodically in the background. The last list is retained when reading fails. */
   async start(): Promise<void> {
     await this.refresh().catch(() => undefined);
     this.tasks.loop(
@@ -38,7 +38,7 @@
     );
   }
 
-  /** Stops. */
+  /** Stops reading the list. */
   abort(): void {
     this.tasks.abort();
   }
--- a/packages/daemon/src/system-environment.ts
+++ b/packages/daemon/src/system-environment.ts
@@ -1,4 +1,4 @@
-/** The environment of a shipped daemon: real clock, sockets and HTTP. */
+/** Environment of a daemon in production: system clock, sockets and HTTP. */
 import { createEventLog } from '@woodbarrow/observability';
 import {
   SystemClock,
@@ -11,7 +11,7 @@
 import type { Settings } from '@woodbarrow/settings';
 import type { DaemonEnvironment } from './daemon-environment.js';
 
-/** Makes the environment that the settings ask for. */
+/** Creates the environment according to the settings. */
 export function createSystemEnvironment(settings: Settings): DaemonEnvironment {
   const { tls, log, id, zone } = settings;
   return {
--- a/packages/serving/src/backend-notice-service.ts
+++ b/packages/serving/src/backend-notice-service.ts
@@ -1,4 +1,4 @@
-/** Notices of back ends on one daemon: kept, shared with the other daemons, and turned into permits to send. */
+/** Stores the notices that back ends send to one daemon, shares them with the other daemons and grants send permits accordingly. */
 import type { BackendDirectory } from '@woodbarrow/backends';
 import type { CoordinatorDirectory } from '@woodbarrow/exchange';
 import { BackendNotices, NoticeGate, type SendPermits } from '@woodbarrow/forwarding';
@@ -18,13 +18,13 @@
 
 /** Options of {@link BackendNoticeService}. */
 export interface BackendNoticeServiceOptions {
-  /** What is allowed beyond the rate limit that a back end names. */
+  /** Allowance beyond the rate limit that a back end reports. */
   readonly allowance: UnitAllowance;
   readonly directory: BackendDirectory;
   readonly coordinators: CoordinatorDirectory;
-  /** The lease of a zone, while it is held here. */
+  /** Returns the lease of a zone while this daemon holds it. */
   readonly authorityOf: (zone: string) => ZoneAuthority | undefined;
-  /** Tells all other daemons. */
+  /** Sends a notice to all other daemons. */
   readonly announce: (news: BackendNews) => void;
   readonly peers: PeerNetwork;
   readonly failures: CallFailures;
@@ -32,17 +32,17 @@
   readonly log: EventLog;
 }
 
-/** Time for which the notices of a back end are kept whose record has vanished, in milliseconds: records lapse while the store is in trouble. */
+/** Time for which notices of a removed back end are retained: its record may only have expired during a store outage. */
 const REMOVED_BACK_END_RETENTION_MS = 60_000;
 
-/** Notices of one daemon. */
+/** Combines the notices received by this daemon with those of its peers. */
 export class BackendNoticeService {
   readonly notices: BackendNotices;
-  /** Permits for sends, under all that back ends ask for. */
+  /** Grants permits to send, subject to the pauses and rate limits that back ends request. */
   readonly permits: SendPermits;
   private readonly rateLimits: RateLimitGate;
   private readonly rateLimitAllocators: RateLimitService;
-  /** Back ends that are gone, the first of them first. */
+  /** Removed back ends, oldest first; `at` is the monotonic time of the removal. */
   private readonly removedBackEnds: { readonly backEndId: string; readonly at: number }[] = [];
 
   constructor(private readonly options: BackendNoticeServiceOptions) {
@@ -60,21 +60,21 @@
     this.rateLimitAllocators = new RateLimitService({ ...options, notices: this.notices });
   }
 
-  /** Starts answering other daemons. The peer network must be listening. */
+  /** Starts handling permit requests of other daemons. The peer network must be listening. */
   start(): void {
     this.rateLimitAllocators.start();
   }
 
-  /** Takes what other daemons heard. */
+  /** Applies notices that other daemons received. */
   applyPeerNews(news: readonly BackendNews[]): void {
     for (const item of news) {
-      // Of a back end that is not known yet, its first answer tells.
+      // The first response of a back end that is not in the directory yet repeats the notice.
       if (this.options.directory.get(item.backEndId) === undefined) continue;
       this.applyNews(item);
     }
   }
 
-  /** A daemon of a newer build may tell what this one does not know: that changes nothing here. */
+  /** Applies one notice. Kinds that only a newer build knows are ignored. */
   private applyNews(news: BackendNews): void {
     switch (news.kind) {
       case 'leaving':
@@ -85,7 +85,7 @@
     }
   }
 
-  /** Permits asked for under rate limits, by what came of it. */
+  /** Number of permits requested under rate limits, by outcome. */
   get permitTotals(): PermitTotals {
     return this.rateLimits.totals;
   }
@@ -98,7 +98,7 @@
     if (source === 'answer') announce({ kind: 'leaving', backEndId });
   }
 
-  /** A back end is gone from the directory. Its record may come back, and what it asked for still holds then. */
+  /** Notes that a back end left the directory. Its notices are retained for a while, as they still apply if its record returns. */
   noteRemoved(backEndId: string): void {
     const now = this.options.clock.monotonic();
     this.removedBackEnds.push({ backEndId, at: now });
--- a/packages/serving/src/deployment-view.ts
+++ b/packages/serving/src/deployment-view.ts
@@ -1,4 +1,4 @@
-/** Puts what the deployment says in force, and says whether enough is known to serve. */
+/** Applies the records of the deployment, and reports whether enough of them were read to serve requests. */
 import type { BackEnd, BackendDirectory } from '@woodbarrow/backends';
 import type { ListingOrigin } from '@woodbarrow/exchange';
 import type { ConfigurationHolder, ForwardingConfiguration } from '@woodbarrow/forwarding';
@@ -7,7 +7,7 @@
 import type { IngressLimits } from '@woodbarrow/runtime';
 import type { DeploymentSink } from './ports.js';
 
-/** Sink of a daemon's feed. */
+/** Applies the records of a {@link DeploymentFeed} to the parts of a daemon. */
 export class DeploymentView implements DeploymentSink {
   private areBackEndsListed = false;
   private isQuarantineListed = false;
@@ -20,7 +20,7 @@
     private readonly onLimits: (limits: IngressLimits) => void,
   ) {}
 
-  /** Whether configuration, back ends and quarantined contents have been read. */
+  /** Whether the configuration, the back ends and the quarantined contents have been read. */
   get isComplete(): boolean {
     return (
       this.areBackEndsListed && this.isQuarantineListed && this.configurationHolder.current !== undefined
@@ -49,7 +49,7 @@
   backEndChanged(backEnd: BackEnd): void {
     const before = this.directory.get(backEnd.id);
     this.directory.put(backEnd);
-    // What it holds changes with each load, which its coordinator logs: a line at every daemon would say it 200 times.
+    // Its loaded models change often and its coordinator logs each load; other daemons would only repeat it.
     if (before?.draining === backEnd.draining) return;
     this.log.changed(before === undefined ? 'back_end_seen' : 'back_end_changed', {
       backEnd: backEnd.id,
--- a/packages/serving/src/index.ts
+++ b/packages/serving/src/index.ts
@@ -1,4 +1,4 @@
-/** One serving daemon, put together from its parts. */
+/** The serving daemon and the ports that connect it to a deployment. */
 export * from './deployment-view.js';
 export * from './logged-journal.js';
 export * from './member-registration.js';
--- a/packages/serving/src/logged-journal.ts
+++ b/packages/serving/src/logged-journal.ts
@@ -1,9 +1,9 @@
-/** Writes decisions on requests to the log and counts how requests end. */
+/** Logs decisions on requests and counts the outcomes of requests. */
 import type { DecisionFacts, RequestDecision, RequestJournal } from '@woodbarrow/forwarding';
 import type { BoundedLog } from '@woodbarrow/observability';
 import type { ServingMetrics } from './serving-metrics.js';
 
-/** Decisions that say that something went wrong. */
+/** Decisions that are logged as warnings. */
 const WARNING_DECISIONS: ReadonlySet<RequestDecision> = new Set([
   'request_refused',
   'request_failed',
@@ -14,7 +14,7 @@
   'event_torn',
 ]);
 
-/** Journal of one daemon. */
+/** Request journal that writes to the log and the metrics of one daemon. */
 export class LoggedJournal implements RequestJournal {
   constructor(
     private readonly log: BoundedLog,
--- a/packages/serving/src/member-registration.ts
+++ b/packages/serving/src/member-registration.ts
@@ -1,4 +1,4 @@
-/** Enters a daemon into the register of daemons, and finds others through it until it knows some. */
+/** Registers a daemon in the member registry, and polls the registry until other daemons are present. */
 import { messageOf } from '@woodbarrow/errors';
 import type { EventLog } from '@woodbarrow/observability';
 import { backoffDelay, sleep, Wakeup, type Clock, type Random } from '@woodbarrow/runtime';
@@ -8,47 +8,35 @@
 export interface MemberRegistrationOptions {
   readonly self: RegisteredMember;
   readonly registry: MemberRegistry;
-  /** The whole deployment starts for the first time: the register fills only now. */
+  /** Whether the whole deployment starts for the first time, so that the registry is still being filled. */
   readonly isFirstStart: boolean;
-  /** Daemons present as the membership knows them, this one included. */
+  /** Number of daemons that the membership reports as present, this one included. */
   readonly presentCount: () => number;
   readonly clock: Clock;
   readonly random: Random;
   readonly log: EventLog;
 }
 
-/** Pause between two looks at the register while this daemon is alone, in milliseconds. */
+/** Interval between polls of the registry while no other daemon is present. */
 const REGISTRY_POLL_INTERVAL_MS = 700;
-/**
- * Pause before another look at a register that could not be read, in milliseconds. Nothing is served before it has been: with 700 ms, seven
- * daemons that were all restarted while the store was away refused 14 to 29 requests more after its return.
- */
+/** Backoff after a failed poll of the registry. It is short because the daemon serves no requests before the first successful poll. */
 const FAILED_POLL_BACKOFF = { initialMs: 100, maximumMs: 400 };
-/**
- * Time after which a daemon that has found no other believes that it is alone, in milliseconds. Daemons start within
- * 0.3 s of each other, and the register may be told with a delay of a second or two.
- */
+/** Time after which a daemon that has found no other assumes that it is the only one. Longer than the staleness of registry listings. */
 const SINGLE_DAEMON_TIMEOUT_MS = 2500;
-/**
- * Time after which the register names nearly all daemons of a deployment that starts for the first time, in milliseconds:
- * they start within 0.3 s, and a listing may be a second old.
- */
+/** Time after which the registry is assumed complete when the whole deployment starts for the first time. */
 const FIRST_START_SETTLE_MS = 1500;
-/**
- * Time over which daemons enter themselves again after the store was restored, in milliseconds: all of them at once would take the writes that
- * the store allows from leases.
- */
+/** Maximum random delay before registering again after the store was restored: simultaneous writes would use up the write quota that leases need. */
 const REJOIN_MAX_JITTER_MS = 5000;
-/** While nothing happens, it is looked again so often whether the store was restored, in milliseconds. */
+/** Maximum time between two checks whether the store was restored. */
 const RESTORE_CHECK_INTERVAL_MS = 60_000;
-/** Time after the start in which registered daemons count that the membership has not met yet, in milliseconds. */
+/** Time after the start during which registered daemons count as present although the membership has not contacted them yet. */
 const PROVISIONAL_MEMBER_TTL_MS = 5000;
 
-/** Registration of one daemon. */
+/** Keeps one daemon registered and provides the addresses of others. */
 export class MemberRegistration {
   private listedMembers: readonly RegisteredMember[] = [];
   private isRegistered = false;
-  /** Whether the register was filled when it was last read. */
+  /** Whether the registry was assumed complete when it was last read. */
   private wasCompleteAtLastPoll = false;
   private readonly startedAt: number;
   private readonly restoredWakeup = new Wakeup();
@@ -57,35 +45,35 @@
     this.startedAt = options.clock.monotonic();
   }
 
-  /** Addresses of other daemons to begin with. */
+  /** Addresses of other daemons through which to join the membership. */
   get seeds(): readonly string[] {
     return this.listedMembers.map(({ address }) => address);
   }
 
-  /** Whether it is known what group of daemons this one belongs to, be it a group of one. */
+  /** Whether the other daemons of the deployment are known, or assumed not to exist. */
   get isGroupKnown(): boolean {
     if (this.ageMs > SINGLE_DAEMON_TIMEOUT_MS) return true;
     return this.wasCompleteAtLastPoll && this.listedMembers.length > 0;
   }
 
-  /** Whether the daemons that are to vouch for what this one holds can be named: some have been met, or there are none. */
+  /** Whether witnesses of leases held here can be chosen: other daemons are present, or assumed not to exist. */
   get hasResolvedPeers(): boolean {
     if (this.ageMs > SINGLE_DAEMON_TIMEOUT_MS) return true;
     return this.isGroupKnown && this.options.presentCount() > 1;
   }
 
-  /** Registered daemons that may be counted as present until the membership has met them; none after a while. */
+  /** Registered daemons that count as present until the membership has contacted them; empty some time after the start. */
   get provisionalMembers(): readonly RegisteredMember[] {
     return this.ageMs < PROVISIONAL_MEMBER_TTL_MS ? this.listedMembers : [];
   }
 
-  /** The store was restored from a copy, which may lack this daemon: those that start later would never hear of it. */
+  /** Registers again after the store was restored from a copy, which may lack this daemon: daemons that start later would not find it. */
   noteRestored(): void {
     this.isRegistered = false;
     this.restoredWakeup.wake();
   }
 
-  /** Registers and looks for others until some are present, and registers anew whenever the store was restored, until `signal` aborts. */
+  /** Registers, polls until other daemons are present, and registers again whenever the store was restored, until `signal` aborts. */
   async run(signal: AbortSignal): Promise<void> {
     const { clock, random } = this.options;
     await this.pollUntilPeersPresent(signal);
@@ -123,7 +111,7 @@
       : backoffDelay(FAILED_POLL_BACKOFF, failures - 1, this.options.random);
   }
 
-  /** Reads the register, which costs less than a write, and enters this daemon where it does not stand there yet. */
+  /** Reads the registry, which costs less than a write, and registers this daemon unless it is listed. */
   private async poll(): Promise<void> {
     const { self, registry, presentCount } = this.options;
     if (presentCount() <= 1 || this.listedMembers.length === 0 || !this.wasCompleteAtLastPoll) {
--- a/packages/serving/src/ports.ts
+++ b/packages/serving/src/ports.ts
@@ -1,4 +1,4 @@
-/** Ports of a serving daemon: what the deployment around it provides. */
+/** Ports of a serving daemon: interfaces that the surrounding deployment implements. */
 import type { BackEnd } from '@woodbarrow/backends';
 import type { LeaseRecordStore } from '@woodbarrow/coordination';
 import type { ListingOrigin, RecordHandlers } from '@woodbarrow/exchange';
@@ -10,24 +10,24 @@
 
 export type { RecordEntry, StorePosition };
 
-/** Receives what the deployment says; called in the order of the changes. */
+/** Receives the records of the deployment. Methods are called in the order of the changes. */
 export interface DeploymentSink {
   configuration(configuration: ForwardingConfiguration): void;
-  /** All back ends there are; others are gone. */
+  /** Replaces the set of back ends. */
   backEndsListed(backEnds: readonly BackEnd[], origin: ListingOrigin): void;
   backEndChanged(backEnd: BackEnd): void;
-  /** @param name Name of its record, whichever run of the worker it was of. */
+  /** @param name Name of the record, which is the same for each run of the worker. */
   backEndGone(name: string): void;
-  /** All contents that must not be run; others may. */
+  /** Replaces the set of quarantined contents. */
   quarantineListed(records: readonly QuarantineEntry[], origin: ListingOrigin): void;
   contentQuarantined(record: QuarantineEntry): void;
   quarantineLifted(content: string): void;
 }
 
-/** All records of a kind. */
+/** All records of one kind at a position of the store. */
 export interface RecordListing {
   readonly records: readonly RecordEntry[];
-  /** Position of the store from which changes are to be watched. */
+  /** Position of the store from which to watch for changes. */
   readonly at: StorePosition;
 }
 
@@ -37,59 +37,59 @@
   readonly gone: boolean;
 }
 
-/** What a watch brought. */
+/** Result of a watch. */
 export type WatchResult =
   | { readonly kind: 'changes'; readonly changes: readonly RecordChange[]; readonly at: StorePosition }
-  /** The history since the revision is gone: list again. */
+  /** The changes since the revision are no longer available: list again. */
   | { readonly kind: 'history_gone' };
 
-/** A store that can be listed and watched. Calls may throw. */
+/** Store whose records can be listed and watched. Calls may reject. */
 export interface RecordSource {
   listAll(kind: string): Promise<RecordListing>;
-  /** Waits for changes after a revision, for `waitMs` at most. */
+  /** Waits at most `waitMs` milliseconds for changes after a revision. */
   watch(kind: string, revision: number, waitMs: number, signal: AbortSignal): Promise<WatchResult>;
 }
 
-/** One kind of records that say what the deployment is. */
+/** One kind of record that describes the deployment. */
 export interface FeedKind {
   /** Kind of the records in the store. */
   readonly source: string;
-  /** Whether changes are passed on to other daemons at once. */
+  /** Whether changes are forwarded to other daemons immediately. */
   readonly isUrgent: boolean;
-  /** Pause after a watch brought changes, so that changes close to each other come in one answer, in milliseconds. */
+  /** Pause after a watch returned changes, in milliseconds, so that the next watch returns several changes in one response. */
   readonly pauseMs: number;
-  /** Time that a watch waits for a change, in milliseconds. @default 2500 */
+  /** Maximum time that a watch waits for a change, in milliseconds. @default 1000 */
   readonly waitMs?: number;
-  /** Version that a record carries itself and that only rises; undefined where it carries none. @default no record carries one */
+  /** Returns the increasing version contained in a record, or undefined if it has none. @default records have no version */
   readonly versionOf?: (record: RecordEntry) => number | undefined;
-  /** Turns records into what the deployment says. */
+  /** Creates the handlers that decode records and pass them to the sink. */
   readonly handlers: (sink: DeploymentSink) => RecordHandlers;
 }
 
-/** Source of configuration and back ends. */
+/** Store and kinds of records from which a daemon reads the deployment. */
 export interface DeploymentFeed {
   readonly store: RecordSource;
   readonly kinds: readonly FeedKind[];
 }
 
-/** A daemon as it stands in the register. */
+/** Entry of a daemon in the member registry. */
 export interface RegisteredMember {
   readonly id: string;
-  /** Peer address. */
+  /** Peer address, as `ip:port`. */
   readonly address: string;
   readonly zone: string;
-  /** What its machine bears, in hundredths of a core. */
+  /** Capacity of its machine, in hundredths of a core. */
   readonly capacity: number;
 }
 
-/** Register of daemons, through which they find each other. Calls may throw. */
+/** Registry through which daemons discover each other. Calls may reject. */
 export interface MemberRegistry {
-  /** Members that have joined; the newest may be missing for some seconds. */
+  /** Returns the members that have joined; the latest may be missing for some seconds. */
   list(): Promise<RegisteredMember[]>;
   join(member: RegisteredMember): Promise<void>;
 }
 
-/** Everything outside a daemon. */
+/** External dependencies of a daemon. */
 export interface ServingPorts {
   readonly clock: Clock;
   readonly random: Random;
@@ -104,8 +104,8 @@
   readonly feed: DeploymentFeed;
   /** Calls to the store since the start, by operation, kind of record and outcome. */
   readonly storeCalls: () => ReadonlyMap<string, number>;
-  /** Era of the store as its answers last told. */
+  /** Era of the store in its last response. */
   readonly storeEra: () => number;
-  /** Records read since the start that could not be decoded, by kind. */
+  /** Number of records read since the start that could not be decoded, by kind. */
   readonly invalidRecords: () => ReadonlyMap<string, number>;
 }
--- a/packages/serving/src/record-follower.ts
+++ b/packages/serving/src/record-follower.ts
@@ -1,4 +1,4 @@
-/** The records that say what the deployment is, followed in the store while this daemon is to do so itself. */
+/** Follows the records that describe the deployment, reading the store only while this daemon is selected to do so. */
 import { RecordSet, type FollowedRecords, type RecordHandlers } from '@woodbarrow/exchange';
 import type { EventLog } from '@woodbarrow/observability';
 import type { SourcePosition } from '@woodbarrow/protocol';
@@ -10,18 +10,18 @@
 export interface RecordFollowerOptions {
   readonly feed: DeploymentFeed;
   readonly sink: DeploymentSink;
-  /** Called whenever a newer record of an urgent kind has been seen. */
+  /** Called when a newer record of an urgent kind is received. */
   readonly onUrgent: () => void;
-  /** Called with the first listing of each kind after the store was restored from a copy, be it read or told by another daemon. */
+  /** Called with the first listing of each kind after the store was restored from a copy, whether read from the store or received from a peer. */
   readonly onRestored: () => void;
-  /** Called when the store has stopped to answer this daemon. */
+  /** Called when the store stops responding to this daemon. */
   readonly onStoreLost: () => void;
   readonly clock: Clock;
   readonly random: Random;
   readonly log: EventLog;
 }
 
-/** A record set and a watch for each kind. */
+/** Maintains a record set and a watch for each kind of record. */
 export class RecordFollower implements FollowedRecords {
   readonly sets: readonly RecordSet[];
   private readonly watches: readonly RecordWatch[];
@@ -29,7 +29,7 @@
   constructor(private readonly options: RecordFollowerOptions) {
     const { feed, clock, random, log, onStoreLost: onLost } = options;
     this.sets = feed.kinds.map((kind) => this.createSet(kind));
-    // Whether to follow the store is decided once the others are known.
+    // The exchange enables the watches once the other daemons are known.
     this.watches = feed.kinds.flatMap(({ pauseMs, waitMs }, index) => {
       const set = this.sets[index];
       const wait = waitMs === undefined ? {} : { waitMs };
--- a/packages/serving/src/record-watch.ts
+++ b/packages/serving/src/record-watch.ts
@@ -1,7 +1,7 @@
 /**
- * Follows the records of one kind in the store, while that is wanted: lists them, then watches for changes. After any failure it lists again, for a
- * watch begun anew may hear nothing of what happened in between. It also lists again when another daemon has seen
- * a newer record for a while, as a watch may stay silent without an error, and when the store has been restored from a copy.
+ * Follows the records of one kind in the store while enabled: lists them, then watches for changes. It lists again after any
+ * failure, as a new watch may miss the changes in between; when a peer reports a newer record for some time, as a watch may
+ * stop responding without an error; and when the store was restored from a copy.
  */
 import { messageOf, WoodbarrowError } from '@woodbarrow/errors';
 import type { EventLog } from '@woodbarrow/observability';
@@ -12,13 +12,13 @@
 
 /** Options of {@link RecordWatch}. */
 export interface RecordWatchOptions {
-  /** Receives the records; its source is the kind that is followed. */
+  /** Receives the records; its source is the kind to follow. */
   readonly set: RecordSet;
-  /** Pause after a watch brought changes, in milliseconds. */
+  /** Pause after a watch returned changes, in milliseconds. */
   readonly pauseMs: number;
-  /** Time that a watch waits for a change, in milliseconds. @default 1000 */
+  /** Maximum time that a watch waits for a change, in milliseconds. @default 1000 */
   readonly waitMs?: number;
-  /** Called when the store has stopped to answer. */
+  /** Called when the store stops responding. */
   readonly onLost: () => void;
   readonly store: RecordSource;
   readonly clock: Clock;
@@ -27,19 +27,17 @@
 }
 
 /**
- * Milliseconds that a watch waits for a change. A watch may never be answered, which shows a second after this time, and
- * the watches of all daemons that follow the store begin anew together with each change. From then on another daemon takes
- * at most 0.7 s to follow it and to pass a change on to all: 2.7 s in all, while a worker that leaves may get requests for
- * 3.0 s after its word. With 2500 ms, 12 of 20 daemons on virtual time had not heard of it after 2.9 s.
+ * Maximum time that a watch waits for a change. An unresponsive store is detected only after this time plus the call timeout;
+ * another daemon must then still take over and forward the change while the worker that leaves accepts requests.
  */
 const DEFAULT_WATCH_WAIT_MS = 1000;
-/** While the store need not be followed, this is looked at again after so many milliseconds at most. */
+/** Maximum time between two checks whether to follow the store, while the watch is disabled. */
 const IDLE_CHECK_INTERVAL_MS = 1000;
 const RETRY_BACKOFF = { initialMs: 100, maximumMs: 800 };
-/** A newer record elsewhere is looked for after this long: watches are answered at different moments. */
+/** Time for which a peer must be ahead before the records are listed again: watches of different daemons return at different times. */
 const STALE_WATCH_TIMEOUT_MS = 700;
 
-/** Watch of the records of one kind. */
+/** Keeps a {@link RecordSet} current from the store. */
 export class RecordWatch {
   private isWanted = true;
   private isStoreResponding = false;
@@ -52,18 +50,18 @@
     this.staleness = new BehindTracker(options.clock, () => options.set.position);
   }
 
-  /** Whether the store answers, and no other daemon is ahead. */
+  /** Whether the store responds and no peer has reported newer records. */
   get isFollowing(): boolean {
     return this.isStoreResponding && !this.staleness.isBehind;
   }
 
-  /** Whether the store is to be followed. A watch under way ends by itself. */
+  /** Enables or disables following the store. A watch in progress completes first. */
   setWanted(wanted: boolean): void {
     this.isWanted = wanted;
     if (wanted) this.wakeup.wake();
   }
 
-  /** Another daemon has come this far. */
+  /** Notes the position that another daemon has reached, and restarts the watch when this daemon has been stale for too long. */
   noteElsewhere(position: RecordPosition): void {
     this.staleness.note(position);
     if (this.staleness.behindMs < STALE_WATCH_TIMEOUT_MS) return;
@@ -112,11 +110,11 @@
     const taken = set.replaceAll(records, at);
     log.changed('records_listed', { kind: set.source, ...at, known, count: records.length, taken });
     if (at.era < knownEra)
-      throw new WoodbarrowError('platform_unavailable', 'the listing is from before the store was restored');
+      throw new WoodbarrowError('platform_unavailable', 'the listing predates the restoration of the store');
     return at;
   }
 
-  /** Waits for changes. Returns the position to go on from, or undefined to list again. */
+  /** Waits for changes. Returns the position to continue from, or undefined to list again. */
   private async waitForChanges(from: StorePosition, signal: AbortSignal): Promise<StorePosition | undefined> {
     const { store, set, clock, log, pauseMs, waitMs = DEFAULT_WATCH_WAIT_MS } = this.options;
     const watchAbort = new AbortController();
@@ -131,7 +129,7 @@
         log.changed('store_history_gone', { kind: set.source, ...from });
         return undefined;
       }
-      // The revision watched from may have been given out again: what came before it in the new era is not known here.
+      // A new era reuses revisions, so changes up to this revision in that era may have been missed.
       if (result.at.era !== from.era || set.position.era !== from.era) return undefined;
       for (const change of result.changes) this.apply(change);
       set.noteComplete(result.at.revision);
--- a/packages/serving/src/serving-daemon.ts
+++ b/packages/serving/src/serving-daemon.ts
@@ -1,4 +1,4 @@
-/** One serving daemon: its parts, put together, started and stopped. */
+/** Assembles, starts and stops the parts of one serving daemon. */
 import { setMaxListeners } from 'node:events';
 import { BackendDirectory, LoadBook, RunTimes, type ServiceDefinition } from '@woodbarrow/backends';
 import {
@@ -36,9 +36,9 @@
 import { RecordFollower } from './record-follower.js';
 import type { ServingSettings } from './serving-settings.js';
 
-/** Name under which daemons accept each other's connections. */
+/** Deployment name that daemons require of each other's connections. */
 const PEER_DEPLOYMENT = 'woodbarrow-serving';
-/** Limits until the configuration has been read. */
+/** Ingress limits until the configuration has been read. */
 const INITIAL_INGRESS_LIMITS: IngressLimits = {
   maximumHeaderBytes: 16_384,
   headerTimeoutMs: 3000,
@@ -49,7 +49,7 @@
   headerTimeoutMs: 3000,
   idleTimeoutMs: 60_000,
 };
-/** Failure detection among few daemons on fast links. */
+/** Timings of failure detection for a small number of daemons on fast links. */
 const MEMBERSHIP_TIMINGS = {
   probeIntervalMs: 700,
   probeTimeoutMs: 300,
@@ -58,15 +58,15 @@
   reconnectIntervalMs: 3000,
 };
 /**
- * Time after the word to stop in which requests are still taken: clients are led elsewhere after two missed looks
- * at the readiness, a second apart. What is taken later may not end within the grace.
+ * Time after the start of a planned stop during which requests are still accepted: clients are directed elsewhere only
+ * after two failed readiness checks, a second apart. Requests accepted later might not finish within the grace period.
  */
 const DRAIN_ACCEPT_MS = 2600;
-/** Time kept at the end of the grace for the process to end, in milliseconds. */
+/** Part of the grace period reserved for the exit of the process. */
 const STOP_EXIT_MARGIN_MS = 500;
 const STOP_POLL_MS = 50;
 
-/** A daemon from start to stop. */
+/** One serving daemon. */
 export class ServingDaemon {
   private readonly configuration = new ConfigurationHolder();
   private readonly directory: BackendDirectory;
@@ -94,7 +94,7 @@
   private metricsServer: NodeIngress | undefined;
   private readonly stopWaiting = new AbortController();
   private isStopping = false;
-  /** The planned stop, once it has begun. */
+  /** Completion of the planned stop, once it has begun. */
   private stopCompletion: Promise<void> | undefined;
 
   constructor(
@@ -103,7 +103,7 @@
     private readonly log: BoundedLog,
   ) {
     const { clock, transport } = ports;
-    // One listener for each request that waits.
+    // Each waiting request adds a listener.
     setMaxListeners(0, this.stopWaiting.signal);
     this.tasks = new TaskGroup(clock, logTaskFailures(log));
     this.failures = new CallFailures(clock, log);
@@ -154,12 +154,12 @@
     });
   }
 
-  /** Whether new requests should come here. */
+  /** Whether clients should send new requests to this daemon. */
   get isReady(): boolean {
     return !this.isStopping && this.deploymentView.isComplete;
   }
 
-  /** Starts listening and following the deployment. */
+  /** Starts all listeners and services. Rejects if an address cannot be bound. */
   async start(): Promise<void> {
     const { settings } = this;
     this.readiness = await NodeIngress.listen(settings.readinessAddress, READINESS_LIMITS, (exchange) =>
@@ -182,8 +182,8 @@
   }
 
   /**
-   * Planned stop: no new connections, what is in progress ends, roles are handed over. Resolves when it is done; a stop that is
-   * asked for again is the one under way.
+   * Stops as planned: accepts no new connections, hands roles over and waits for requests in progress, within the grace period.
+   * Further calls return the promise of the first.
    */
   stop(): Promise<void> {
     this.stopCompletion ??= this.drainAndStop();
@@ -214,7 +214,7 @@
     this.log.flush();
   }
 
-  /** Ends everything at once, as a crash would. */
+  /** Stops everything immediately without a handover, like a crash. */
   async abort(): Promise<void> {
     this.isStopping = true;
     this.tasks.abort();
@@ -275,7 +275,7 @@
       members: () => this.membership.eligible(),
       knownMembers: () =>
         this.membership.known().map((member) => ({ ...member, isPresent: isPresent(member) })),
-      // A lease taken before others are met would name no witnesses, and a lost holder be waited for twice as long.
+      // A lease acquired before peers are present names no witnesses, which doubles the time to replace a failed holder.
       isGroupKnown: () => this.registration.hasResolvedPeers,
       peers,
       directory,
@@ -477,7 +477,7 @@
     return { id, address, zone, capacity };
   }
 
-  /** Members, and those that a daemon which has just started knows from the register only. */
+  /** Returns the eligible members and, shortly after the start, registered daemons that the membership has not contacted yet. */
   private expectedMembers(): readonly Member[] {
     const provisional = this.registration.provisionalMembers.filter(
       ({ id }) => this.membership.get(id) === undefined,
--- a/packages/serving/src/serving-metrics.ts
+++ b/packages/serving/src/serving-metrics.ts
@@ -1,14 +1,14 @@
-/** Metrics of a serving daemon. */
+/** Metrics that a serving daemon exports. */
 import type { LoadQuarantineTotals, QuarantineTotals } from '@woodbarrow/quarantine';
 import type { NoticeTotals } from '@woodbarrow/forwarding';
 import type { GateUse, GranterUse, PermitTotals } from '@woodbarrow/quota';
 import type { UnservedDemands } from '@woodbarrow/residency';
 import { MetricRegistry, type BoundedLog, type Counter, type Histogram } from '@woodbarrow/observability';
 
-/** Tenants that are told of in each figure at most. */
+/** Maximum number of tenants listed in each metric. */
 const MAX_REPORTED_TENANTS = 50;
 
-/** What the gauges read. */
+/** Callbacks that supply the values of the gauges. */
 export interface MetricSources {
   readonly configurationVersion: () => number;
   readonly backEndsByService: () => ReadonlyMap<string, number>;
@@ -17,24 +17,24 @@
   readonly zonesHeld: () => ReadonlyMap<string, number>;
   readonly connectionsOpened: () => number;
   readonly storeCalls: () => ReadonlyMap<string, number>;
-  /** Era of the store as its answers last told. */
+  /** Era of the store in its last response. */
   readonly storeEra: () => number;
   readonly callFailures: () => ReadonlyMap<string, number>;
   readonly invalidRecords: () => ReadonlyMap<string, number>;
-  /** What the zones coordinated here could not serve, by zone. */
+  /** Unserved demands of the zones coordinated here, by zone. */
   readonly unserved: () => ReadonlyMap<string, UnservedDemands>;
   readonly quarantine: () => QuarantineTotals;
   readonly loadQuarantine: () => LoadQuarantineTotals;
   readonly notices: () => NoticeTotals;
   readonly permits: () => PermitTotals;
-  /** Units of limited tenants used and refused by this daemon, by tenant. */
+  /** Units of limited tenants used and refused at this daemon, by tenant. */
   readonly quotaUse: () => ReadonlyMap<string, GateUse>;
-  /** Units handed out by the granters held here, by tenant. */
+  /** Units granted by the quota allocators that run here, by tenant. */
   readonly quotaGranted: () => ReadonlyMap<string, GranterUse>;
   readonly log: BoundedLog;
 }
 
-/** Counters and histograms that the daemon's parts write, and gauges that are read when asked for. */
+/** Counters and histograms that the daemon updates, and gauges that are read when metrics are rendered. */
 export class ServingMetrics {
   private readonly registry = new MetricRegistry();
   private readonly requests: Counter;
@@ -201,18 +201,18 @@
     this.decisions.add({ decision });
   }
 
-  /** Counts an answer that could not go on with a stream. */
+  /** Counts a response that could not resume a stream. */
   countRefusedResume(reason: string): void {
     this.refusedResumes.add({ reason });
   }
 
-  /** Counts the end of a request. @param durationMs From its arrival. */
+  /** Counts a finished request. @param durationMs Time since its arrival. */
   recordRequestEnd(outcome: string, durationMs: number): void {
     this.requests.add({ outcome });
     this.durations.observe({ outcome }, durationMs / 1000);
   }
 
-  /** All metrics as text. */
+  /** Returns all metrics in the text format given by `contentType`. */
   render(): string {
     return this.registry.render();
   }
@@ -225,7 +225,7 @@
   return new Map([...zones].map(([zone, unserved]) => [zone, value(unserved)]));
 }
 
-/** The tenants with the largest figures: a deployment may have thousands. */
+/** Returns the tenants with the largest values: a deployment may have thousands. */
 function largestByTenant<T>(
   tenants: ReadonlyMap<string, T>,
   value: (use: T) => number,
--- a/packages/serving/src/serving-settings.ts
+++ b/packages/serving/src/serving-settings.ts
@@ -1,31 +1,31 @@
-/** Settings of a serving daemon. */
+/** Settings of the serving daemon. */
 import type { UnitAllowance } from '@woodbarrow/quota';
 import type { StoreWindowOptions } from '@woodbarrow/residency';
 
-/** Where metrics are served. */
+/** Address (`ip:port`) and path of the metrics endpoint. */
 export interface MetricsEndpoint {
   readonly address: string;
   readonly path: string;
 }
 
-/** Bounds on sends to second back ends, over all daemons. */
+/** Limits on repeating requests at another back end, over all daemons. */
 export interface RepeatSettings {
-  /** Repeats for each request. */
+  /** Maximum ratio of repeats to requests. */
   readonly ratio: number;
-  /** Repeats in a window whatever the load. */
+  /** Repeats allowed per window independent of the load. */
   readonly extra: number;
   readonly windowMs: number;
 }
 
 /** Settings of one daemon. Addresses are `ip:port`, times milliseconds. */
 export interface ServingSettings {
-  /** Unique, and kept over restarts. */
+  /** Unique among daemons and the same after a restart. */
   readonly name: string;
   readonly zone: string;
   /** All zones of the deployment, this one included. */
   readonly zones: readonly string[];
   readonly region: string;
-  /** What the machine bears, in hundredths of a core. */
+  /** Capacity of the machine, in hundredths of a core. */
   readonly capacity: number;
   readonly ingressAddress: string;
   readonly readinessAddress: string;
@@ -33,13 +33,13 @@
   readonly metrics?: MetricsEndpoint;
   readonly repeats: RepeatSettings;
   readonly quotaAllowance: UnitAllowance;
-  /** What is allowed beyond the rate limit that a back end names. */
+  /** Allowance beyond the rate limit that a back end reports. */
   readonly rateLimitAllowance: UnitAllowance;
-  /** The whole deployment starts for the first time. */
+  /** Whether the whole deployment starts for the first time. */
   readonly isFirstStart: boolean;
-  /** Time between the orders of two coordinators of a zone. */
+  /** Minimum time between orders of successive coordinators of a zone. */
   readonly handoverPauseMs: number;
   readonly storeWindow: StoreWindowOptions;
-  /** Time between the word to stop and the end. */
+  /** Maximum time from the request to stop until the process exits. */
   readonly stopGraceMs: number;
 }
