--- a/packages/serving/src/backend-notice-service.ts
+++ b/packages/serving/src/backend-notice-service.ts
@@ -48,8 +48,8 @@
   constructor(private readonly options: BackendNoticeServiceOptions) {
     const { directory, announce, clock, log } = options;
     this.notices = new BackendNotices(clock, log);
-    this.notices.onNews = (backEndId, heard) => {
-      announce({ kind: 'rate_limit', backEndId, rateLimit: toReport(heard, clock) });
+    this.notices.onNews = (backEndId, observedLimit) => {
+      announce({ kind: 'rate_limit', backEndId, rateLimit: toReport(observedLimit, clock) });
     };
     this.notices.onLeaving = (backEndId) => {
       this.noteLeaving(backEndId, 'answer');
--- a/packages/serving/src/record-follower.ts
+++ b/packages/serving/src/record-follower.ts
@@ -61,14 +61,14 @@
 
   private createSet({ source, isUrgent, handlers, versionOf }: FeedKind): RecordSet {
     const { sink, onUrgent, onRestored } = this.options;
-    const product = handlers(sink);
+    const deploymentHandlers = handlers(sink);
     const onList: RecordHandlers['onList'] = (records, origin) => {
-      product.onList(records, origin);
+      deploymentHandlers.onList(records, origin);
       if (origin === 'restored_store') onRestored();
     };
     return new RecordSet(
       source,
-      { ...product, onList },
+      { ...deploymentHandlers, onList },
       {
         ...(isUrgent ? { onNewer: onUrgent } : {}),
         ...(versionOf === undefined ? {} : { versionOf }),
--- a/packages/serving/test/exchange.test.ts
+++ b/packages/serving/test/exchange.test.ts
@@ -334,13 +334,13 @@
     await world.cluster.advance(1200);
     expect(coordinator.loads.requestsFor('w1', 'm')).to.equal(20);
     expect(coordinator.loads.demandFor('m')).to.be.within(14, 20);
-    const knows = ({ coordinators }: ExchangingDaemon) =>
+    const hasReceivedClaim = ({ coordinators }: ExchangingDaemon) =>
       coordinators.of('alpha')?.memberId === coordinator.self.id;
-    expect(world.daemonsFailing(knows)).to.deep.equal([]);
+    expect(world.daemonsFailing(hasReceivedClaim)).to.deep.equal([]);
     coordinator.claims = [];
     coordinator.exchange.tellNow();
     await world.cluster.advance(1000);
-    expect(world.daemonsFailing((daemon) => !knows(daemon))).to.deep.equal([]);
+    expect(world.daemonsFailing((daemon) => !hasReceivedClaim(daemon))).to.deep.equal([]);
   });
 
   it('announces changes of residency to all, each once', async () => {
@@ -351,14 +351,16 @@
   });
 
   it('announces what a back end said to one daemon to all others, each once and with its age', async () => {
-    const teller = world.daemons[5];
-    teller?.exchange.announceNews({
+    const reporter = world.daemons[5];
+    reporter?.exchange.announceNews({
       kind: 'rate_limit',
       backEndId: 'w1',
       rateLimit: { requestsPerSecond: 2, heardAgoMs: 100 },
     });
     await world.cluster.advance(600);
-    expect(world.daemonsFailing((daemon) => daemon === teller || daemon.news.length === 1)).to.deep.equal([]);
+    expect(world.daemonsFailing((daemon) => daemon === reporter || daemon.news.length === 1)).to.deep.equal(
+      [],
+    );
     for (const { news } of world.daemons) {
       for (const item of news)
         if (item.kind === 'rate_limit') expect(item.rateLimit.heardAgoMs).to.be.within(100, 600);
@@ -366,16 +368,16 @@
   });
 
   it('tells all daemons within a second of a process that ended under a request, and then nothing more of it', async () => {
-    const teller = world.daemons.find(({ exchange }) => !exchange.isRelay);
-    const endedAt = teller?.now ?? 0;
-    teller?.crashMarks.add({
+    const reporter = world.daemons.find(({ exchange }) => !exchange.isRelay);
+    const endedAt = reporter?.now ?? 0;
+    reporter?.crashMarks.add({
       content: 'c',
       processId: 'w1',
       begunAt: endedAt - 50,
       endedAt,
       isCleared: false,
     });
-    teller?.exchange.passOnCrashMarks();
+    reporter?.exchange.passOnCrashMarks();
     await world.cluster.advance(1000);
     expect(world.daemonsFailing(({ crashMarks }) => crashMarks.endsOf('c') === 1)).to.deep.equal([]);
     const sent = world.daemons.map(({ crashMarks }) => crashMarks.timesSent);
@@ -406,9 +408,9 @@
 
   it('brings daemons together that were told of different ends while a relay was killed', async () => {
     const [relay] = world.relays('alpha');
-    const tellers = world.daemons.filter((daemon) => daemon !== relay).slice(0, 3);
+    const reporters = world.daemons.filter((daemon) => daemon !== relay).slice(0, 3);
     relay?.kill();
-    tellers.forEach(({ crashMarks, now }, index) => {
+    reporters.forEach(({ crashMarks, now }, index) => {
       crashMarks.add({
         content: 'c',
         processId: `w${String(index)}`,
--- a/packages/serving/test/in-memory-record-store.ts
+++ b/packages/serving/test/in-memory-record-store.ts
@@ -85,12 +85,12 @@
     signal: AbortSignal,
     clock: Clock,
   ): Promise<WatchResult> {
-    const until = clock.monotonic() + waitMs;
+    const waitUntil = clock.monotonic() + waitMs;
     for (;;) {
-      await this.simulateResponse(daemon, clock, until + CALL_TIMEOUT_MS);
+      await this.simulateResponse(daemon, clock, waitUntil + CALL_TIMEOUT_MS);
       if (from > this.revision) return { kind: 'history_gone' };
       const changes = this.changes.filter((change) => change.kind === kind && change.record.revision > from);
-      if (changes.length > 0 || clock.monotonic() >= until) {
+      if (changes.length > 0 || clock.monotonic() >= waitUntil) {
         return { kind: 'changes', changes, at: this.at };
       }
       await sleep(clock, POLL_INTERVAL_MS, signal);
--- a/packages/serving/test/member-registration.test.ts
+++ b/packages/serving/test/member-registration.test.ts
@@ -133,9 +133,9 @@
     await world.run(1300);
     expect(world.registration.isGroupKnown).to.equal(true);
     expect(world.registration.provisionalMembers).to.have.lengthOf(2);
-    const looks = world.calls.length;
+    const callCount = world.calls.length;
     await world.run(3000);
-    expect(world.calls).to.have.lengthOf(looks);
+    expect(world.calls).to.have.lengthOf(callCount);
   });
 
   it('registers once the register is reached', async () => {
