--- a/packages/serving/src/record-watch.ts
+++ b/packages/serving/src/record-watch.ts
@@ -61,7 +61,7 @@
     if (wanted) this.wakeup.wake();
   }
 
-  /** Notes the position that another daemon has reached, and restarts the watch when this daemon has been stale for too long. */
+  /** Notes the position that another daemon has reached, and lists the records again when this daemon has been stale for too long. */
   noteElsewhere(position: RecordPosition): void {
     this.staleness.note(position);
     if (this.staleness.behindMs < STALE_WATCH_TIMEOUT_MS) return;
--- a/packages/serving/test/exchange.test.ts
+++ b/packages/serving/test/exchange.test.ts
@@ -11,7 +11,7 @@
 
 const CONFIGURATION = 'settings';
 const BACK_ENDS = 'workers';
-/** Time in which the word that a worker leaves is to be known everywhere, in milliseconds: the contract gives 3000 until the last request. */
+/** Maximum time for the notice that a worker leaves to reach all daemons; workers must receive no request later than 3000 ms after it. */
 const LEAVE_PROPAGATION_LIMIT_MS = 2900;
 const noSink: DeploymentSink = {
   configuration: () => undefined,
@@ -23,7 +23,7 @@
   quarantineLifted: () => undefined,
 };
 
-/** Marks that count how often they were put into a message. */
+/** Crash marks that count how often they are included in a message. */
 class CountingCrashMarks extends CrashMarks {
   timesSent = 0;
 
@@ -33,7 +33,7 @@
   }
 }
 
-/** One daemon's exchange, and what it has learned. */
+/** Exchange of one daemon, with everything that it received. */
 class ExchangingDaemon {
   readonly loads: LoadBook;
   readonly coordinators: CoordinatorDirectory;
@@ -97,7 +97,7 @@
     this.exchange.start();
   }
 
-  /** Monotonic time of this daemon. */
+  /** Monotonic time of this daemon, in milliseconds. */
   get now(): number {
     return this.node.process.monotonic();
   }
@@ -131,7 +131,7 @@
   }
 }
 
-/** Daemons of two zones and a store. */
+/** Simulated daemons of two zones that share a store. */
 class ExchangeWorld {
   readonly cluster = new SimulatedCluster({ seed: 7 });
   readonly store = new InMemoryRecordStore();
@@ -159,7 +159,7 @@
     );
   }
 
-  /** Daemons for which a condition does not hold. */
+  /** Returns the ids of the daemons for which a condition does not hold. */
   daemonsFailing(condition: (daemon: ExchangingDaemon) => boolean, among = this.daemons): string[] {
     return among.filter((daemon) => !condition(daemon)).map((daemon) => daemon.self.id);
   }
@@ -169,14 +169,14 @@
   return (daemon) => daemon.values.get(`${CONFIGURATION}/main`) === value;
 }
 
-describe('relay topology', () => {
+describe('relayTopology', () => {
   const members = Array.from({ length: 30 }, (_, index) => ({
     id: `d${String(index)}`,
     zone: `z${String(index % 3)}`,
     capacity: 100,
   }));
 
-  it('makes every daemon of a small group a relay', () => {
+  it('makes every daemon of a small group a relay of all others', () => {
     const few = members.slice(0, 7);
     for (const self of few) {
       const { isRelay, relays } = relayTopology(self, few);
@@ -185,7 +185,7 @@
     }
   });
 
-  it('chooses two relays a zone in a large one, the same in every view', () => {
+  it('chooses two relays per zone of a large group, the same at every daemon', () => {
     const relays = members.filter((self) => relayTopology(self, members).isRelay);
     expect(relays).to.have.lengthOf(6);
     for (const self of members) {
@@ -197,8 +197,8 @@
   });
 });
 
-describe('relay topology of unequal machines', () => {
-  it('takes the machines that bear most', () => {
+describe('relayTopology among machines of unequal capacity', () => {
+  it('chooses the machines with the largest capacity', () => {
     const members = Array.from({ length: 30 }, (_, index) => ({
       id: `d${String(index)}`,
       zone: `z${String(index % 3)}`,
@@ -210,7 +210,7 @@
   });
 });
 
-describe('exchange among 20 daemons', () => {
+describe('PeerExchange among 20 daemons', () => {
   let world: ExchangeWorld;
 
   beforeEach(async () => {
@@ -222,7 +222,7 @@
     for (const daemon of world.daemons) daemon.kill();
   });
 
-  it('lets only relays follow the store, and passes changes and removals on', async () => {
+  it('lets only relays follow the store and forwards changes and removals to all daemons', async () => {
     world.store.takeCallers();
     world.store.put(CONFIGURATION, 'main', 2);
     world.store.put(BACK_ENDS, 'w2', 'here');
@@ -236,7 +236,7 @@
     expect(callers).to.have.lengthOf(STORE_FOLLOWERS);
   });
 
-  it('has all daemons begin anew when the store is restored, and take what is written then', async () => {
+  it('discards the records of all daemons when the store is restored, and applies later changes', async () => {
     const restore = world.store.takeSnapshot();
     for (let change = 0; change < 40; change += 1) world.store.put(BACK_ENDS, 'other', change);
     await world.cluster.advance(1500);
@@ -252,7 +252,7 @@
     );
   });
 
-  it('has daemons begin anew that the store does not answer, by the word of the others', async () => {
+  it('applies changes after a restoration at daemons to which the store does not respond, by the reports of peers', async () => {
     const restore = world.store.takeSnapshot();
     for (let change = 0; change < 40; change += 1) world.store.put(BACK_ENDS, 'other', change);
     await world.cluster.advance(1500);
@@ -267,12 +267,12 @@
     );
   });
 
-  it('goes on where the revision that is watched from is given out again at once', async () => {
+  it('receives all records when the restored store immediately reuses the watched revision', async () => {
     const restore = world.store.takeSnapshot();
     world.store.put(BACK_ENDS, 'lost', 'here');
     await world.cluster.advance(1500);
     restore();
-    // The watches under way go on from a revision that stands for another change now.
+    // The watches in progress continue from a revision that now belongs to another change.
     world.store.put(BACK_ENDS, 'w2', 'here');
     world.store.put(BACK_ENDS, 'w3', 'here');
     await world.cluster.advance(3000);
@@ -284,7 +284,7 @@
     expect(world.daemonsFailing(({ values }) => !values.has(`${BACK_ENDS}/lost`))).to.deep.equal([]);
   });
 
-  it('has other relays follow the store where it turns those away that did', async () => {
+  it('lets other relays follow the store while it rejects calls of the current followers', async () => {
     world.store.takeCallers();
     await world.cluster.advance(3000);
     const before = world.store.takeCallers();
@@ -302,13 +302,13 @@
     expect(world.store.takeCallers()).to.have.members(before);
   });
 
-  it('passes urgent records on without waiting for the next report', async () => {
+  it('forwards urgent records without waiting for the next report', async () => {
     world.store.put(CONFIGURATION, 'main', 2);
     await world.cluster.advance(120);
     expect(world.daemonsFailing(hasConfiguration(2))).to.deep.equal([]);
   });
 
-  it('counts each request once at every daemon', async () => {
+  it('counts each request exactly once at every daemon', async () => {
     const tickets = world.daemons.map(({ loads }) =>
       loads.start('w1', { model: 'm' }, { promptTokens: 10, outputTokens: 5 }),
     );
@@ -321,9 +321,9 @@
     expect(world.daemonsFailing(({ loads }) => loads.of('w1').requests === 0)).to.deep.equal([]);
   });
 
-  it('tells coordinators of the loads by target and of the demand', async () => {
+  it('reports loads by target and demand to coordinators, and their claims to all daemons', async () => {
     const coordinator = world.daemons.find(({ exchange }) => !exchange.isRelay);
-    if (coordinator === undefined) throw new Error('all are relays');
+    if (coordinator === undefined) throw new Error('every daemon is a relay');
     coordinator.claims = [
       { zone: 'alpha', fence: 3, storeLoads: 0, loading: [], leaseRevision: 1, confirmedAgoMs: 0 },
     ];
@@ -343,14 +343,14 @@
     expect(world.daemonsFailing((daemon) => !hasReceivedClaim(daemon))).to.deep.equal([]);
   });
 
-  it('announces changes of residency to all, each once', async () => {
+  it('delivers a change of residency to every daemon exactly once', async () => {
     const change = { backEndId: 'w1', model: 'm', resident: false };
     world.daemons[5]?.exchange.announce(change);
     await world.cluster.advance(600);
     expect(world.daemonsFailing(({ changes }) => changes.length === 1)).to.deep.equal([]);
   });
 
-  it('announces what a back end said to one daemon to all others, each once and with its age', async () => {
+  it('delivers a rate limit reported by a back end to all other daemons exactly once, with its age', async () => {
     const reporter = world.daemons[5];
     reporter?.exchange.announceNews({
       kind: 'rate_limit',
@@ -367,7 +367,7 @@
     }
   });
 
-  it('tells all daemons within a second of a process that ended under a request, and then nothing more of it', async () => {
+  it('reports a process crash to all daemons within a second, and does not send it again', async () => {
     const reporter = world.daemons.find(({ exchange }) => !exchange.isRelay);
     const endedAt = reporter?.now ?? 0;
     reporter?.crashMarks.add({
@@ -385,7 +385,7 @@
     expect(world.daemons.map(({ crashMarks }) => crashMarks.timesSent)).to.deep.equal(sent);
   });
 
-  it('forgets neither coordinators nor loads while daemons tell of processes that ended', async () => {
+  it('retains coordinators and loads while daemons report process crashes', async () => {
     const coordinator = world.relays('alpha')[0];
     if (coordinator === undefined) throw new Error('no relay');
     coordinator.claims = [
@@ -406,7 +406,7 @@
     }
   });
 
-  it('brings daemons together that were told of different ends while a relay was killed', async () => {
+  it('merges crash reports that different daemons received while a relay was killed', async () => {
     const [relay] = world.relays('alpha');
     const reporters = world.daemons.filter((daemon) => daemon !== relay).slice(0, 3);
     relay?.kill();
@@ -424,7 +424,7 @@
     expect(world.daemonsFailing(({ crashMarks }) => crashMarks.endsOf('c') === 3, alive)).to.deep.equal([]);
   });
 
-  it('goes on when a relay is killed, without counting anything twice', async () => {
+  it('delivers changes and counts no request twice when a relay is killed', async () => {
     const [relay] = world.relays('alpha');
     relay?.kill();
     world.store.put(CONFIGURATION, 'main', 2);
@@ -436,7 +436,7 @@
     expect(world.daemonsFailing(({ loads }) => loads.of('w1').requests === 19, alive)).to.deep.equal([]);
   });
 
-  it('goes on when a relay stands still', async () => {
+  it('delivers changes when a relay is suspended', async () => {
     const [relay] = world.relays('beta');
     relay?.freeze(6000);
     world.store.put(CONFIGURATION, 'main', 2);
@@ -445,7 +445,7 @@
     expect(world.daemonsFailing(hasConfiguration(2), others)).to.deep.equal([]);
   });
 
-  it('takes records from other relays where the store does not answer a relay', async () => {
+  it('receives records from other relays when the store does not respond to the relays of a zone', async () => {
     for (const { self } of world.relays('alpha')) world.store.unreachableFor.add(self.id);
     await world.cluster.advance(500);
     world.store.put(CONFIGURATION, 'main', 2);
@@ -453,7 +453,7 @@
     expect(world.daemonsFailing(hasConfiguration(2))).to.deep.equal([]);
   });
 
-  it('takes records from other relays soon where the watches of a zone are silent', async () => {
+  it('receives records from other relays in time when the watches of a zone get no response', async () => {
     for (const { self } of world.relays('beta')) world.store.unresponsiveFor.add(self.id);
     await world.cluster.advance(500);
     world.store.put(BACK_ENDS, 'w2', 'here');
@@ -463,10 +463,10 @@
     expect(world.daemonsFailing(({ values }) => !values.has(`${BACK_ENDS}/w1`))).to.deep.equal([]);
   });
 
-  it('hears of a change in time where the store falls silent to all that follow it, at whichever moment', async () => {
+  it('receives a change in time when the store stops responding to all its followers, at any moment', async () => {
     const lateAfter: Record<number, string[]> = {};
     for (let sinceChangeMs = 500; sinceChangeMs <= 3000; sinceChangeMs += 300) {
-      // A change that all watches bring, so that they begin anew together.
+      // All watches return this change, so that the next ones start simultaneously.
       world.store.put(BACK_ENDS, 'w1', sinceChangeMs);
       world.store.takeCallers();
       await world.cluster.advance(sinceChangeMs);
@@ -482,17 +482,17 @@
     expect(lateAfter).to.deep.equal({});
   });
 
-  it('hears of a change soon after the store has been silent to all', async () => {
+  it('receives a change soon after the store was unresponsive for all daemons', async () => {
     for (const { self } of world.daemons) world.store.unresponsiveFor.add(self.id);
     await world.cluster.advance(500);
     world.store.unresponsiveFor.clear();
-    // The watches begun meanwhile stay without an answer.
+    // Watches that started in the meantime get no response.
     world.store.put(CONFIGURATION, 'main', 2);
     await world.cluster.advance(4500);
     expect(world.daemonsFailing(hasConfiguration(2))).to.deep.equal([]);
   });
 
-  it('follows the store itself where no relay answers', async () => {
+  it('follows the store directly when no relay of the zone responds', async () => {
     const dead = world.relays('beta');
     for (const relay of dead) relay.kill();
     world.store.put(CONFIGURATION, 'main', 2);
@@ -501,10 +501,10 @@
     expect(world.daemonsFailing(hasConfiguration(2), alive)).to.deep.equal([]);
   });
 
-  it('leaves a relay whose records have long been behind those of others', async () => {
+  it('abandons a relay whose records have been stale for too long', async () => {
     const [relay, other] = world.relays('alpha');
     if (relay === undefined || other === undefined) throw new Error('too few relays');
-    // Cut off from the store and from all relays, and still reached by those attached to it.
+    // The relay cannot reach the store or other relays, but the daemons attached to it still reach it.
     world.store.unreachableFor.add(relay.self.id);
     const relayIds = world.relays().map(({ self }) => self.id);
     world.cluster.network.cut(
--- a/packages/serving/test/in-memory-record-store.ts
+++ b/packages/serving/test/in-memory-record-store.ts
@@ -1,10 +1,10 @@
-/** A store of records on virtual time, for several daemons. */
+/** In-memory record store for simulations with several daemons. */
 import { sleep, type Clock } from '@woodbarrow/runtime';
 import type { RecordEntry, RecordListing, RecordSource, StorePosition, WatchResult } from '../src/index.js';
 
 const RESPONSE_DELAY_MS = 4;
 const POLL_INTERVAL_MS = 20;
-/** A call that gets no answer is given up by its caller this long after its begin, and what it asked to wait. */
+/** Time after which a caller gives up an unanswered call, in addition to the requested wait. */
 const CALL_TIMEOUT_MS = 1000;
 
 interface Change {
@@ -13,11 +13,11 @@
   readonly gone: boolean;
 }
 
-/** Records and their history. */
+/** Stores records with their history, and simulates unreachable or unresponsive stores for chosen daemons. */
 export class InMemoryRecordStore {
-  /** Daemons that get no answer. */
+  /** Daemons whose calls fail immediately. */
   readonly unreachableFor = new Set<string>();
-  /** Daemons whose calls are taken and never answered, watches under way included. */
+  /** Daemons whose calls get no response and time out, including watches in progress. */
   readonly unresponsiveFor = new Set<string>();
   private changes: Change[] = [];
   private kinds = new Map<string, Map<string, RecordEntry>>();
@@ -41,7 +41,7 @@
     this.changes.push({ kind, record: { ...record, revision: this.revision }, gone: true });
   }
 
-  /** Returns what makes the store what it is now; its revisions are given out again then, and the era rises. */
+  /** Returns a function that restores the current state: revisions after it are reused and the era is incremented. */
   takeSnapshot(): () => void {
     const { revision } = this;
     const kinds = [...this.kinds].map(([kind, records]) => [kind, new Map(records)] as const);
@@ -53,14 +53,14 @@
     };
   }
 
-  /** Daemons that have called since the last time this was asked. */
+  /** Returns the daemons that have called since the previous call of this method. */
   takeCallers(): string[] {
     const callers = [...this.calls.keys()];
     this.calls.clear();
     return callers;
   }
 
-  /** The store as one daemon sees it. */
+  /** Returns the store as seen by one daemon. */
   clientOf(daemon: string, clock: Clock): RecordSource {
     return {
       listAll: (kind) => this.list(daemon, kind, clock),
@@ -94,7 +94,7 @@
         return { kind: 'changes', changes, at: this.at };
       }
       await sleep(clock, POLL_INTERVAL_MS, signal);
-      if (signal.aborted) throw new Error('cut short');
+      if (signal.aborted) throw new Error('watch aborted');
     }
   }
 
@@ -104,10 +104,10 @@
     timeoutAt = clock.monotonic() + CALL_TIMEOUT_MS,
   ): Promise<void> {
     await sleep(clock, RESPONSE_DELAY_MS);
-    if (this.unreachableFor.has(daemon)) throw new Error('no answer');
+    if (this.unreachableFor.has(daemon)) throw new Error('store unreachable');
     if (this.unresponsiveFor.has(daemon)) {
       await sleep(clock, timeoutAt - clock.monotonic());
-      throw new Error('no answer in time');
+      throw new Error('call timed out');
     }
     this.calls.set(daemon, (this.calls.get(daemon) ?? 0) + 1);
   }
--- a/packages/serving/test/member-registration.test.ts
+++ b/packages/serving/test/member-registration.test.ts
@@ -6,7 +6,7 @@
 const SELF: RegisteredMember = { id: 'd1', address: '10.0.0.1:1', zone: 'z', capacity: 100 };
 const OTHER: RegisteredMember = { id: 'd2', address: '10.0.0.2:1', zone: 'z', capacity: 100 };
 
-/** A register that counts the calls to it, and one daemon that registers there. */
+/** A member registry that records its calls, and one daemon that registers there. */
 class RegistrationWorld {
   readonly world = new SimulatedWorld();
   readonly members: RegisteredMember[] = [];
@@ -45,7 +45,7 @@
 
   private call<T>(name: string, apply: () => T): Promise<T> {
     this.calls.push(name);
-    return this.isReachable ? Promise.resolve(apply()) : Promise.reject(new Error('turned away'));
+    return this.isReachable ? Promise.resolve(apply()) : Promise.reject(new Error('registry unavailable'));
   }
 }
 
@@ -60,7 +60,7 @@
     world.stop();
   });
 
-  it('enters itself again after the store was restored, once, and not at the same moment as all others', async () => {
+  it('registers again exactly once after the store was restored, with a random delay', async () => {
     world.stop();
     world = new RegistrationWorld([SELF, OTHER]);
     world.presentCount = 2;
@@ -76,7 +76,7 @@
     expect(world.calls.filter((call) => call === 'join')).to.have.length(1);
   });
 
-  it('knows its group soon after a register that was away is back', async () => {
+  it('knows its group soon after an unavailable registry recovers', async () => {
     world.stop();
     world = new RegistrationWorld([SELF, OTHER], false, false);
     await world.run(400);
@@ -87,7 +87,7 @@
     expect(world.calls.length).to.be.at.most(8);
   });
 
-  it('has met others once one is present, or after a while in which none was', async () => {
+  it('has resolved its peers once one is present, or after a timeout without any', async () => {
     world.stop();
     world = new RegistrationWorld([SELF, OTHER]);
     await world.run(100);
@@ -102,7 +102,7 @@
     expect(world.registration.hasResolvedPeers).to.equal(true);
   });
 
-  it('enters a daemon once, and looks again until it has met others', async () => {
+  it('registers once and polls until other daemons are present', async () => {
     await world.run(100);
     expect(world.calls).to.deep.equal(['list', 'join']);
     world.members.push(OTHER);
@@ -114,7 +114,7 @@
     expect(world.calls.length).to.be.at.most(4);
   });
 
-  it('writes nothing after a restart, where it is registered already', async () => {
+  it('does not register again after a restart when it is already listed', async () => {
     world.stop();
     world = new RegistrationWorld([SELF, OTHER]);
     await world.run(100);
@@ -123,7 +123,7 @@
     expect(world.registration.provisionalMembers).to.deep.equal([OTHER]);
   });
 
-  it('waits at a first start until the register has filled', async () => {
+  it('waits at the first start until the registry can be assumed complete', async () => {
     world.stop();
     world = new RegistrationWorld([OTHER], true);
     await world.run(1000);
@@ -138,7 +138,7 @@
     expect(world.calls).to.have.lengthOf(callCount);
   });
 
-  it('registers once the register is reached', async () => {
+  it('registers once the registry becomes available', async () => {
     world.stop();
     world = new RegistrationWorld();
     world.isReachable = false;
@@ -149,7 +149,7 @@
     expect(world.members).to.deep.equal([SELF]);
   });
 
-  it('takes itself for alone only after a while, and forgets registered daemons that it never met', async () => {
+  it('assumes to be the only daemon only after a timeout, and drops registered daemons that never become present', async () => {
     expect(world.registration.isGroupKnown).to.equal(false);
     await world.run(3000);
     expect(world.registration.isGroupKnown).to.equal(true);
