--- a/packages/serving/src/deployment-view.ts
+++ b/packages/serving/src/deployment-view.ts
@@ -61,10 +61,10 @@
   }
 
   backEndGone(name: string): void {
-    const known = this.directory.named(name);
-    if (known === undefined) return;
+    const removed = this.directory.named(name);
+    if (removed === undefined) return;
     this.directory.recordVanished(name);
-    this.log.changed('back_end_gone', { backEnd: known.id });
+    this.log.changed('back_end_gone', { backEnd: removed.id });
   }
 
   quarantineListed(records: readonly QuarantineEntry[], origin: ListingOrigin): void {
