--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -263,7 +263,10 @@
     this.environment.log.changed('daemon_started', { addresses: this.addresses });
   }
 
-  /** Stops as planned: refuses new requests, hands roles over and finishes requests in progress. Further calls return the promise of the first. */
+  /**
+   * Stops as planned: refuses new requests, hands roles over and finishes requests in progress. Further calls return the
+   * promise of the first.
+   */
   drain(): Promise<void> {
     this.draining ??= this.drainAndStop();
     return this.draining;
--- a/packages/serving/src/member-registration.ts
+++ b/packages/serving/src/member-registration.ts
@@ -25,7 +25,10 @@
 const SINGLE_DAEMON_TIMEOUT_MS = 2500;
 /** Time after which the registry is assumed complete when the whole deployment starts for the first time. */
 const FIRST_START_SETTLE_MS = 1500;
-/** Maximum random delay before registering again after the store was restored: simultaneous writes would use up the write quota that leases need. */
+/**
+ * Maximum random delay before registering again after the store was restored: simultaneous writes would use up the write quota
+ * that leases need.
+ */
 const REJOIN_MAX_JITTER_MS = 5000;
 /** Maximum time between two checks whether the store was restored. */
 const RESTORE_CHECK_INTERVAL_MS = 60_000;
--- a/packages/serving/src/record-follower.ts
+++ b/packages/serving/src/record-follower.ts
@@ -12,7 +12,10 @@
   readonly sink: DeploymentSink;
   /** Called when a newer record of an urgent kind is received. */
   readonly onUrgent: () => void;
-  /** Called with the first listing of each kind after the store was restored from a copy, whether read from the store or received from a peer. */
+  /**
+   * Called with the first listing of each kind after the store was restored from a copy, whether read from the store or
+   * received from a peer.
+   */
   readonly onRestored: () => void;
   /** Called when the store stops responding to this daemon. */
   readonly onStoreLost: () => void;
