--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -1,4 +1,4 @@
-/** One daemon: every role in one process, put together. */
+/** Assembles, starts and stops all roles of one daemon process. */
 import {
   Catalog,
   ConfigurationRelay,
@@ -34,26 +34,26 @@
 import { sleep, tlsFromFiles, type HttpServer } from '@woodbarrow/runtime';
 import type { Settings } from '@woodbarrow/settings';
 import { registerMetrics } from './daemon-metrics.js';
-import type { DaemonEnvironment } from './environment.js';
-import { LEDGER_GROUP, coordinatorGroup, relayGroup } from './groups.js';
+import type { DaemonEnvironment } from './daemon-environment.js';
+import { LEDGER_GROUP, coordinatorGroup, relayGroup } from './lease-groups.js';
 import { withHealth } from './health.js';
 import { SeedSource } from './seed-source.js';
 
 const MAXIMUM_KEY_LIFETIME_MS = 86_400_000;
-const LEDGER_VOTERS = 5;
+const LEDGER_VOTER_COUNT = 5;
 const DRAIN_POLL_MS = 100;
-/** Longest time a planned stop waits for others to take over this daemon's queues and votes. */
-const HAND_OVER_LIMIT_MS = 10_000;
-/** Time for word of the leave to spread before queues are expected to empty. */
-const HAND_OVER_MINIMUM_MS = 1500;
-/** Part of the grace that is kept for answers which have begun. */
-const FINISH_MARGIN_MS = 30_000;
+/** Maximum time that a planned stop waits for other daemons to take over the queues and votes of this one. */
+const HANDOVER_TIMEOUT_MS = 10_000;
+/** Minimum wait for the announcement of the leave to reach all daemons before the handover is checked. */
+const HANDOVER_MIN_WAIT_MS = 1500;
+/** Part of the grace period reserved for completing responses that have begun. */
+const RESPONSE_COMPLETION_MARGIN_MS = 30_000;
 const INSTANCE_STEPS_PER_MS = 1000;
 
-/** Where a daemon is in its life. */
+/** Lifecycle state of a daemon. */
 export type DaemonState = 'starting' | 'running' | 'draining' | 'stopped';
 
-/** All parts of one daemon. */
+/** One daemon with all its roles. */
 export class Daemon {
   readonly store = new ConfigurationStore();
   readonly catalog = new Catalog(this.store);
@@ -70,7 +70,7 @@
   private readonly coordinatorLease: LeaseCandidate;
   private readonly relayLease: LeaseCandidate;
   private readonly ledgerLease: LeaseCandidate;
-  private readonly keepers: readonly VoterSetKeeper[];
+  private readonly voterSetKeepers: readonly VoterSetKeeper[];
   private readonly jobs: JobService;
   private readonly locator: LeaseLocator;
   private readonly seeds: SeedSource;
@@ -121,7 +121,7 @@
     this.coordinatorLease = this.leaseCandidate(coordinatorGroup(zone));
     this.relayLease = this.leaseCandidate(relayGroup(zone));
     this.ledgerLease = this.leaseCandidate(LEDGER_GROUP);
-    this.keepers = [
+    this.voterSetKeepers = [
       new VoterSetKeeper({
         ...common,
         group: coordinatorGroup(zone),
@@ -138,7 +138,7 @@
         membership,
         platform: this.platform,
         electorate: () => membership.eligible(),
-        size: LEDGER_VOTERS,
+        size: LEDGER_VOTER_COUNT,
         spreadOverZones: true,
       }),
     ];
@@ -215,27 +215,27 @@
     registerMetrics(this.metrics, this, this.platform, this.jobs);
   }
 
-  /** Where the daemon is in its life. */
+  /** Current lifecycle state. */
   get state(): DaemonState {
     return this.currentState;
   }
 
-  /** Whether it may serve callers. */
+  /** Whether the daemon can serve callers. */
   get isReady(): boolean {
     return this.currentState === 'running' && this.relay.isFresh;
   }
 
-  /** Whether it reads the platform for its zone now. */
+  /** Whether the daemon holds the lease to read the platform for its zone. */
   get isRelay(): boolean {
     return this.relayLease.held !== undefined;
   }
 
-  /** Whether it leads the ledger of claims now. */
+  /** Whether the daemon holds the lease of the claim ledger. */
   get isLedgerLeader(): boolean {
     return this.ledgerLease.held !== undefined;
   }
 
-  /** Addresses of the listeners, once started. */
+  /** Addresses of the listeners; empty before the start. */
   get addresses(): { readonly callers: string; readonly operators: string; readonly peers: string } {
     const [callers, operators] = this.servers;
     return {
@@ -245,7 +245,7 @@
     };
   }
 
-  /** Starts everything. */
+  /** Starts all parts. Rejects if a listener cannot be opened. */
   async start(): Promise<void> {
     await this.peers.start();
     await this.seeds.start();
@@ -257,46 +257,51 @@
     this.queues.start();
     this.jobs.start();
     for (const candidate of this.candidates()) candidate.start();
-    for (const keeper of this.keepers) keeper.start();
+    for (const keeper of this.voterSetKeepers) keeper.start();
     await this.listen();
     this.currentState = 'running';
     this.environment.log.changed('daemon_started', { addresses: this.addresses });
   }
 
-  /** A planned stop: takes no new requests, hands its roles over, finishes what is in progress, then ends. */
+  /**
+   * Stops as planned: refuses new requests, hands roles over and finishes requests in progress. Further calls return the
+   * promise of the first.
+   */
   drain(): Promise<void> {
-    this.draining ??= this.stopAsPlanned();
+    this.draining ??= this.drainAndStop();
     return this.draining;
   }
 
-  /** Calls `listener` once a planned stop is complete, whoever asked for it. */
+  /** Calls `listener` when a planned stop is complete. */
   onStopped(listener: () => void): void {
     this.stopListeners.push(listener);
   }
 
-  /** Ends at once, without a word to anyone. */
+  /** Stops immediately without notifying other daemons. */
   abort(): void {
     this.currentState = 'stopped';
     for (const part of [this.membership, this.relay, this.ledger, this.queues, this.jobs, this.seeds])
       part.abort();
     for (const candidate of this.candidates()) candidate.abort();
-    for (const keeper of this.keepers) keeper.abort();
+    for (const keeper of this.voterSetKeepers) keeper.abort();
     this.coordinator.abort();
   }
 
-  private async stopAsPlanned(): Promise<void> {
+  private async drainAndStop(): Promise<void> {
     const { clock, log } = this.environment;
     this.currentState = 'draining';
     log.changed('daemon_draining');
     await this.membership.announceLeaving();
-    await Promise.all(this.keepers.map((keeper) => keeper.stop()));
+    await Promise.all(this.voterSetKeepers.map((keeper) => keeper.stop()));
     await Promise.all(this.candidates().map((candidate) => candidate.stop()));
-    const graceEnds = clock.monotonic() + this.settings.shutdown.graceSeconds * 1000;
-    this.router.refuseWaitingBeyond(graceEnds - FINISH_MARGIN_MS);
-    const handedOverBy = clock.monotonic() + HAND_OVER_LIMIT_MS;
-    await sleep(clock, HAND_OVER_MINIMUM_MS);
-    while (clock.monotonic() < handedOverBy && !this.isHandedOver()) await sleep(clock, DRAIN_POLL_MS);
-    while (clock.monotonic() < graceEnds && this.requestsInProgress() > 0) await sleep(clock, DRAIN_POLL_MS);
+    const graceDeadline = clock.monotonic() + this.settings.shutdown.graceSeconds * 1000;
+    this.router.refuseWaitingBeyond(graceDeadline - RESPONSE_COMPLETION_MARGIN_MS);
+    const handoverDeadline = clock.monotonic() + HANDOVER_TIMEOUT_MS;
+    await sleep(clock, HANDOVER_MIN_WAIT_MS);
+    while (clock.monotonic() < handoverDeadline && !this.isHandoverComplete())
+      await sleep(clock, DRAIN_POLL_MS);
+    while (clock.monotonic() < graceDeadline && this.requestsInProgress() > 0)
+      await sleep(clock, DRAIN_POLL_MS);
     log.changed('daemon_stopping', { unfinished: this.requestsInProgress() });
     await this.membership.leave();
     for (const server of this.servers) await server.close();
@@ -307,17 +312,17 @@
     for (const listener of this.stopListeners) listener();
   }
 
-  /** Requests that are not answered to the last byte, and jobs. */
+  /** Returns the number of requests whose responses are not complete, plus active jobs. */
   private requestsInProgress(): number {
     const [callers] = this.servers;
     return Math.max(this.completions.active, callers?.activeRequests() ?? 0) + this.jobs.active;
   }
 
-  /** Whether no queue here has waiters and no voter set names this daemon any more. */
-  private isHandedOver(): boolean {
+  /** Whether no request waits in a queue here and no voter set includes this daemon. */
+  private isHandoverComplete(): boolean {
     const groups = [coordinatorGroup(this.settings.zone), LEDGER_GROUP];
-    const votes = groups.some((group) => this.isVoter(readVoterSets(this.store, group)));
-    return !votes && this.queues.waiting === 0;
+    const isStillVoter = groups.some((group) => this.isVoter(readVoterSets(this.store, group)));
+    return !isStillVoter && this.queues.waiting === 0;
   }
 
   private isVoter(sets: VoterSets | undefined): boolean {
@@ -329,14 +334,14 @@
     return [this.coordinatorLease, this.relayLease, this.ledgerLease];
   }
 
-  /** Voters of a group. A zone's relay is voted on by the voters of its coordinator. */
+  /** Returns the voters of a group. The voters of a zone's coordinator also vote on its relay. */
   private voterSetsOf(group: string): VoterSets | undefined {
     const { zone } = this.settings;
     const votersOf = group === relayGroup(zone) ? coordinatorGroup(zone) : group;
     return renameGroup(readVoterSets(this.store, votersOf), group);
   }
 
-  /** A candidate for the lease of `group`. Only voters stand. */
+  /** Creates a candidate for the lease of `group`. Only voters become candidates. */
   private leaseCandidate(group: string): LeaseCandidate {
     const { clock, random, log } = this.environment;
     const voterSets = (): VoterSets | undefined => this.voterSetsOf(group);
--- a/packages/serving/src/deployment-view.ts
+++ b/packages/serving/src/deployment-view.ts
@@ -1,4 +1,4 @@
-/** Puts what the deployment says in force, and says whether enough is known to serve. */
+/** Applies the records of the deployment, and reports whether enough of them were read to serve requests. */
 import type { BackEnd, BackendDirectory } from '@woodbarrow/backends';
 import type { ListingOrigin } from '@woodbarrow/exchange';
 import type { ConfigurationHolder, ForwardingConfiguration } from '@woodbarrow/forwarding';
@@ -7,27 +7,29 @@
 import type { IngressLimits } from '@woodbarrow/runtime';
 import type { DeploymentSink } from './ports.js';
 
-/** Sink of a daemon's feed. */
+/** Applies the records of a {@link DeploymentFeed} to the parts of a daemon. */
 export class DeploymentView implements DeploymentSink {
-  private listed = false;
+  private areBackEndsListed = false;
   private isQuarantineListed = false;
 
   constructor(
-    private readonly holder: ConfigurationHolder,
+    private readonly configurationHolder: ConfigurationHolder,
     private readonly directory: BackendDirectory,
     private readonly quarantine: RequestQuarantine,
     private readonly log: EventLog,
     private readonly onLimits: (limits: IngressLimits) => void,
   ) {}
 
-  /** Whether configuration, back ends and quarantined contents have been read. */
+  /** Whether the configuration, the back ends and the quarantined contents have been read. */
   get isComplete(): boolean {
-    return this.listed && this.isQuarantineListed && this.holder.current !== undefined;
+    return (
+      this.areBackEndsListed && this.isQuarantineListed && this.configurationHolder.current !== undefined
+    );
   }
 
   configuration(configuration: ForwardingConfiguration): void {
-    const before = this.holder.current?.version;
-    if (!this.holder.apply(configuration)) return;
+    const before = this.configurationHolder.current?.version;
+    if (!this.configurationHolder.apply(configuration)) return;
     this.onLimits(configuration.limits);
     this.log.changed('configuration_applied', {
       version: configuration.version,
@@ -38,7 +40,7 @@
   }
 
   backEndsListed(backEnds: readonly BackEnd[], origin: ListingOrigin): void {
-    this.listed = true;
+    this.areBackEndsListed = true;
     if (origin === 'restored_store') this.directory.restoreAll(backEnds);
     else this.directory.replaceAll(backEnds);
     this.log.changed('back_ends_listed', { count: backEnds.length, origin });
@@ -47,7 +49,7 @@
   backEndChanged(backEnd: BackEnd): void {
     const before = this.directory.get(backEnd.id);
     this.directory.put(backEnd);
-    // What it holds changes with each load, which its coordinator logs: a line at every daemon would say it 200 times.
+    // Its loaded models change often and its coordinator logs each load; other daemons would only repeat it.
     if (before?.draining === backEnd.draining) return;
     this.log.changed(before === undefined ? 'back_end_seen' : 'back_end_changed', {
       backEnd: backEnd.id,
@@ -59,10 +61,10 @@
   }
 
   backEndGone(name: string): void {
-    const known = this.directory.named(name);
-    if (known === undefined) return;
+    const removed = this.directory.named(name);
+    if (removed === undefined) return;
     this.directory.recordVanished(name);
-    this.log.changed('back_end_gone', { backEnd: known.id });
+    this.log.changed('back_end_gone', { backEnd: removed.id });
   }
 
   quarantineListed(records: readonly QuarantineEntry[], origin: ListingOrigin): void {
--- a/packages/serving/src/serving-daemon.ts
+++ b/packages/serving/src/serving-daemon.ts
@@ -1,4 +1,4 @@
-/** One serving daemon: its parts, put together, started and stopped. */
+/** Assembles, starts and stops the parts of one serving daemon. */
 import { setMaxListeners } from 'node:events';
 import { BackendDirectory, LoadBook, RunTimes, type ServiceDefinition } from '@woodbarrow/backends';
 import {
@@ -29,17 +29,17 @@
 } from '@woodbarrow/runtime';
 import { BackendNoticeService } from './backend-notice-service.js';
 import { DeploymentView } from './deployment-view.js';
-import { LoggedJournal } from './journal.js';
+import { LoggedJournal } from './logged-journal.js';
 import { ServingMetrics } from './serving-metrics.js';
 import { MemberRegistration } from './member-registration.js';
 import type { ServingPorts } from './ports.js';
 import { RecordFollower } from './record-follower.js';
 import type { ServingSettings } from './serving-settings.js';
 
-/** Name under which daemons accept each other's connections. */
+/** Deployment name that daemons require of each other's connections. */
 const PEER_DEPLOYMENT = 'woodbarrow-serving';
-/** Limits until the configuration has been read. */
-const FIRST_LIMITS: IngressLimits = {
+/** Ingress limits until the configuration has been read. */
+const INITIAL_INGRESS_LIMITS: IngressLimits = {
   maximumHeaderBytes: 16_384,
   headerTimeoutMs: 3000,
   idleTimeoutMs: 15_000,
@@ -49,7 +49,7 @@
   headerTimeoutMs: 3000,
   idleTimeoutMs: 60_000,
 };
-/** Failure detection among few daemons on fast links. */
+/** Timings of failure detection for a small number of daemons on fast links. */
 const MEMBERSHIP_TIMINGS = {
   probeIntervalMs: 700,
   probeTimeoutMs: 300,
@@ -58,15 +58,15 @@
   reconnectIntervalMs: 3000,
 };
 /**
- * Time after the word to stop in which requests are still taken: clients are led elsewhere after two missed looks
- * at the readiness, a second apart. What is taken later may not end within the grace.
+ * Time after the start of a planned stop during which requests are still accepted: clients are directed elsewhere only
+ * after two failed readiness checks, a second apart. Requests accepted later might not finish within the grace period.
  */
-const LEAVE_ENTRY_MS = 2600;
-/** Time kept at the end of the grace for the process to end, in milliseconds. */
-const STOP_MARGIN_MS = 500;
+const DRAIN_ACCEPT_MS = 2600;
+/** Part of the grace period reserved for the exit of the process. */
+const STOP_EXIT_MARGIN_MS = 500;
 const STOP_POLL_MS = 50;
 
-/** A daemon from start to stop. */
+/** One serving daemon. */
 export class ServingDaemon {
   private readonly configuration = new ConfigurationHolder();
   private readonly directory: BackendDirectory;
@@ -85,7 +85,7 @@
   private readonly exchange: PeerExchange;
   private readonly forwarder: Forwarder;
   private readonly metrics: ServingMetrics;
-  private readonly view: DeploymentView;
+  private readonly deploymentView: DeploymentView;
   private readonly tasks: TaskGroup;
   private readonly failures: CallFailures;
   private readonly registration: MemberRegistration;
@@ -93,9 +93,9 @@
   private readiness: NodeIngress | undefined;
   private metricsServer: NodeIngress | undefined;
   private readonly stopWaiting = new AbortController();
-  private stopping = false;
-  /** The planned stop, once it has begun. */
-  private stopped: Promise<void> | undefined;
+  private isStopping = false;
+  /** Completion of the planned stop, once it has begun. */
+  private stopCompletion: Promise<void> | undefined;
 
   constructor(
     private readonly settings: ServingSettings,
@@ -103,7 +103,7 @@
     private readonly log: BoundedLog,
   ) {
     const { clock, transport } = ports;
-    // One listener for each request that waits.
+    // Each waiting request adds a listener.
     setMaxListeners(0, this.stopWaiting.signal);
     this.tasks = new TaskGroup(clock, logTaskFailures(log));
     this.failures = new CallFailures(clock, log);
@@ -112,8 +112,12 @@
     this.quarantine = this.createQuarantine();
     const { directory, quarantine: contents } = this;
     this.loadQuarantine = new LoadQuarantine({ contents, directory, clock, log });
-    this.view = new DeploymentView(this.configuration, this.directory, this.quarantine, log, (limits) =>
-      this.ingress?.setLimits(limits),
+    this.deploymentView = new DeploymentView(
+      this.configuration,
+      this.directory,
+      this.quarantine,
+      log,
+      (limits) => this.ingress?.setLimits(limits),
     );
     this.peers = new PeerNetwork({
       transport,
@@ -142,7 +146,7 @@
     this.directory.events.on('removed', (backEnd) => {
       this.affinity.forget(backEnd.id);
       this.health.get(backEnd.service)?.forget(backEnd.id);
-      this.noticeService.noteGone(backEnd.id);
+      this.noticeService.noteRemoved(backEnd.id);
       ports.client.forget(backEnd.address);
     });
     this.directory.events.on('residency', ({ backEndId, target, resident }) => {
@@ -150,18 +154,18 @@
     });
   }
 
-  /** Whether new requests should come here. */
+  /** Whether clients should send new requests to this daemon. */
   get isReady(): boolean {
-    return !this.stopping && this.view.isComplete;
+    return !this.isStopping && this.deploymentView.isComplete;
   }
 
-  /** Starts listening and following the deployment. */
+  /** Starts all listeners and services. Rejects if an address cannot be bound. */
   async start(): Promise<void> {
     const { settings } = this;
     this.readiness = await NodeIngress.listen(settings.readinessAddress, READINESS_LIMITS, (exchange) =>
       this.answerReadiness(exchange),
     );
-    this.ingress = await NodeIngress.listen(settings.ingressAddress, FIRST_LIMITS, (exchange) =>
+    this.ingress = await NodeIngress.listen(settings.ingressAddress, INITIAL_INGRESS_LIMITS, (exchange) =>
       this.forwarder.handle(exchange),
     );
     await this.startMetrics();
@@ -178,26 +182,29 @@
   }
 
   /**
-   * Planned stop: no new connections, what is in progress ends, roles are handed over. Resolves when it is done; a stop that is
-   * asked for again is the one under way.
+   * Stops as planned: accepts no new connections, hands roles over and waits for requests in progress, within the grace period.
+   * Further calls return the promise of the first.
    */
   stop(): Promise<void> {
-    this.stopped ??= this.carryOutStop();
-    return this.stopped;
+    this.stopCompletion ??= this.drainAndStop();
+    return this.stopCompletion;
   }
 
-  private async carryOutStop(): Promise<void> {
-    this.stopping = true;
+  private async drainAndStop(): Promise<void> {
+    this.isStopping = true;
     const { clock } = this.ports;
     const startedAt = clock.monotonic();
     const elapsed = (): number => clock.monotonic() - startedAt;
     this.log.changed('daemon_stopping', { inProgress: this.ingress?.inProgress });
     this.ingress?.startDraining();
     await Promise.all([this.residency.leave(), this.membership.announceLeaving()]);
-    await sleep(clock, LEAVE_ENTRY_MS - elapsed());
+    await sleep(clock, DRAIN_ACCEPT_MS - elapsed());
     this.ingress?.closeIdle();
     this.stopWaiting.abort();
-    while ((this.ingress?.inProgress ?? 0) > 0 && elapsed() < this.settings.stopGraceMs - STOP_MARGIN_MS) {
+    while (
+      (this.ingress?.inProgress ?? 0) > 0 &&
+      elapsed() < this.settings.stopGraceMs - STOP_EXIT_MARGIN_MS
+    ) {
       await sleep(clock, STOP_POLL_MS);
     }
     this.log.changed('daemon_stopped', {
@@ -207,9 +214,9 @@
     this.log.flush();
   }
 
-  /** Ends everything at once, as a crash would. */
+  /** Stops everything immediately without a handover, like a crash. */
   async abort(): Promise<void> {
-    this.stopping = true;
+    this.isStopping = true;
     this.tasks.abort();
     this.residency.abort();
     this.quarantine.abort();
@@ -268,8 +275,8 @@
       members: () => this.membership.eligible(),
       knownMembers: () =>
         this.membership.known().map((member) => ({ ...member, isPresent: isPresent(member) })),
-      // A lease taken before others are met would name no witnesses, and a lost holder be waited for twice as long.
-      isGroupKnown: () => this.registration.hasMetOthers,
+      // A lease acquired before peers are present names no witnesses, which doubles the time to replace a failed holder.
+      isGroupKnown: () => this.registration.hasResolvedPeers,
       peers,
       directory,
       loads,
@@ -354,10 +361,10 @@
   }
 
   private createFollower(): RecordFollower {
-    const { ports, log, view } = this;
+    const { ports, log, deploymentView } = this;
     return new RecordFollower({
       feed: ports.feed,
-      sink: view,
+      sink: deploymentView,
       onUrgent: () => {
         this.exchange.passOnUrgent();
       },
@@ -377,7 +384,7 @@
     const { ports, log, loads, peers, records } = this;
     return new PeerExchange({
       self: this.self(),
-      members: () => this.membersToBe(),
+      members: () => this.expectedMembers(),
       isGroupKnown: () => this.registration.isGroupKnown,
       peers,
       loads,
@@ -391,7 +398,7 @@
         }
       },
       onBackendNews: (news) => {
-        this.noticeService.take(news);
+        this.noticeService.applyPeerNews(news);
       },
       crashMarks: this.quarantine,
       failures: this.failures,
@@ -470,12 +477,14 @@
     return { id, address, zone, capacity };
   }
 
-  /** Members, and those that a daemon which has just started knows from the register only. */
-  private membersToBe(): readonly Member[] {
-    const unmet = this.registration.provisionalMembers.filter(
+  /** Returns the eligible members and, shortly after the start, registered daemons that the membership has not contacted yet. */
+  private expectedMembers(): readonly Member[] {
+    const provisional = this.registration.provisionalMembers.filter(
       ({ id }) => this.membership.get(id) === undefined,
     );
-    return unmet.length === 0 ? this.membership.eligible() : [...this.membership.eligible(), ...unmet];
+    return provisional.length === 0
+      ? this.membership.eligible()
+      : [...this.membership.eligible(), ...provisional];
   }
 
   private serviceOf(name: string): ServiceDefinition | undefined {
@@ -495,11 +504,11 @@
     const { metrics: endpoint } = this.settings;
     if (endpoint === undefined) return;
     this.metricsServer = await NodeIngress.listen(endpoint.address, READINESS_LIMITS, (exchange) => {
-      const isAsked = exchange.target === endpoint.path;
-      const headers = isAsked ? ['Content-Type', this.metrics.contentType] : [];
+      const isMetricsPath = exchange.target === endpoint.path;
+      const headers = isMetricsPath ? ['Content-Type', this.metrics.contentType] : [];
       exchange.respond(
-        { status: isAsked ? 200 : 404, headers },
-        encodeText(isAsked ? this.metrics.render() : ''),
+        { status: isMetricsPath ? 200 : 404, headers },
+        encodeText(isMetricsPath ? this.metrics.render() : ''),
       );
       return Promise.resolve();
     });
--- a/packages/serving/test/exchange.test.ts
+++ b/packages/serving/test/exchange.test.ts
@@ -7,12 +7,12 @@
 import type { BackendNews, ResidencyChange, ZoneClaim } from '@woodbarrow/protocol';
 import { CrashMarks } from '@woodbarrow/quarantine';
 import { RecordFollower, type DeploymentSink, type FeedKind } from '../src/index.js';
-import { StoreInMemory } from './store-in-memory.js';
+import { InMemoryRecordStore } from './in-memory-record-store.js';
 
 const CONFIGURATION = 'settings';
 const BACK_ENDS = 'workers';
-/** Time in which the word that a worker leaves is to be known everywhere, in milliseconds: the contract gives 3000 until the last request. */
-const LEAVING_WORD_MS = 2900;
+/** Maximum time for the notice that a worker leaves to reach all daemons; workers must receive no request later than 3000 ms after it. */
+const LEAVE_PROPAGATION_LIMIT_MS = 2900;
 const noSink: DeploymentSink = {
   configuration: () => undefined,
   backEndsListed: () => undefined,
@@ -23,8 +23,8 @@
   quarantineLifted: () => undefined,
 };
 
-/** Marks that count how often they were put into a message. */
-class CountedMarks extends CrashMarks {
+/** Crash marks that count how often they are included in a message. */
+class CountingCrashMarks extends CrashMarks {
   timesSent = 0;
 
   override entries(): ReturnType<CrashMarks['entries']> {
@@ -33,11 +33,11 @@
   }
 }
 
-/** One daemon's exchange, and what it has learned. */
+/** Exchange of one daemon, with everything that it received. */
 class ExchangingDaemon {
   readonly loads: LoadBook;
   readonly coordinators: CoordinatorDirectory;
-  readonly crashMarks: CountedMarks;
+  readonly crashMarks: CountingCrashMarks;
   readonly changes: ResidencyChange[] = [];
   readonly news: BackendNews[] = [];
   readonly values = new Map<string, unknown>();
@@ -49,13 +49,13 @@
   constructor(
     readonly self: Member,
     private readonly node: SimulatedNode,
-    store: StoreInMemory,
+    store: InMemoryRecordStore,
     members: () => readonly Member[],
   ) {
     const { process: clock, peers, random } = node;
     this.loads = new LoadBook(clock);
     this.coordinators = new CoordinatorDirectory(clock, self.id);
-    this.crashMarks = new CountedMarks(clock);
+    this.crashMarks = new CountingCrashMarks(clock);
     this.follower = new RecordFollower({
       feed: {
         store: store.clientOf(self.id, clock),
@@ -97,7 +97,7 @@
     this.exchange.start();
   }
 
-  /** Monotonic time of this daemon. */
+  /** Monotonic time of this daemon, in milliseconds. */
   get now(): number {
     return this.node.process.monotonic();
   }
@@ -131,10 +131,10 @@
   }
 }
 
-/** Daemons of two zones and a store. */
+/** Simulated daemons of two zones that share a store. */
 class ExchangeWorld {
   readonly cluster = new SimulatedCluster({ seed: 7 });
-  readonly store = new StoreInMemory();
+  readonly store = new InMemoryRecordStore();
   readonly daemons: ExchangingDaemon[] = [];
   private readonly members: Member[] = [];
 
@@ -159,8 +159,8 @@
     );
   }
 
-  /** Daemons for which a condition does not hold. */
-  except(condition: (daemon: ExchangingDaemon) => boolean, among = this.daemons): string[] {
+  /** Returns the ids of the daemons for which a condition does not hold. */
+  daemonsFailing(condition: (daemon: ExchangingDaemon) => boolean, among = this.daemons): string[] {
     return among.filter((daemon) => !condition(daemon)).map((daemon) => daemon.self.id);
   }
 }
@@ -169,14 +169,14 @@
   return (daemon) => daemon.values.get(`${CONFIGURATION}/main`) === value;
 }
 
-describe('relay topology', () => {
+describe('relayTopology', () => {
   const members = Array.from({ length: 30 }, (_, index) => ({
     id: `d${String(index)}`,
     zone: `z${String(index % 3)}`,
     capacity: 100,
   }));
 
-  it('makes every daemon of a small group a relay', () => {
+  it('makes every daemon of a small group a relay of all others', () => {
     const few = members.slice(0, 7);
     for (const self of few) {
       const { isRelay, relays } = relayTopology(self, few);
@@ -185,7 +185,7 @@
     }
   });
 
-  it('chooses two relays a zone in a large one, the same in every view', () => {
+  it('chooses two relays per zone of a large group, the same at every daemon', () => {
     const relays = members.filter((self) => relayTopology(self, members).isRelay);
     expect(relays).to.have.lengthOf(6);
     for (const self of members) {
@@ -197,8 +197,8 @@
   });
 });
 
-describe('relay topology of unequal machines', () => {
-  it('takes the machines that bear most', () => {
+describe('relayTopology among machines of unequal capacity', () => {
+  it('chooses the machines with the largest capacity', () => {
     const members = Array.from({ length: 30 }, (_, index) => ({
       id: `d${String(index)}`,
       zone: `z${String(index % 3)}`,
@@ -210,7 +210,7 @@
   });
 });
 
-describe('exchange among 20 daemons', () => {
+describe('PeerExchange among 20 daemons', () => {
   let world: ExchangeWorld;
 
   beforeEach(async () => {
@@ -222,36 +222,38 @@
     for (const daemon of world.daemons) daemon.kill();
   });
 
-  it('lets only relays follow the store, and passes changes and removals on', async () => {
+  it('lets only relays follow the store and forwards changes and removals to all daemons', async () => {
     world.store.takeCallers();
     world.store.put(CONFIGURATION, 'main', 2);
     world.store.put(BACK_ENDS, 'w2', 'here');
     world.store.remove(BACK_ENDS, 'w1');
     await world.cluster.advance(1500);
-    expect(world.except(hasConfiguration(2))).to.deep.equal([]);
-    expect(world.except(({ values }) => values.has(`${BACK_ENDS}/w2`))).to.deep.equal([]);
-    expect(world.except(({ values }) => !values.has(`${BACK_ENDS}/w1`))).to.deep.equal([]);
+    expect(world.daemonsFailing(hasConfiguration(2))).to.deep.equal([]);
+    expect(world.daemonsFailing(({ values }) => values.has(`${BACK_ENDS}/w2`))).to.deep.equal([]);
+    expect(world.daemonsFailing(({ values }) => !values.has(`${BACK_ENDS}/w1`))).to.deep.equal([]);
     const callers = world.store.takeCallers();
     expect(world.relays().map(({ self }) => self.id)).to.include.members(callers);
     expect(callers).to.have.lengthOf(STORE_FOLLOWERS);
   });
 
-  it('has all daemons begin anew when the store is restored, and take what is written then', async () => {
-    const restore = world.store.takeCopy();
+  it('discards the records of all daemons when the store is restored, and applies later changes', async () => {
+    const restore = world.store.takeSnapshot();
     for (let change = 0; change < 40; change += 1) world.store.put(BACK_ENDS, 'other', change);
     await world.cluster.advance(1500);
     restore();
     await world.cluster.advance(2000);
-    expect(world.except(({ values }) => !values.has(`${BACK_ENDS}/other`))).to.deep.equal([]);
+    expect(world.daemonsFailing(({ values }) => !values.has(`${BACK_ENDS}/other`))).to.deep.equal([]);
     world.store.put(CONFIGURATION, 'main', 2);
     world.store.put(BACK_ENDS, 'w1', 'leaves');
     await world.cluster.advance(1500);
-    expect(world.except(hasConfiguration(2))).to.deep.equal([]);
-    expect(world.except(({ values }) => values.get(`${BACK_ENDS}/w1`) === 'leaves')).to.deep.equal([]);
+    expect(world.daemonsFailing(hasConfiguration(2))).to.deep.equal([]);
+    expect(world.daemonsFailing(({ values }) => values.get(`${BACK_ENDS}/w1`) === 'leaves')).to.deep.equal(
+      [],
+    );
   });
 
-  it('has daemons begin anew that the store does not answer, by the word of the others', async () => {
-    const restore = world.store.takeCopy();
+  it('applies changes after a restoration at daemons to which the store does not respond, by the reports of peers', async () => {
+    const restore = world.store.takeSnapshot();
     for (let change = 0; change < 40; change += 1) world.store.put(BACK_ENDS, 'other', change);
     await world.cluster.advance(1500);
     const cutOff = world.relays('alpha');
@@ -260,27 +262,29 @@
     await world.cluster.advance(2000);
     world.store.put(BACK_ENDS, 'w1', 'leaves');
     await world.cluster.advance(1500);
-    expect(world.except(({ values }) => values.get(`${BACK_ENDS}/w1`) === 'leaves')).to.deep.equal([]);
+    expect(world.daemonsFailing(({ values }) => values.get(`${BACK_ENDS}/w1`) === 'leaves')).to.deep.equal(
+      [],
+    );
   });
 
-  it('goes on where the revision that is watched from is given out again at once', async () => {
-    const restore = world.store.takeCopy();
+  it('receives all records when the restored store immediately reuses the watched revision', async () => {
+    const restore = world.store.takeSnapshot();
     world.store.put(BACK_ENDS, 'lost', 'here');
     await world.cluster.advance(1500);
     restore();
-    // The watches under way go on from a revision that stands for another change now.
+    // The watches in progress continue from a revision that now belongs to another change.
     world.store.put(BACK_ENDS, 'w2', 'here');
     world.store.put(BACK_ENDS, 'w3', 'here');
     await world.cluster.advance(3000);
     for (const name of ['w2', 'w3'])
       expect(
-        world.except(({ values }) => values.has(`${BACK_ENDS}/${name}`)),
+        world.daemonsFailing(({ values }) => values.has(`${BACK_ENDS}/${name}`)),
         name,
       ).to.deep.equal([]);
-    expect(world.except(({ values }) => !values.has(`${BACK_ENDS}/lost`))).to.deep.equal([]);
+    expect(world.daemonsFailing(({ values }) => !values.has(`${BACK_ENDS}/lost`))).to.deep.equal([]);
   });
 
-  it('has other relays follow the store where it turns those away that did', async () => {
+  it('lets other relays follow the store while it rejects calls of the current followers', async () => {
     world.store.takeCallers();
     await world.cluster.advance(3000);
     const before = world.store.takeCallers();
@@ -289,8 +293,8 @@
     world.store.put(CONFIGURATION, 'main', 2);
     world.store.put(BACK_ENDS, 'w2', 'here');
     await world.cluster.advance(1500);
-    expect(world.except(hasConfiguration(2))).to.deep.equal([]);
-    expect(world.except(({ values }) => values.has(`${BACK_ENDS}/w2`))).to.deep.equal([]);
+    expect(world.daemonsFailing(hasConfiguration(2))).to.deep.equal([]);
+    expect(world.daemonsFailing(({ values }) => values.has(`${BACK_ENDS}/w2`))).to.deep.equal([]);
     world.store.unreachableFor.clear();
     await world.cluster.advance(4000);
     world.store.takeCallers();
@@ -298,28 +302,28 @@
     expect(world.store.takeCallers()).to.have.members(before);
   });
 
-  it('passes urgent records on without waiting for the next report', async () => {
+  it('forwards urgent records without waiting for the next report', async () => {
     world.store.put(CONFIGURATION, 'main', 2);
     await world.cluster.advance(120);
-    expect(world.except(hasConfiguration(2))).to.deep.equal([]);
+    expect(world.daemonsFailing(hasConfiguration(2))).to.deep.equal([]);
   });
 
-  it('counts each request once at every daemon', async () => {
+  it('counts each request exactly once at every daemon', async () => {
     const tickets = world.daemons.map(({ loads }) =>
       loads.start('w1', { model: 'm' }, { promptTokens: 10, outputTokens: 5 }),
     );
     for (const { loads } of world.daemons) loads.noteDemand('m');
     await world.cluster.advance(1200);
-    expect(world.except(({ loads }) => loads.of('w1').requests === 20)).to.deep.equal([]);
-    expect(world.except(({ loads }) => loads.of('w1').heldTokens === 300)).to.deep.equal([]);
+    expect(world.daemonsFailing(({ loads }) => loads.of('w1').requests === 20)).to.deep.equal([]);
+    expect(world.daemonsFailing(({ loads }) => loads.of('w1').heldTokens === 300)).to.deep.equal([]);
     for (const ticket of tickets) ticket.ended();
     await world.cluster.advance(1500);
-    expect(world.except(({ loads }) => loads.of('w1').requests === 0)).to.deep.equal([]);
+    expect(world.daemonsFailing(({ loads }) => loads.of('w1').requests === 0)).to.deep.equal([]);
   });
 
-  it('tells coordinators of the loads by target and of the demand', async () => {
+  it('reports loads by target and demand to coordinators, and their claims to all daemons', async () => {
     const coordinator = world.daemons.find(({ exchange }) => !exchange.isRelay);
-    if (coordinator === undefined) throw new Error('all are relays');
+    if (coordinator === undefined) throw new Error('every daemon is a relay');
     coordinator.claims = [
       { zone: 'alpha', fence: 3, storeLoads: 0, loading: [], leaseRevision: 1, confirmedAgoMs: 0 },
     ];
@@ -330,56 +334,58 @@
     await world.cluster.advance(1200);
     expect(coordinator.loads.requestsFor('w1', 'm')).to.equal(20);
     expect(coordinator.loads.demandFor('m')).to.be.within(14, 20);
-    const knows = ({ coordinators }: ExchangingDaemon) =>
+    const hasReceivedClaim = ({ coordinators }: ExchangingDaemon) =>
       coordinators.of('alpha')?.memberId === coordinator.self.id;
-    expect(world.except(knows)).to.deep.equal([]);
+    expect(world.daemonsFailing(hasReceivedClaim)).to.deep.equal([]);
     coordinator.claims = [];
     coordinator.exchange.tellNow();
     await world.cluster.advance(1000);
-    expect(world.except((daemon) => !knows(daemon))).to.deep.equal([]);
+    expect(world.daemonsFailing((daemon) => !hasReceivedClaim(daemon))).to.deep.equal([]);
   });
 
-  it('announces changes of residency to all, each once', async () => {
+  it('delivers a change of residency to every daemon exactly once', async () => {
     const change = { backEndId: 'w1', model: 'm', resident: false };
     world.daemons[5]?.exchange.announce(change);
     await world.cluster.advance(600);
-    expect(world.except(({ changes }) => changes.length === 1)).to.deep.equal([]);
+    expect(world.daemonsFailing(({ changes }) => changes.length === 1)).to.deep.equal([]);
   });
 
-  it('announces what a back end said to one daemon to all others, each once and with its age', async () => {
-    const teller = world.daemons[5];
-    teller?.exchange.announceNews({
+  it('delivers a rate limit reported by a back end to all other daemons exactly once, with its age', async () => {
+    const reporter = world.daemons[5];
+    reporter?.exchange.announceNews({
       kind: 'rate_limit',
       backEndId: 'w1',
       rateLimit: { requestsPerSecond: 2, heardAgoMs: 100 },
     });
     await world.cluster.advance(600);
-    expect(world.except((daemon) => daemon === teller || daemon.news.length === 1)).to.deep.equal([]);
+    expect(world.daemonsFailing((daemon) => daemon === reporter || daemon.news.length === 1)).to.deep.equal(
+      [],
+    );
     for (const { news } of world.daemons) {
       for (const item of news)
         if (item.kind === 'rate_limit') expect(item.rateLimit.heardAgoMs).to.be.within(100, 600);
     }
   });
 
-  it('tells all daemons within a second of a process that ended under a request, and then nothing more of it', async () => {
-    const teller = world.daemons.find(({ exchange }) => !exchange.isRelay);
-    const endedAt = teller?.now ?? 0;
-    teller?.crashMarks.add({
+  it('reports a process crash to all daemons within a second, and does not send it again', async () => {
+    const reporter = world.daemons.find(({ exchange }) => !exchange.isRelay);
+    const endedAt = reporter?.now ?? 0;
+    reporter?.crashMarks.add({
       content: 'c',
       processId: 'w1',
       begunAt: endedAt - 50,
       endedAt,
       isCleared: false,
     });
-    teller?.exchange.passOnCrashMarks();
+    reporter?.exchange.passOnCrashMarks();
     await world.cluster.advance(1000);
-    expect(world.except(({ crashMarks }) => crashMarks.endsOf('c') === 1)).to.deep.equal([]);
+    expect(world.daemonsFailing(({ crashMarks }) => crashMarks.endsOf('c') === 1)).to.deep.equal([]);
     const sent = world.daemons.map(({ crashMarks }) => crashMarks.timesSent);
     await world.cluster.advance(3000);
     expect(world.daemons.map(({ crashMarks }) => crashMarks.timesSent)).to.deep.equal(sent);
   });
 
-  it('forgets neither coordinators nor loads while daemons tell of processes that ended', async () => {
+  it('retains coordinators and loads while daemons report process crashes', async () => {
     const coordinator = world.relays('alpha')[0];
     if (coordinator === undefined) throw new Error('no relay');
     coordinator.claims = [
@@ -395,16 +401,16 @@
       exchange.passOnCrashMarks();
       for (let step = 0; step < 10; step += 1) {
         await world.cluster.advance(5);
-        expect(world.except(isKnown), `after mark ${content}`).to.deep.equal([]);
+        expect(world.daemonsFailing(isKnown), `after mark ${content}`).to.deep.equal([]);
       }
     }
   });
 
-  it('brings daemons together that were told of different ends while a relay was killed', async () => {
+  it('merges crash reports that different daemons received while a relay was killed', async () => {
     const [relay] = world.relays('alpha');
-    const tellers = world.daemons.filter((daemon) => daemon !== relay).slice(0, 3);
+    const reporters = world.daemons.filter((daemon) => daemon !== relay).slice(0, 3);
     relay?.kill();
-    tellers.forEach(({ crashMarks, now }, index) => {
+    reporters.forEach(({ crashMarks, now }, index) => {
       crashMarks.add({
         content: 'c',
         processId: `w${String(index)}`,
@@ -415,90 +421,90 @@
     });
     await world.cluster.advance(3000);
     const alive = world.daemons.filter((daemon) => daemon !== relay);
-    expect(world.except(({ crashMarks }) => crashMarks.endsOf('c') === 3, alive)).to.deep.equal([]);
+    expect(world.daemonsFailing(({ crashMarks }) => crashMarks.endsOf('c') === 3, alive)).to.deep.equal([]);
   });
 
-  it('goes on when a relay is killed, without counting anything twice', async () => {
+  it('delivers changes and counts no request twice when a relay is killed', async () => {
     const [relay] = world.relays('alpha');
     relay?.kill();
     world.store.put(CONFIGURATION, 'main', 2);
     const alive = world.daemons.filter((daemon) => daemon !== relay);
     for (const { loads } of alive) loads.start('w1', { model: 'm' }, { promptTokens: 1, outputTokens: 1 });
     await world.cluster.advance(1500);
-    expect(world.except(hasConfiguration(2), alive)).to.deep.equal([]);
+    expect(world.daemonsFailing(hasConfiguration(2), alive)).to.deep.equal([]);
     await world.cluster.advance(2500);
-    expect(world.except(({ loads }) => loads.of('w1').requests === 19, alive)).to.deep.equal([]);
+    expect(world.daemonsFailing(({ loads }) => loads.of('w1').requests === 19, alive)).to.deep.equal([]);
   });
 
-  it('goes on when a relay stands still', async () => {
+  it('delivers changes when a relay is suspended', async () => {
     const [relay] = world.relays('beta');
     relay?.freeze(6000);
     world.store.put(CONFIGURATION, 'main', 2);
     await world.cluster.advance(1500);
     const others = world.daemons.filter((daemon) => daemon !== relay);
-    expect(world.except(hasConfiguration(2), others)).to.deep.equal([]);
+    expect(world.daemonsFailing(hasConfiguration(2), others)).to.deep.equal([]);
   });
 
-  it('takes records from other relays where the store does not answer a relay', async () => {
+  it('receives records from other relays when the store does not respond to the relays of a zone', async () => {
     for (const { self } of world.relays('alpha')) world.store.unreachableFor.add(self.id);
     await world.cluster.advance(500);
     world.store.put(CONFIGURATION, 'main', 2);
     await world.cluster.advance(1500);
-    expect(world.except(hasConfiguration(2))).to.deep.equal([]);
+    expect(world.daemonsFailing(hasConfiguration(2))).to.deep.equal([]);
   });
 
-  it('takes records from other relays soon where the watches of a zone are silent', async () => {
-    for (const { self } of world.relays('beta')) world.store.silentFor.add(self.id);
+  it('receives records from other relays in time when the watches of a zone get no response', async () => {
+    for (const { self } of world.relays('beta')) world.store.unresponsiveFor.add(self.id);
     await world.cluster.advance(500);
     world.store.put(BACK_ENDS, 'w2', 'here');
     world.store.remove(BACK_ENDS, 'w1');
     await world.cluster.advance(1300);
-    expect(world.except(({ values }) => values.has(`${BACK_ENDS}/w2`))).to.deep.equal([]);
-    expect(world.except(({ values }) => !values.has(`${BACK_ENDS}/w1`))).to.deep.equal([]);
+    expect(world.daemonsFailing(({ values }) => values.has(`${BACK_ENDS}/w2`))).to.deep.equal([]);
+    expect(world.daemonsFailing(({ values }) => !values.has(`${BACK_ENDS}/w1`))).to.deep.equal([]);
   });
 
-  it('hears of a change in time where the store falls silent to all that follow it, at whichever moment', async () => {
+  it('receives a change in time when the store stops responding to all its followers, at any moment', async () => {
     const lateAfter: Record<number, string[]> = {};
     for (let sinceChangeMs = 500; sinceChangeMs <= 3000; sinceChangeMs += 300) {
-      // A change that all watches bring, so that they begin anew together.
+      // All watches return this change, so that the next ones start simultaneously.
       world.store.put(BACK_ENDS, 'w1', sinceChangeMs);
       world.store.takeCallers();
       await world.cluster.advance(sinceChangeMs);
-      for (const id of world.store.takeCallers()) world.store.silentFor.add(id);
+      for (const id of world.store.takeCallers()) world.store.unresponsiveFor.add(id);
       const name = `after-${String(sinceChangeMs)}`;
       world.store.put(BACK_ENDS, name, 'here');
-      await world.cluster.advance(LEAVING_WORD_MS);
-      const late = world.except(({ values }) => values.has(`${BACK_ENDS}/${name}`));
+      await world.cluster.advance(LEAVE_PROPAGATION_LIMIT_MS);
+      const late = world.daemonsFailing(({ values }) => values.has(`${BACK_ENDS}/${name}`));
       if (late.length > 0) lateAfter[sinceChangeMs] = late;
-      world.store.silentFor.clear();
+      world.store.unresponsiveFor.clear();
       await world.cluster.advance(6000);
     }
     expect(lateAfter).to.deep.equal({});
   });
 
-  it('hears of a change soon after the store has been silent to all', async () => {
-    for (const { self } of world.daemons) world.store.silentFor.add(self.id);
+  it('receives a change soon after the store was unresponsive for all daemons', async () => {
+    for (const { self } of world.daemons) world.store.unresponsiveFor.add(self.id);
     await world.cluster.advance(500);
-    world.store.silentFor.clear();
-    // The watches begun meanwhile stay without an answer.
+    world.store.unresponsiveFor.clear();
+    // Watches that started in the meantime get no response.
     world.store.put(CONFIGURATION, 'main', 2);
     await world.cluster.advance(4500);
-    expect(world.except(hasConfiguration(2))).to.deep.equal([]);
+    expect(world.daemonsFailing(hasConfiguration(2))).to.deep.equal([]);
   });
 
-  it('follows the store itself where no relay answers', async () => {
+  it('follows the store directly when no relay of the zone responds', async () => {
     const dead = world.relays('beta');
     for (const relay of dead) relay.kill();
     world.store.put(CONFIGURATION, 'main', 2);
     await world.cluster.advance(1900);
     const alive = world.daemons.filter((daemon) => !dead.includes(daemon));
-    expect(world.except(hasConfiguration(2), alive)).to.deep.equal([]);
+    expect(world.daemonsFailing(hasConfiguration(2), alive)).to.deep.equal([]);
   });
 
-  it('leaves a relay whose records have long been behind those of others', async () => {
+  it('abandons a relay whose records have been stale for too long', async () => {
     const [relay, other] = world.relays('alpha');
     if (relay === undefined || other === undefined) throw new Error('too few relays');
-    // Cut off from the store and from all relays, and still reached by those attached to it.
+    // The relay cannot reach the store or other relays, but the daemons attached to it still reach it.
     world.store.unreachableFor.add(relay.self.id);
     const relayIds = world.relays().map(({ self }) => self.id);
     world.cluster.network.cut(
@@ -513,6 +519,6 @@
     }
     await world.cluster.advance(900);
     const others = world.daemons.filter((daemon) => daemon !== relay);
-    expect(world.except(hasConfiguration(2), others)).to.deep.equal([]);
+    expect(world.daemonsFailing(hasConfiguration(2), others)).to.deep.equal([]);
   });
 });
--- a/packages/serving/test/store-in-memory.ts
+++ b/packages/serving/test/in-memory-record-store.ts
@@ -1,11 +1,11 @@
-/** A store of records on virtual time, for several daemons. */
+/** In-memory record store for simulations with several daemons. */
 import { sleep, type Clock } from '@woodbarrow/runtime';
 import type { RecordEntry, RecordListing, RecordSource, StorePosition, WatchResult } from '../src/index.js';
 
-const ANSWER_MS = 4;
-const LOOK_INTERVAL_MS = 20;
-/** A call that gets no answer is given up by its caller this long after its begin, and what it asked to wait. */
-const CALL_PATIENCE_MS = 1000;
+const RESPONSE_DELAY_MS = 4;
+const POLL_INTERVAL_MS = 20;
+/** Time after which a caller gives up an unanswered call, in addition to the requested wait. */
+const CALL_TIMEOUT_MS = 1000;
 
 interface Change {
   readonly kind: string;
@@ -13,12 +13,12 @@
   readonly gone: boolean;
 }
 
-/** Records and their history. */
-export class StoreInMemory {
-  /** Daemons that get no answer. */
+/** Stores records with their history, and simulates unreachable or unresponsive stores for chosen daemons. */
+export class InMemoryRecordStore {
+  /** Daemons whose calls fail immediately. */
   readonly unreachableFor = new Set<string>();
-  /** Daemons whose calls are taken and never answered, watches under way included. */
-  readonly silentFor = new Set<string>();
+  /** Daemons whose calls get no response and time out, including watches in progress. */
+  readonly unresponsiveFor = new Set<string>();
   private changes: Change[] = [];
   private kinds = new Map<string, Map<string, RecordEntry>>();
   private readonly calls = new Map<string, number>();
@@ -41,8 +41,8 @@
     this.changes.push({ kind, record: { ...record, revision: this.revision }, gone: true });
   }
 
-  /** Returns what makes the store what it is now; its revisions are given out again then, and the era rises. */
-  takeCopy(): () => void {
+  /** Returns a function that restores the current state: revisions after it are reused and the era is incremented. */
+  takeSnapshot(): () => void {
     const { revision } = this;
     const kinds = [...this.kinds].map(([kind, records]) => [kind, new Map(records)] as const);
     return () => {
@@ -53,14 +53,14 @@
     };
   }
 
-  /** Daemons that have called since the last time this was asked. */
+  /** Returns the daemons that have called since the previous call of this method. */
   takeCallers(): string[] {
     const callers = [...this.calls.keys()];
     this.calls.clear();
     return callers;
   }
 
-  /** The store as one daemon sees it. */
+  /** Returns the store as seen by one daemon. */
   clientOf(daemon: string, clock: Clock): RecordSource {
     return {
       listAll: (kind) => this.list(daemon, kind, clock),
@@ -69,7 +69,7 @@
   }
 
   private async list(daemon: string, kind: string, clock: Clock): Promise<RecordListing> {
-    await this.answer(daemon, clock);
+    await this.simulateResponse(daemon, clock);
     return { records: [...this.ofKind(kind).values()], at: this.at };
   }
 
@@ -85,29 +85,29 @@
     signal: AbortSignal,
     clock: Clock,
   ): Promise<WatchResult> {
-    const until = clock.monotonic() + waitMs;
+    const waitUntil = clock.monotonic() + waitMs;
     for (;;) {
-      await this.answer(daemon, clock, until + CALL_PATIENCE_MS);
+      await this.simulateResponse(daemon, clock, waitUntil + CALL_TIMEOUT_MS);
       if (from > this.revision) return { kind: 'history_gone' };
       const changes = this.changes.filter((change) => change.kind === kind && change.record.revision > from);
-      if (changes.length > 0 || clock.monotonic() >= until) {
+      if (changes.length > 0 || clock.monotonic() >= waitUntil) {
         return { kind: 'changes', changes, at: this.at };
       }
-      await sleep(clock, LOOK_INTERVAL_MS, signal);
-      if (signal.aborted) throw new Error('cut short');
+      await sleep(clock, POLL_INTERVAL_MS, signal);
+      if (signal.aborted) throw new Error('watch aborted');
     }
   }
 
-  private async answer(
+  private async simulateResponse(
     daemon: string,
     clock: Clock,
-    givenUpAt = clock.monotonic() + CALL_PATIENCE_MS,
+    timeoutAt = clock.monotonic() + CALL_TIMEOUT_MS,
   ): Promise<void> {
-    await sleep(clock, ANSWER_MS);
-    if (this.unreachableFor.has(daemon)) throw new Error('no answer');
-    if (this.silentFor.has(daemon)) {
-      await sleep(clock, givenUpAt - clock.monotonic());
-      throw new Error('no answer in time');
+    await sleep(clock, RESPONSE_DELAY_MS);
+    if (this.unreachableFor.has(daemon)) throw new Error('store unreachable');
+    if (this.unresponsiveFor.has(daemon)) {
+      await sleep(clock, timeoutAt - clock.monotonic());
+      throw new Error('call timed out');
     }
     this.calls.set(daemon, (this.calls.get(daemon) ?? 0) + 1);
   }
