--- a/packages/engine/src/engine-client.ts
+++ b/packages/engine/src/engine-client.ts
@@ -50,9 +50,9 @@
    *
    * @throws WoodbarrowError `peer_unreachable`
    */
-  async inventory(origin: string, known?: Inventory): Promise<Inventory> {
-    const response = await this.control(origin, 'GET', `/inventory${sinceQuery(known)}`);
-    return readInventory(await readJson(response.body), known);
+  async inventory(origin: string, cached?: Inventory): Promise<Inventory> {
+    const response = await this.sendControlRequest(origin, 'GET', `/inventory${cachesSinceQuery(cached)}`);
+    return parseInventory(await readJson(response.body), cached);
   }
 
   /**
@@ -61,15 +61,18 @@
    * @throws WoodbarrowError `fence_too_low`, `engine_refused` when the worker cannot carry it out,
    * `peer_unreachable` when it is not known whether it was received.
    */
-  async order(origin: string, fence: number, order: EngineOrder, known?: Inventory): Promise<Inventory> {
-    const response = await this.control(origin, 'POST', `/orders${sinceQuery(known)}`, { fence, order });
+  async order(origin: string, fence: number, order: EngineOrder, cached?: Inventory): Promise<Inventory> {
+    const response = await this.sendControlRequest(origin, 'POST', `/orders${cachesSinceQuery(cached)}`, {
+      fence,
+      order,
+    });
     const body = await readJson(response.body);
     if (response.status === 409)
       throw new WoodbarrowError('fence_too_low', 'the worker has seen a higher fence');
     if (response.status !== 200) {
       throw new WoodbarrowError('engine_refused', `order ${order.type} refused: ${JSON.stringify(body)}`);
     }
-    return readInventory(body, known);
+    return parseInventory(body, cached);
   }
 
   /** Sends a completion. Says exactly what is known of whether it ran. */
@@ -105,7 +108,12 @@
     return { outcome: 'unknown', reason: `engine answered ${String(response.status)}` };
   }
 
-  private async control(origin: string, method: string, path: string, body?: object): Promise<HttpResponse> {
+  private async sendControlRequest(
+    origin: string,
+    method: string,
+    path: string,
+    body?: object,
+  ): Promise<HttpResponse> {
     try {
       return await this.http.send({
         method,
@@ -121,12 +129,12 @@
   }
 }
 
-function sinceQuery(known: Inventory | undefined): string {
-  return known === undefined ? '' : `?caches-since=${String(known.cacheGeneration)}`;
+function cachesSinceQuery(cached: Inventory | undefined): string {
+  return cached === undefined ? '' : `?caches-since=${String(cached.cacheGeneration)}`;
 }
 
-function readInventory(body: unknown, known: Inventory | undefined): Inventory {
+function parseInventory(body: unknown, cached: Inventory | undefined): Inventory {
   const parsed = inventorySchema.parse(body);
-  const { hostCache = known?.hostCache ?? [], diskCache = known?.diskCache ?? [] } = parsed;
+  const { hostCache = cached?.hostCache ?? [], diskCache = cached?.diskCache ?? [] } = parsed;
   return { ...parsed, hostCache, diskCache };
 }
--- a/packages/errors/src/kinds.ts
+++ b/packages/errors/src/kinds.ts
@@ -8,7 +8,7 @@
 export type RanState = 'no' | 'maybe' | 'yes';
 
 /** What a caller is told for one error kind. */
-export interface ErrorAnswer {
+export interface ErrorResponseSpec {
   /** HTTP status code. */
   readonly status: number;
   /** Whether the request ran on an engine. */
@@ -20,7 +20,7 @@
 }
 
 /** The table from error kind to answer. */
-export const ERROR_ANSWERS = {
+export const ERROR_RESPONSES = {
   bad_request: { status: 400, ran: 'no', retryable: false },
   body_too_large: { status: 413, ran: 'no', retryable: false },
   body_too_deep: { status: 400, ran: 'no', retryable: false },
@@ -58,15 +58,15 @@
   fence_too_low: { status: 409, ran: 'no', retryable: false },
   settings_invalid: { status: 400, ran: 'no', retryable: false },
   internal: { status: 500, ran: 'maybe', retryable: false },
-} as const satisfies Record<string, ErrorAnswer>;
+} as const satisfies Record<string, ErrorResponseSpec>;
 
 /** One of the closed list of error kinds. */
-export type ErrorKind = keyof typeof ERROR_ANSWERS;
+export type ErrorKind = keyof typeof ERROR_RESPONSES;
 
 /** All error kinds, in the order of the table. */
-export const ERROR_KINDS = Object.keys(ERROR_ANSWERS) as ErrorKind[];
+export const ERROR_KINDS = Object.keys(ERROR_RESPONSES) as ErrorKind[];
 
 /** The answer that belongs to an error kind. */
-export function answerFor(kind: ErrorKind): ErrorAnswer {
-  return ERROR_ANSWERS[kind];
+export function answerFor(kind: ErrorKind): ErrorResponseSpec {
+  return ERROR_RESPONSES[kind];
 }
--- a/packages/errors/src/woodbarrow-error.ts
+++ b/packages/errors/src/woodbarrow-error.ts
@@ -1,6 +1,12 @@
 /** The one error class of the project, built on modern-errors, and conversions to and from it. */
 import ModernError from 'modern-errors';
-import { ERROR_ANSWERS, answerFor, type ErrorAnswer, type ErrorKind, type RanState } from './kinds.js';
+import {
+  ERROR_RESPONSES,
+  answerFor,
+  type ErrorResponseSpec,
+  type ErrorKind,
+  type RanState,
+} from './kinds.js';
 
 /** Options of {@link WoodbarrowError}. */
 export interface WoodbarrowErrorOptions {
@@ -36,7 +42,7 @@
   }
 
   /** The table's answer for this error's kind. */
-  get answer(): ErrorAnswer {
+  get responseSpec(): ErrorResponseSpec {
     return answerFor(this.kind);
   }
 }
@@ -74,5 +80,5 @@
 
 /** Whether a string names an error kind. */
 export function isErrorKind(text: string): text is ErrorKind {
-  return Object.hasOwn(ERROR_ANSWERS, text);
+  return Object.hasOwn(ERROR_RESPONSES, text);
 }
--- a/packages/gateway/src/authentication.ts
+++ b/packages/gateway/src/authentication.ts
@@ -13,7 +13,7 @@
 export type Identity = Principal | Administrator;
 
 const BEARER = /^Bearer\s+(\S+)$/i;
-const CACHE_LIMIT = 10_000;
+const MAX_CACHED_TOKENS = 10_000;
 
 /** Looks tokens up; digests are cached while the configuration stays the same. */
 export class Authenticator {
@@ -31,14 +31,14 @@
   identify(request: HttpRequest): Identity {
     const token = BEARER.exec(request.headers['authorization'] ?? '')?.[1];
     if (token === undefined) throw new WoodbarrowError('unauthenticated', 'send a bearer token');
-    if (this.cachedRevision !== this.store.revision || this.cache.size > CACHE_LIMIT) {
+    if (this.cachedRevision !== this.store.revision || this.cache.size > MAX_CACHED_TOKENS) {
       this.cache = new Map();
       this.cachedRevision = this.store.revision;
     }
-    const known = this.cache.get(token) ?? this.lookUp(token);
-    if (known === undefined) throw new WoodbarrowError('unauthenticated', 'the token is not known');
-    this.cache.set(token, known);
-    return known;
+    const identity = this.cache.get(token) ?? this.lookUp(token);
+    if (identity === undefined) throw new WoodbarrowError('unauthenticated', 'the token is not known');
+    this.cache.set(token, identity);
+    return identity;
   }
 
   private lookUp(token: string): Identity | undefined {
--- a/packages/gateway/src/caller-api.ts
+++ b/packages/gateway/src/caller-api.ts
@@ -31,12 +31,12 @@
 export function createCallerApi(options: CallerApiOptions): HttpHandler {
   return async (request) => {
     const requestId = options.newRequestId();
-    const response = await answer(request, requestId, options).catch(errorResponse);
+    const response = await handleRequest(request, requestId, options).catch(errorResponse);
     return { ...response, headers: { ...response.headers, [REQUEST_ID_HEADER]: requestId } };
   };
 }
 
-async function answer(
+async function handleRequest(
   request: HttpRequest,
   requestId: string,
   options: CallerApiOptions,
@@ -44,7 +44,7 @@
   const path = request.path.split('?', 1)[0] ?? '/';
   const refusal = options.refusal();
   if (refusal === 'not_ready') throw new WoodbarrowError('not_ready', 'this daemon has no configuration yet');
-  const tenant = tenantOf(request, options);
+  const tenant = resolveTenant(request, options);
   if (COMPLETION_PATHS.has(path)) {
     assertMethod(request, 'POST');
     if (refusal !== undefined)
@@ -61,18 +61,18 @@
       throw new WoodbarrowError(refusal, 'this daemon is stopping; send the request to another');
     return submitJob(request, tenant, options);
   }
-  const job = JOB_PATH.exec(path);
-  if (job !== null) {
+  const jobMatch = JOB_PATH.exec(path);
+  if (jobMatch !== null) {
     assertMethod(request, 'GET');
     return showJob(
-      await options.jobs.fetch(decodeURIComponent(job[1] ?? ''), tenant.name),
-      job[2] !== undefined,
+      await options.jobs.fetch(decodeURIComponent(jobMatch[1] ?? ''), tenant.name),
+      jobMatch[2] !== undefined,
     );
   }
   throw new WoodbarrowError('not_found', `no such path: ${path}`);
 }
 
-function tenantOf(request: HttpRequest, options: CallerApiOptions): CatalogTenant {
+function resolveTenant(request: HttpRequest, options: CallerApiOptions): CatalogTenant {
   const identity = options.authenticator.identify(request);
   if (identity.role === 'administrator' || identity.tenant === undefined) {
     throw new WoodbarrowError('forbidden', "use a tenant's token for the callers' API");
@@ -102,18 +102,18 @@
     throw new WoodbarrowError('bad_request', 'a job has no stream; leave "stream" out');
   const path = 'messages' in readJsonObject(request) ? '/v1/chat/completions' : '/v1/completions';
   const job = await options.jobs.submit(request, path, tenant.name);
-  return jsonResponse(202, jobView(job), { location: `/v1/jobs/${encodeURIComponent(job.id)}` });
+  return jsonResponse(202, describeJob(job), { location: `/v1/jobs/${encodeURIComponent(job.id)}` });
 }
 
 function showJob(job: JobRecord, wantsResult: boolean): HttpResponse {
-  if (!wantsResult) return jsonResponse(200, jobView(job));
+  if (!wantsResult) return jsonResponse(200, describeJob(job));
   if (job.result === undefined) {
-    return jsonResponse(202, jobView(job), { 'retry-after': '1' });
+    return jsonResponse(202, describeJob(job), { 'retry-after': '1' });
   }
   return { status: job.status ?? 200, headers: { 'content-type': 'application/json' }, body: job.result };
 }
 
-function jobView(job: JobRecord): Record<string, unknown> {
+function describeJob(job: JobRecord): Record<string, unknown> {
   return {
     id: job.id,
     object: 'job',
--- a/packages/gateway/src/completion-request.ts
+++ b/packages/gateway/src/completion-request.ts
@@ -31,8 +31,8 @@
   readonly affinity: number;
 }
 
-const MAXIMUM_KEY_LENGTH = 255;
-const AFFINITY_PREFIX_CHARACTERS = 256;
+const MAX_KEY_LENGTH = 255;
+const AFFINITY_PREFIX_LENGTH = 256;
 
 /** @throws WoodbarrowError of the kind that names what is wrong. */
 export function readCompletionRequest(request: HttpRequest, tenant: CatalogTenant): CompletionRequest {
@@ -41,33 +41,33 @@
     throw new WoodbarrowError('body_too_large', `the body may have ${String(limits.bodyBytes)} bytes`);
   }
   const body = readJsonObject(request);
-  const target = targetOf(body['model'], tenant);
+  const target = resolveTarget(body['model'], tenant);
   if (body['stream'] !== undefined && typeof body['stream'] !== 'boolean') {
     throw new WoodbarrowError('bad_request', '"stream" must be true or false');
   }
   assertPrompt(body);
-  const priorityClass = classOf(request.headers, tenant);
-  const marked = booleanHeader(request.headers, CALLER_HEADERS.notRepeatable);
-  const declared = tenant.parameters.nonRepeatableModels.includes(target.model.parameters.name);
+  const priorityClass = resolvePriorityClass(request.headers, tenant);
+  const isMarkedNotRepeatable = booleanHeader(request.headers, CALLER_HEADERS.notRepeatable);
+  const isModelNotRepeatable = tenant.parameters.nonRepeatableModels.includes(target.model.parameters.name);
   return {
     target,
     priorityClass,
-    waitMs: waitOf(request.headers, priorityClass),
+    waitMs: readWaitMs(request.headers, priorityClass),
     streaming: body['stream'] === true,
-    repeatable: !marked && !declared,
-    idempotencyKey: keyOf(request.headers),
+    repeatable: !isMarkedNotRepeatable && !isModelNotRepeatable,
+    idempotencyKey: readIdempotencyKey(request.headers),
     idempotencyKeyAgeMs: numberHeader(request.headers, CALLER_HEADERS.idempotencyKeyAge),
-    affinity: affinityOf(request.headers, body),
+    affinity: computeAffinity(request.headers, body),
   };
 }
 
-function targetOf(model: unknown, tenant: CatalogTenant): CatalogTarget {
+function resolveTarget(model: unknown, tenant: CatalogTenant): CatalogTarget {
   if (typeof model !== 'string') throw new WoodbarrowError('bad_request', '"model" must be a string');
   const target = tenant.targets.get(model);
   if (target === undefined) {
     throw new WoodbarrowError(
       'model_not_found',
-      `no model "${model.slice(0, MAXIMUM_KEY_LENGTH)}" for this tenant`,
+      `no model "${model.slice(0, MAX_KEY_LENGTH)}" for this tenant`,
     );
   }
   return target;
@@ -82,7 +82,7 @@
   }
 }
 
-function classOf(headers: HttpHeaders, tenant: CatalogTenant): PriorityClass {
+function resolvePriorityClass(headers: HttpHeaders, tenant: CatalogTenant): PriorityClass {
   const name = headers[CALLER_HEADERS.priorityClass] ?? tenant.parameters.defaultClass;
   const found = tenant.parameters.priorityClasses.find((candidate) => candidate.name === name);
   if (found === undefined)
@@ -90,25 +90,25 @@
   return found;
 }
 
-function waitOf(headers: HttpHeaders, priorityClass: PriorityClass): number {
-  const asked = numberHeader(headers, CALLER_HEADERS.wait);
-  const longest = priorityClass.maximumWaitSeconds * 1000;
-  if (asked === undefined) return priorityClass.defaultWaitSeconds * 1000;
-  if (asked > longest) {
+function readWaitMs(headers: HttpHeaders, priorityClass: PriorityClass): number {
+  const requestedMs = numberHeader(headers, CALLER_HEADERS.wait);
+  const maximumMs = priorityClass.maximumWaitSeconds * 1000;
+  if (requestedMs === undefined) return priorityClass.defaultWaitSeconds * 1000;
+  if (requestedMs > maximumMs) {
     throw new WoodbarrowError(
       'limit_exceeded',
-      `class ${priorityClass.name} allows a wait of ${String(longest)} ms, not ${String(asked)}`,
+      `class ${priorityClass.name} allows a wait of ${String(maximumMs)} ms, not ${String(requestedMs)}`,
     );
   }
-  return asked;
+  return requestedMs;
 }
 
-function keyOf(headers: HttpHeaders): string | undefined {
+function readIdempotencyKey(headers: HttpHeaders): string | undefined {
   const key = headers[CALLER_HEADERS.idempotencyKey];
-  if (key !== undefined && (key === '' || key.length > MAXIMUM_KEY_LENGTH)) {
+  if (key !== undefined && (key === '' || key.length > MAX_KEY_LENGTH)) {
     throw new WoodbarrowError(
       'bad_request',
-      `an idempotency key has 1 to ${String(MAXIMUM_KEY_LENGTH)} characters`,
+      `an idempotency key has 1 to ${String(MAX_KEY_LENGTH)} characters`,
     );
   }
   return key;
@@ -132,11 +132,11 @@
   return text === 'true';
 }
 
-function affinityOf(headers: HttpHeaders, body: Readonly<Record<string, unknown>>): number {
+function computeAffinity(headers: HttpHeaders, body: Readonly<Record<string, unknown>>): number {
   const session = headers[CALLER_HEADERS.session];
   if (session !== undefined) return hashText(session) || 1;
   const { messages, prompt } = body;
   const first: unknown = Array.isArray(messages) ? (messages[0] as unknown) : prompt;
   const text = typeof first === 'string' ? first : JSON.stringify(first);
-  return hashText(text.slice(0, AFFINITY_PREFIX_CHARACTERS)) || 1;
+  return hashText(text.slice(0, AFFINITY_PREFIX_LENGTH)) || 1;
 }
--- a/packages/gateway/src/completions.ts
+++ b/packages/gateway/src/completions.ts
@@ -24,11 +24,11 @@
 }
 
 /** Largest answer kept for repeats of its key, in bytes. */
-const STORED_ANSWER_BYTES = 65_536;
+const MAX_STORED_RESPONSE_BYTES = 65_536;
 /** This daemon's clock may be slow by this share; a long wait ends that much earlier by it. */
-const CLOCK_ERROR_SHARE = 0.001;
+const MAX_CLOCK_RATE_ERROR = 0.001;
 /** Longest time spent on a claim, as a share of the allowed wait. */
-const CLAIM_WAIT_SHARE = 0.8;
+const CLAIM_WAIT_FRACTION = 0.8;
 
 /** Runs one completion request after another, many at once. */
 export class CompletionService {
@@ -57,7 +57,7 @@
     try {
       const response = await this.run(request, requestId, path, tenant, completion, startedAt);
       this.options.onAnswer?.('served', this.options.clock.monotonic() - startedAt);
-      return releaseAfter(response, release);
+      return releaseAfterResponse(response, release);
     } catch (thrown) {
       release();
       const error = toWoodbarrowError(thrown);
@@ -87,14 +87,14 @@
         priority: completion.priorityClass.priority,
         deferrable: completion.priorityClass.deferrable,
         receivedAt: startedAt,
-        deadline: startedAt + completion.waitMs * (1 - CLOCK_ERROR_SHARE),
+        deadline: startedAt + completion.waitMs * (1 - MAX_CLOCK_RATE_ERROR),
         runLimitMs: tenant.parameters.limits.runSeconds * 1000,
         repeatable: completion.repeatable && claim === undefined,
         affinity: completion.affinity,
         queueLimit: tenant.parameters.limits.queuedRequests,
         signal: request.signal,
       });
-      return claim === undefined ? response : this.settleAfter(response, claim);
+      return claim === undefined ? response : this.settleAfterResponse(response, claim);
     } catch (thrown) {
       const error = toWoodbarrowError(thrown);
       if (claim !== undefined) this.settle(claim, error.ran === 'no' ? 'released' : 'finished');
@@ -119,7 +119,7 @@
         lifetimeMs: tenant.parameters.keyLifetimeSeconds * 1000,
         ...(completion.idempotencyKeyAgeMs === undefined ? {} : { ageMs: completion.idempotencyKeyAgeMs }),
       },
-      completion.waitMs * CLAIM_WAIT_SHARE,
+      completion.waitMs * CLAIM_WAIT_FRACTION,
     );
     switch (result.outcome) {
       case 'granted':
@@ -140,7 +140,7 @@
             'this request has run before, and its answer is not kept',
           );
         }
-        return { answer: storedResponse(result.answer, completion.streaming) };
+        return { answer: replayResponse(result.answer, completion.streaming) };
     }
   }
 
@@ -149,10 +149,10 @@
   }
 
   /** Keeps the answer for repeats once it has gone out whole. */
-  private settleAfter(response: HttpResponse, claim: HeldClaim): HttpResponse {
+  private settleAfterResponse(response: HttpResponse, claim: HeldClaim): HttpResponse {
     const { body } = response;
     if (body instanceof Uint8Array) {
-      this.settle(claim, 'finished', storable(response.status, body));
+      this.settle(claim, 'finished', storableBody(response.status, body));
       return response;
     }
     return { ...response, body: this.recordStream(body, response.status, claim) };
@@ -168,22 +168,22 @@
     try {
       for await (const chunk of body) {
         size += chunk.byteLength;
-        if (size <= STORED_ANSWER_BYTES) chunks.push(chunk);
+        if (size <= MAX_STORED_RESPONSE_BYTES) chunks.push(chunk);
         yield chunk;
       }
     } finally {
       const answer = Buffer.concat(chunks);
-      const whole = size <= STORED_ANSWER_BYTES && hasEndMark(answer);
-      this.settle(claim, 'finished', whole ? storable(status, answer) : undefined);
+      const isComplete = size <= MAX_STORED_RESPONSE_BYTES && hasEndMark(answer);
+      this.settle(claim, 'finished', isComplete ? storableBody(status, answer) : undefined);
     }
   }
 }
 
-function storable(status: number, body: Uint8Array): Uint8Array | undefined {
-  return status === 200 && body.byteLength <= STORED_ANSWER_BYTES ? body : undefined;
+function storableBody(status: number, body: Uint8Array): Uint8Array | undefined {
+  return status === 200 && body.byteLength <= MAX_STORED_RESPONSE_BYTES ? body : undefined;
 }
 
-function storedResponse(answer: Uint8Array, streaming: boolean): HttpResponse {
+function replayResponse(answer: Uint8Array, streaming: boolean): HttpResponse {
   const contentType = streaming ? 'text/event-stream' : 'application/json';
   return {
     status: 200,
@@ -193,16 +193,19 @@
 }
 
 /** Ends the admission when the answer has gone out, whole or not. */
-function releaseAfter(response: HttpResponse, release: () => void): HttpResponse {
+function releaseAfterResponse(response: HttpResponse, release: () => void): HttpResponse {
   const { body } = response;
   if (body instanceof Uint8Array) {
     release();
     return response;
   }
-  return { ...response, body: releasing(body, release) };
+  return { ...response, body: releaseAfterStream(body, release) };
 }
 
-async function* releasing(body: AsyncIterable<Uint8Array>, release: () => void): AsyncGenerator<Uint8Array> {
+async function* releaseAfterStream(
+  body: AsyncIterable<Uint8Array>,
+  release: () => void,
+): AsyncGenerator<Uint8Array> {
   try {
     yield* body;
   } finally {
--- a/packages/gateway/src/error-response.ts
+++ b/packages/gateway/src/error-response.ts
@@ -14,14 +14,14 @@
   };
 }
 
-const FIRST_SERVER_STATUS = 500;
+const MIN_SERVER_ERROR_STATUS = 500;
 
 /** The answer for anything thrown. */
 export function errorResponse(thrown: unknown): HttpResponse {
   const error = toWoodbarrowError(thrown);
   const retryAfter = error.retryAfterSeconds;
   const headers = retryAfter === undefined ? {} : { 'retry-after': String(Math.ceil(retryAfter)) };
-  return jsonResponse(error.answer.status, errorBody(error), headers);
+  return jsonResponse(error.responseSpec.status, errorBody(error), headers);
 }
 
 /** The body for an error. An internal failure's own message stays inside. */
@@ -30,7 +30,7 @@
   return {
     error: {
       message: error.kind === 'internal' ? 'internal error' : error.message,
-      type: status >= FIRST_SERVER_STATUS ? 'server_error' : 'invalid_request_error',
+      type: status >= MIN_SERVER_ERROR_STATUS ? 'server_error' : 'invalid_request_error',
       code: error.kind,
       ran: error.ran,
       retryable: retryable && error.ran === 'no',
--- a/packages/gateway/src/jobs.ts
+++ b/packages/gateway/src/jobs.ts
@@ -34,14 +34,14 @@
   readonly onTaskFailure?: (name: string, error: unknown) => void;
 }
 
-const KEEPER_SEPARATOR = '~';
+const DAEMON_ID_SEPARATOR = '~';
 const ID_PREFIX = 'job_';
 /** Daemons that keep a job, the one that runs it included. */
-const KEEPERS = 3;
-const RETENTION_MS = 3_600_000;
-const MAXIMUM_JOBS = 10_000;
-const SWEEP_MS = 2000;
-const CALL_TIMEOUT_MS = 1500;
+const COPIES_PER_JOB = 3;
+const JOB_RETENTION_MS = 3_600_000;
+const MAX_STORED_JOBS = 10_000;
+const SWEEP_INTERVAL_MS = 2000;
+const PEER_CALL_TIMEOUT_MS = 1500;
 const FORWARDED_HEADERS: readonly string[] = ['content-type', ...Object.values(CALLER_HEADERS)];
 
 /** Takes, keeps and runs jobs. */
@@ -62,7 +62,7 @@
   start(): void {
     const { peers } = this.options;
     peers.handle(storeJobMethod, (request) => {
-      this.keep(request.job);
+      this.storeLocally(request.job);
       return {};
     });
     peers.handle(fetchJobMethod, (request) => {
@@ -71,7 +71,7 @@
     });
     this.tasks.loop(
       'gateway.jobs',
-      () => SWEEP_MS,
+      () => SWEEP_INTERVAL_MS,
       () => {
         this.sweep();
         return Promise.resolve();
@@ -85,15 +85,15 @@
    * @throws WoodbarrowError `not_ready` when no other daemon would keep it.
    */
   async submit(request: HttpRequest, path: string, tenant: string): Promise<JobRecord> {
-    if (this.jobs.size >= MAXIMUM_JOBS)
+    if (this.jobs.size >= MAX_STORED_JOBS)
       throw new WoodbarrowError('queue_full', 'this daemon keeps as many jobs as it can');
     const { membership, random, clock } = this.options;
     const suffix = random.id();
     const others = membership.eligible().filter((member) => member.id !== membership.local.id);
-    const backups = rankByRendezvous(suffix, others).slice(0, KEEPERS - 1);
-    const keepers = [membership.local.id, ...backups.map((member) => member.id)];
+    const backups = rankByRendezvous(suffix, others).slice(0, COPIES_PER_JOB - 1);
+    const daemonIds = [membership.local.id, ...backups.map((member) => member.id)];
     const job: JobRecord = {
-      id: `${ID_PREFIX}${[...keepers, suffix].join(KEEPER_SEPARATOR)}`,
+      id: `${ID_PREFIX}${[...daemonIds, suffix].join(DAEMON_ID_SEPARATOR)}`,
       tenant,
       state: 'queued',
       path,
@@ -101,30 +101,31 @@
       body: request.body,
       submittedAt: clock.wall(),
     };
-    const kept = await this.replicate(job);
-    if (others.length > 0 && kept === 0)
+    const copies = await this.replicate(job);
+    if (others.length > 0 && copies === 0)
       throw new WoodbarrowError('not_ready', 'no other daemon could keep the job');
-    this.keep(job);
+    this.storeLocally(job);
     this.run(job);
     return job;
   }
 
   /** Finds a job at whichever daemon keeps it. @throws WoodbarrowError `not_found` */
   async fetch(jobId: string, tenant: string): Promise<JobRecord> {
-    const own = this.jobs.get(jobId);
-    let best = own;
-    if (own === undefined || own.state === 'queued') best = (await this.fetchElsewhere(jobId)) ?? own;
-    if (best === undefined || best.tenant !== tenant) throw new WoodbarrowError('not_found', 'no such job');
-    return best;
+    const local = this.jobs.get(jobId);
+    let latest = local;
+    if (local === undefined || local.state === 'queued') latest = (await this.fetchFromPeers(jobId)) ?? local;
+    if (latest === undefined || latest.tenant !== tenant)
+      throw new WoodbarrowError('not_found', 'no such job');
+    return latest;
   }
 
-  private async fetchElsewhere(jobId: string): Promise<JobRecord | undefined> {
+  private async fetchFromPeers(jobId: string): Promise<JobRecord | undefined> {
     let found: JobRecord | undefined;
-    for (const keeper of keepersOf(jobId)) {
+    for (const keeper of daemonIdsOf(jobId)) {
       const member = this.options.membership.get(keeper);
       if (member === undefined || keeper === this.options.membership.local.id) continue;
       const answer = await this.options.peers
-        .call(member.address, fetchJobMethod, { jobId }, { timeoutMs: CALL_TIMEOUT_MS })
+        .call(member.address, fetchJobMethod, { jobId }, { timeoutMs: PEER_CALL_TIMEOUT_MS })
         .catch(() => undefined);
       found = answer?.job ?? found;
       if (found !== undefined && found.state !== 'queued') return found;
@@ -132,10 +133,10 @@
     return found;
   }
 
-  private keep(job: JobRecord): void {
-    const known = this.jobs.get(job.id);
+  private storeLocally(job: JobRecord): void {
+    const stored = this.jobs.get(job.id);
     // A finished job never becomes unfinished again.
-    if (known !== undefined && known.state !== 'queued') return;
+    if (stored !== undefined && stored.state !== 'queued') return;
     this.jobs.set(job.id, job);
   }
 
@@ -143,11 +144,11 @@
   private async replicate(job: JobRecord): Promise<number> {
     const { membership, peers } = this.options;
     const answers = await Promise.all(
-      keepersOf(job.id).map(async (keeper) => {
+      daemonIdsOf(job.id).map(async (keeper) => {
         const member = membership.get(keeper);
         if (member === undefined || keeper === membership.local.id) return 0;
         return peers
-          .call(member.address, storeJobMethod, { job }, { timeoutMs: CALL_TIMEOUT_MS })
+          .call(member.address, storeJobMethod, { job }, { timeoutMs: PEER_CALL_TIMEOUT_MS })
           .then(() => 1)
           .catch(() => 0);
       }),
@@ -170,7 +171,7 @@
           status: response.status,
           result,
         };
-        this.keep(finished);
+        this.storeLocally(finished);
         await this.replicate(finished);
       } finally {
         this.running.delete(job.id);
@@ -185,7 +186,7 @@
     const age = Math.max(0, this.options.clock.wall() - job.submittedAt);
     const headers = {
       ...job.headers,
-      [CALLER_HEADERS.idempotencyKey]: key.slice(-MAXIMUM_JOB_KEY),
+      [CALLER_HEADERS.idempotencyKey]: key.slice(-MAX_JOB_KEY_LENGTH),
       [CALLER_HEADERS.idempotencyKeyAge]: String(Math.round(age)),
     };
     try {
@@ -202,23 +203,23 @@
   private sweep(): void {
     const now = this.options.clock.wall();
     for (const [id, job] of this.jobs) {
-      if (now - job.submittedAt > RETENTION_MS && !this.running.has(id)) this.jobs.delete(id);
-      else if (job.state === 'queued' && this.isNextKeeper(id)) this.run(job);
+      if (now - job.submittedAt > JOB_RETENTION_MS && !this.running.has(id)) this.jobs.delete(id);
+      else if (job.state === 'queued' && this.isFirstPresentDaemon(id)) this.run(job);
     }
   }
 
-  private isNextKeeper(jobId: string): boolean {
+  private isFirstPresentDaemon(jobId: string): boolean {
     const { membership } = this.options;
     const present = new Set(membership.present().map((member) => member.id));
-    const first = keepersOf(jobId).find((keeper) => present.has(keeper));
+    const first = daemonIdsOf(jobId).find((keeper) => present.has(keeper));
     return first === membership.local.id;
   }
 }
 
-const MAXIMUM_JOB_KEY = 200;
+const MAX_JOB_KEY_LENGTH = 200;
 
-function keepersOf(jobId: string): string[] {
-  return jobId.slice(ID_PREFIX.length).split(KEEPER_SEPARATOR).slice(0, -1);
+function daemonIdsOf(jobId: string): string[] {
+  return jobId.slice(ID_PREFIX.length).split(DAEMON_ID_SEPARATOR).slice(0, -1);
 }
 
 function pickHeaders(headers: HttpHeaders): Record<string, string> {
--- a/packages/gateway/src/json-body.ts
+++ b/packages/gateway/src/json-body.ts
@@ -3,7 +3,7 @@
 import { decodeText, type HttpRequest } from '@woodbarrow/runtime';
 
 /** Deepest nesting of objects and lists accepted. */
-export const MAXIMUM_DEPTH = 32;
+export const MAX_JSON_DEPTH = 32;
 
 const QUOTE = 0x22;
 const BACKSLASH = 0x5c;
@@ -20,8 +20,8 @@
   if (!/^application\/(merge-patch\+)?json\b/i.test(contentType)) {
     throw new WoodbarrowError('unsupported_content_type', 'send the body as application/json');
   }
-  if (depthOf(request.body) > MAXIMUM_DEPTH) {
-    throw new WoodbarrowError('body_too_deep', `the body nests deeper than ${String(MAXIMUM_DEPTH)} levels`);
+  if (jsonDepth(request.body) > MAX_JSON_DEPTH) {
+    throw new WoodbarrowError('body_too_deep', `the body nests deeper than ${String(MAX_JSON_DEPTH)} levels`);
   }
   let value: unknown;
   try {
@@ -36,9 +36,9 @@
 }
 
 /** Depth of nesting in a JSON text, valid or not. */
-export function depthOf(text: Uint8Array): number {
+export function jsonDepth(text: Uint8Array): number {
   let depth = 0;
-  let deepest = 0;
+  let maximumDepth = 0;
   let inString = false;
   for (let index = 0; index < text.length; index += 1) {
     const byte = text[index] as number;
@@ -48,8 +48,8 @@
     } else if (byte === QUOTE) inString = true;
     else if (OPENING.has(byte)) {
       depth += 1;
-      deepest = Math.max(deepest, depth);
+      maximumDepth = Math.max(maximumDepth, depth);
     } else if (CLOSING.has(byte)) depth -= 1;
   }
-  return deepest;
+  return maximumDepth;
 }
--- a/packages/gateway/src/operator-api.ts
+++ b/packages/gateway/src/operator-api.ts
@@ -38,10 +38,10 @@
 }
 
 /** Kinds of objects that operators see, by the first part of the path. */
-const KINDS: readonly ObjectKind[] = ['templates', 'tenants', 'partners', 'deployment'];
-const ADMINISTRATOR_KINDS: readonly ObjectKind[] = ['deployment', 'partners'];
+const OBJECT_KINDS: readonly ObjectKind[] = ['templates', 'tenants', 'partners', 'deployment'];
+const ADMINISTRATOR_ONLY_KINDS: readonly ObjectKind[] = ['deployment', 'partners'];
 /** Time that an accepted change is given to be in force everywhere before the answer goes out. */
-const IN_FORCE_WAIT_MS = 3000;
+const IN_FORCE_TIMEOUT_MS = 3000;
 
 type OwnedObject = Readonly<Record<string, unknown>> & { readonly partner?: string };
 
@@ -50,7 +50,7 @@
   const api = new OperatorApi(options);
   return async (request) => {
     try {
-      return await api.answer(request);
+      return await api.handle(request);
     } catch (error) {
       return errorResponse(error);
     }
@@ -60,20 +60,20 @@
 class OperatorApi {
   constructor(private readonly options: OperatorApiOptions) {}
 
-  async answer(request: HttpRequest): Promise<HttpResponse> {
+  async handle(request: HttpRequest): Promise<HttpResponse> {
     const url = new URL(request.path, 'http://operator');
     const identity = this.options.authenticator.identify(request);
     if (identity.role === 'caller') throw new WoodbarrowError('forbidden', 'this token is for callers');
     if (!this.options.isReady())
       throw new WoodbarrowError('not_ready', 'this daemon has no configuration yet');
-    const [first = '', name, extra] = url.pathname.split('/').slice(1).map(decodeURIComponent);
-    if (first === 'status') return this.showStatus(identity, name);
-    if (first === 'drain') return this.startDrain(request, identity);
-    if (first === 'watch') return this.watch(identity, request.signal);
-    const kind = KINDS.find((candidate) => candidate === first);
+    const [resource = '', name, subresource] = url.pathname.split('/').slice(1).map(decodeURIComponent);
+    if (resource === 'status') return this.showStatus(identity, name);
+    if (resource === 'drain') return this.startDrain(request, identity);
+    if (resource === 'watch') return this.watch(identity, request.signal);
+    const kind = OBJECT_KINDS.find((candidate) => candidate === resource);
     if (kind === undefined) throw new WoodbarrowError('not_found', `no such path: ${url.pathname}`);
     if (name === undefined || name === '') return this.list(kind, identity);
-    if (extra === 'history') return this.history(kind, name, identity);
+    if (subresource === 'history') return this.history(kind, name, identity);
     switch (request.method) {
       case 'GET':
         return this.show(kind, name, identity);
@@ -102,13 +102,13 @@
   }
 
   private show(kind: ObjectKind, name: string, identity: Identity): HttpResponse {
-    const value = this.readable(kind, name, identity);
+    const value = this.readObject(kind, name, identity);
     const revision = this.options.store.revisionOf(objectKey(kind, name));
     return jsonResponse(200, { name, revision, value }, { etag: `"${String(revision)}"` });
   }
 
   /** An object that this identity may read; one of another partner does not exist for it. */
-  private readable(kind: ObjectKind, name: string, identity: Identity): OwnedObject {
+  private readObject(kind: ObjectKind, name: string, identity: Identity): OwnedObject {
     const key = objectKey(kind, name);
     const value = this.options.store.get(key) as OwnedObject | undefined;
     if (value === undefined || !canRead(identity, kind, key, value)) {
@@ -134,7 +134,7 @@
     request: HttpRequest,
     url: URL,
   ): Promise<HttpResponse> {
-    const current = this.readable(kind, name, identity);
+    const current = this.readObject(kind, name, identity);
     const patched = mergePatch(current, readJsonObject(request)) as Record<string, unknown>;
     return this.put(kind, name, identity, request, url, patched);
   }
@@ -147,8 +147,8 @@
     url: URL,
     body: Record<string, unknown>,
   ): Promise<HttpResponse> {
-    const owned = withPartner(kind, body, identity);
-    const parsed = OBJECT_SCHEMAS[kind].safeParse(owned);
+    const ownedBody = withPartner(kind, body, identity);
+    const parsed = OBJECT_SCHEMAS[kind].safeParse(ownedBody);
     if (!parsed.success) {
       const problems = parsed.error.issues.map((issue) => ({
         path: issue.path.join('.'),
@@ -163,8 +163,9 @@
   private assertReferences(kind: ObjectKind, value: object): void {
     if (kind !== 'tenants') return;
     const { template, partner } = value as { template: string; partner: string };
-    const found = this.options.store.get(objectKey('templates', template)) as OwnedObject | undefined;
-    if (found?.partner !== partner)
+    const templateObject = this.options.store.get(objectKey('templates', template)) as
+      OwnedObject | undefined;
+    if (templateObject?.partner !== partner)
       throw new WoodbarrowError('bad_request', `no template ${template} of this partner`);
   }
 
@@ -177,13 +178,13 @@
     value: Record<string, unknown> | null,
   ): Promise<HttpResponse> {
     const key = objectKey(kind, name);
-    this.assertMayWrite(kind, name, identity, value);
+    this.assertCanWrite(kind, name, identity, value);
     const expectedRevision = expectedRevisionOf(request);
     if (url.searchParams.get('dryRun') === 'true') {
       return jsonResponse(200, { dryRun: true, name, revision: this.options.store.revisionOf(key), value });
     }
     const revision = await this.writeToPlatform(kind, key, identity, value, expectedRevision);
-    const inForce = await this.options.status.waitInForce(revision, IN_FORCE_WAIT_MS);
+    const inForce = await this.options.status.waitUntilInForce(revision, IN_FORCE_TIMEOUT_MS);
     return jsonResponse(200, { name, revision, value, inForce }, { etag: `"${String(revision)}"` });
   }
 
@@ -200,21 +201,21 @@
     } catch (error) {
       if (!isKind(error, 'revision_conflict')) throw error;
       const current = error.details?.['current'] as PlatformObject | null | undefined;
-      const mayRead = current?.value != null && canRead(identity, kind, key, current.value);
+      const isReadable = current?.value != null && canRead(identity, kind, key, current.value);
       throw new WoodbarrowError('revision_conflict', `${key} was changed by someone else`, {
-        details: { current: mayRead ? { revision: current.revision, value: current.value } : null },
+        details: { current: isReadable ? { revision: current.revision, value: current.value } : null },
       });
     }
   }
 
-  private assertMayWrite(
+  private assertCanWrite(
     kind: ObjectKind,
     name: string,
     identity: Identity,
     value: OwnedObject | null,
   ): void {
     if (identity.role === 'administrator') return;
-    if (ADMINISTRATOR_KINDS.includes(kind))
+    if (ADMINISTRATOR_ONLY_KINDS.includes(kind))
       throw new WoodbarrowError('forbidden', `${kind} belong to the administrator`);
     const key = objectKey(kind, name);
     const current = this.options.store.get(key) as OwnedObject | undefined;
@@ -253,7 +254,7 @@
     const lines = new AsyncQueue<Uint8Array>();
     const stop = store.events.on('applied', ({ keys }) => {
       for (const key of keys) {
-        const kind = KINDS.find((candidate) => key.startsWith(`${candidate}/`));
+        const kind = OBJECT_KINDS.find((candidate) => key.startsWith(`${candidate}/`));
         const value = (store.get(key) ?? null) as OwnedObject | null;
         if (kind === undefined || (value !== null && !canRead(identity, kind, key, value))) continue;
         if (value === null && identity.role !== 'administrator') continue;
--- a/packages/gateway/src/status.ts
+++ b/packages/gateway/src/status.ts
@@ -25,12 +25,12 @@
 }
 
 /** On how many daemons a revision is in force. */
-export interface InForce {
+export interface InForceCount {
   readonly daemons: number;
   readonly of: number;
 }
 
-const CALL_TIMEOUT_MS = 800;
+const PEER_CALL_TIMEOUT_MS = 800;
 const IN_FORCE_POLL_MS = 100;
 
 /** Gathers status. */
@@ -38,12 +38,12 @@
   constructor(private readonly options: StatusServiceOptions) {}
 
   /** Counts the daemons on which `revision` is in force, until all are counted or time runs out. */
-  async waitInForce(revision: number, limitMs: number): Promise<InForce> {
+  async waitUntilInForce(revision: number, timeoutMs: number): Promise<InForceCount> {
     const { clock } = this.options;
-    const until = clock.monotonic() + limitMs;
+    const deadline = clock.monotonic() + timeoutMs;
     for (;;) {
-      const count = await this.inForce(revision);
-      if (count.daemons === count.of || clock.monotonic() >= until) return count;
+      const count = await this.countInForce(revision);
+      if (count.daemons === count.of || clock.monotonic() >= deadline) return count;
       await sleep(clock, IN_FORCE_POLL_MS);
     }
   }
@@ -58,14 +58,14 @@
       case 'zones':
         return { revision: this.options.store.revision, zones: await this.describeZones() };
       case 'models': {
-        const placements = await this.placements();
+        const placements = await this.fetchPlacements();
         const models = placements.flatMap(({ zone, models: entries }) =>
           entries.map((entry) => ({ zone, ...entry })),
         );
         return { models: models.filter((entry) => isVisible(entry.model)) };
       }
       case 'workers': {
-        const placements = await this.placements();
+        const placements = await this.fetchPlacements();
         const workers = placements.flatMap(({ zone, workers: entries }) =>
           entries.map((entry) => ({
             zone,
@@ -82,7 +82,7 @@
     }
   }
 
-  private async inForce(revision: number): Promise<InForce> {
+  private async countInForce(revision: number): Promise<InForceCount> {
     const { membership, peers, store } = this.options;
     const members = membership.present();
     const answers = await Promise.all(
@@ -90,7 +90,7 @@
         if (member.id === membership.local.id) return store.revision >= revision;
         const request = { revision: Number.MAX_SAFE_INTEGER };
         return peers
-          .call(member.address, pullConfigurationMethod, request, { timeoutMs: CALL_TIMEOUT_MS })
+          .call(member.address, pullConfigurationMethod, request, { timeoutMs: PEER_CALL_TIMEOUT_MS })
           .then((answer) => answer.revision >= revision)
           .catch(() => false);
       }),
@@ -112,14 +112,14 @@
     );
   }
 
-  private async placements(): Promise<DescribePlacementResponse[]> {
+  private async fetchPlacements(): Promise<DescribePlacementResponse[]> {
     const { catalog, locator, peers, coordinatorGroup } = this.options;
     const answers = await Promise.all(
       catalog.zones().map(async (zone) => {
         const holder = await locator.find(coordinatorGroup(zone));
         if (holder === undefined) return [];
         return peers
-          .call(holder.address, describePlacementMethod, { zone }, { timeoutMs: CALL_TIMEOUT_MS })
+          .call(holder.address, describePlacementMethod, { zone }, { timeoutMs: PEER_CALL_TIMEOUT_MS })
           .then((answer) => [answer])
           .catch(() => []);
       }),
@@ -132,7 +132,12 @@
     const answers = await Promise.all(
       membership.present().map((member) =>
         peers
-          .call(member.address, describeQueuesMethod, { zone: member.zone }, { timeoutMs: CALL_TIMEOUT_MS })
+          .call(
+            member.address,
+            describeQueuesMethod,
+            { zone: member.zone },
+            { timeoutMs: PEER_CALL_TIMEOUT_MS },
+          )
           .then((answer) => answer.queues.map((queue) => ({ zone: member.zone, owner: member.id, ...queue })))
           .catch(() => []),
       ),
--- a/packages/gateway/test/gateway.test.ts
+++ b/packages/gateway/test/gateway.test.ts
@@ -14,14 +14,14 @@
 import {
   Authenticator,
   CompletionService,
-  depthOf,
+  jsonDepth,
   errorResponse,
   hashToken,
   mergePatch,
   readCompletionRequest,
 } from '../src/index.js';
 
-function tenantOf(parameters: object = {}): {
+function createTenant(parameters: object = {}): {
   tenant: CatalogTenant;
   catalog: Catalog;
   authenticator: Authenticator;
@@ -49,7 +49,7 @@
   return { tenant, catalog, authenticator: new Authenticator(store, catalog, hashToken('root')) };
 }
 
-function requestWith(body: unknown, headers: Record<string, string> = {}): HttpRequest {
+function createRequest(body: unknown, headers: Record<string, string> = {}): HttpRequest {
   return {
     method: 'POST',
     path: '/v1/chat/completions',
@@ -61,7 +61,7 @@
 
 const VALID = { model: 'one', messages: [{ role: 'user', content: 'hello' }] };
 
-function kindOf(action: () => unknown): string {
+function errorKindOf(action: () => unknown): string {
   try {
     action();
     return 'accepted';
@@ -71,9 +71,9 @@
 }
 
 describe('completion requests', () => {
-  const { tenant } = tenantOf({ limits: { bodyBytes: 500 }, nonRepeatableModels: ['one'] });
+  const { tenant } = createTenant({ limits: { bodyBytes: 500 }, nonRepeatableModels: ['one'] });
   const kind = (body: unknown, headers?: Record<string, string>): string =>
-    kindOf(() => readCompletionRequest(requestWith(body, headers), tenant));
+    errorKindOf(() => readCompletionRequest(createRequest(body, headers), tenant));
 
   it('take class, wait, key and marks from headers, within the template', () => {
     const headers = {
@@ -83,7 +83,7 @@
       'x-woodbarrow-session': 's',
     };
     const read = readCompletionRequest(
-      requestWith({ ...VALID, model: 'tuned', stream: true }, headers),
+      createRequest({ ...VALID, model: 'tuned', stream: true }, headers),
       tenant,
     );
     expect(read).to.include({
@@ -94,7 +94,7 @@
       idempotencyKeyAgeMs: 30,
     });
     expect(read.target.adapter?.name).to.equal('tuned');
-    expect(readCompletionRequest(requestWith(VALID), tenant).waitMs).to.equal(5000);
+    expect(readCompletionRequest(createRequest(VALID), tenant).waitMs).to.equal(5000);
   });
 
   it('refuse each kind of bad input by its own kind', () => {
@@ -116,16 +116,16 @@
   });
 
   it('measure depth without reading strings', () => {
-    expect(depthOf(encodeText('{"a":[{"b":"[[[[\\"]]"}]}'))).to.equal(3);
+    expect(jsonDepth(encodeText('{"a":[{"b":"[[[[\\"]]"}]}'))).to.equal(3);
   });
 });
 
 describe('completions with a key', () => {
-  const { tenant, catalog } = tenantOf();
-  const request = requestWith({ ...VALID, stream: true }, { 'idempotency-key': 'k' });
+  const { tenant, catalog } = createTenant();
+  const request = createRequest({ ...VALID, stream: true }, { 'idempotency-key': 'k' });
 
   /** Streams an engine's answer, which is cut off unless it is whole; returns it with what is kept of it. */
-  async function streamOf(text: string, isWhole: boolean): Promise<[string, SettleClaimRequest[]]> {
+  async function completeStream(text: string, isWhole: boolean): Promise<[string, SettleClaimRequest[]]> {
     async function* engine(): AsyncGenerator<Uint8Array> {
       yield await Promise.resolve(encodeText(text));
       if (!isWhole) throw new Error('cut');
@@ -149,7 +149,7 @@
 
   it('keep a whole stream for repeats', async () => {
     const whole = 'data: 1\n\ndata: [DONE]\n\n';
-    const [text, settled] = await streamOf(whole, true);
+    const [text, settled] = await completeStream(whole, true);
     expect(text).to.equal(whole);
     expect(settled.map(({ result, answer }) => [result, Buffer.from(answer ?? []).toString()])).to.deep.equal(
       [['finished', whole]],
@@ -157,7 +157,7 @@
   });
 
   it('keep nothing of a stream that was cut off, also when its text speaks of an end', async () => {
-    const [text, settled] = await streamOf('data: {"text":"data: [DONE]"}\n\ndata: 2\n\n', false);
+    const [text, settled] = await completeStream('data: {"text":"data: [DONE]"}\n\ndata: 2\n\n', false);
     expect(text).to.contain('stream_interrupted');
     expect(settled.map(({ result, answer }) => [result, answer])).to.deep.equal([['finished', undefined]]);
   });
@@ -165,13 +165,13 @@
 
 describe('authentication', () => {
   it('knows tokens by their digest only', () => {
-    const { authenticator } = tenantOf();
+    const { authenticator } = createTenant();
     const identify = (token: string): unknown =>
-      authenticator.identify(requestWith('', { authorization: `Bearer ${token}` }));
+      authenticator.identify(createRequest('', { authorization: `Bearer ${token}` }));
     expect(identify('secret')).to.deep.equal({ partner: 'p', tenant: 't', role: 'caller' });
     expect(identify('root')).to.deep.equal({ role: 'administrator' });
-    expect(kindOf(() => identify('wrong'))).to.equal('unauthenticated');
-    expect(kindOf(() => authenticator.identify(requestWith('')))).to.equal('unauthenticated');
+    expect(errorKindOf(() => identify('wrong'))).to.equal('unauthenticated');
+    expect(errorKindOf(() => authenticator.identify(createRequest('')))).to.equal('unauthenticated');
   });
 });
 
