--- a/packages/engine/src/engine-client.ts
+++ b/packages/engine/src/engine-client.ts
@@ -21,32 +21,32 @@
   readonly requestId: string;
   readonly model: string;
   readonly adapter: string;
-  /** Lower numbers go first. */
+  /** Requests with lower numbers are scheduled first. */
   readonly priority: number;
   readonly signal: AbortSignal;
-  /** Milliseconds to wait for the response's head. */
+  /** Timeout for the response headers, in milliseconds. */
   readonly headTimeoutMs: number;
 }
 
-/** How an engine took a completion. */
+/** Outcome of submitting a completion to an engine. */
 export type CompletionStart =
   | { readonly outcome: 'started'; readonly response: HttpResponse }
-  /** The engine did not start it, or never received it. */
+  /** The engine did not start or never received the request; sending it again is safe. */
   | { readonly outcome: 'not_run'; readonly reason: string }
-  /** The request is at fault. */
+  /** The engine refused the request as invalid. */
   | { readonly outcome: 'rejected'; readonly response: HttpResponse }
-  /** It may have run. */
+  /** The request may have run. */
   | { readonly outcome: 'unknown'; readonly reason: string };
 
-/** Header by which an engine states that it did not start a request. */
+/** Response header with which an engine reports that it did not start the request. */
 const NOT_STARTED_HEADER = 'x-not-started';
 
-/** Talks to engines. */
+/** Sends control orders and completions to engines over HTTP. */
 export class EngineClient {
   constructor(private readonly http: HttpClient) {}
 
   /**
-   * What a worker holds. Caches that have not changed since `known` are not sent again.
+   * Fetches the inventory of a worker. The worker omits caches that have not changed since `cached`.
    *
    * @throws WoodbarrowError `peer_unreachable`
    */
@@ -56,10 +56,10 @@
   }
 
   /**
-   * Gives an order under a fence. The inventory after the order comes back.
+   * Sends an order with a fence. Returns the worker's inventory after the order.
    *
-   * @throws WoodbarrowError `fence_too_low`, `engine_refused` when the worker cannot carry it out,
-   * `peer_unreachable` when it is not known whether it was received.
+   * @throws WoodbarrowError `fence_too_low`, `engine_refused` when the worker cannot execute the order,
+   * `peer_unreachable` when there is no response, so that the worker may or may not have received it.
    */
   async order(origin: string, fence: number, order: EngineOrder, cached?: Inventory): Promise<Inventory> {
     const response = await this.sendControlRequest(origin, 'POST', `/orders${cachesSinceQuery(cached)}`, {
@@ -68,14 +68,14 @@
     });
     const body = await readJson(response.body);
     if (response.status === 409)
-      throw new WoodbarrowError('fence_too_low', 'the worker has seen a higher fence');
+      throw new WoodbarrowError('fence_too_low', 'the worker has received a higher fence');
     if (response.status !== 200) {
       throw new WoodbarrowError('engine_refused', `order ${order.type} refused: ${JSON.stringify(body)}`);
     }
     return parseInventory(body, cached);
   }
 
-  /** Sends a completion. Says exactly what is known of whether it ran. */
+  /** Sends a completion. The outcome states whether the request ran, did not run, or may have run. */
   async complete(call: CompletionCall): Promise<CompletionStart> {
     let response: HttpResponse;
     try {
@@ -101,11 +101,11 @@
     if (response.status === 200) return { outcome: 'started', response };
     if (response.headers[NOT_STARTED_HEADER] === 'true') {
       await readBody(response.body).catch(() => undefined);
-      return { outcome: 'not_run', reason: `engine answered ${String(response.status)}` };
+      return { outcome: 'not_run', reason: `engine responded with status ${String(response.status)}` };
     }
     if (response.status < 500) return { outcome: 'rejected', response };
     await readBody(response.body).catch(() => undefined);
-    return { outcome: 'unknown', reason: `engine answered ${String(response.status)}` };
+    return { outcome: 'unknown', reason: `engine responded with status ${String(response.status)}` };
   }
 
   private async sendControlRequest(
@@ -124,7 +124,7 @@
         ...(body === undefined ? {} : { body: encodeText(JSON.stringify(body)) }),
       });
     } catch (error) {
-      throw new WoodbarrowError('peer_unreachable', `no answer from engine ${origin}`, { cause: error });
+      throw new WoodbarrowError('peer_unreachable', `no response from engine ${origin}`, { cause: error });
     }
   }
 }
--- a/packages/errors/src/index.ts
+++ b/packages/errors/src/index.ts
@@ -1,3 +1,3 @@
-/** Error kinds, their answers and the error class that carries them. */
+/** Error kinds, the HTTP response of each kind, and the error class that carries them. */
 export * from './kinds.js';
 export * from './woodbarrow-error.js';
--- a/packages/errors/src/kinds.ts
+++ b/packages/errors/src/kinds.ts
@@ -1,25 +1,23 @@
 /**
- * The closed list of error kinds and the table from kind to answer.
+ * The closed list of error kinds and the HTTP response of each.
  *
- * Every failure that leaves a daemon, towards a caller, an operator or a peer, is one of these kinds.
+ * Every failure that a daemon reports to a caller, an operator or a peer is one of these kinds.
  */
 
-/** Whether the request reached an engine: certainly not, perhaps, or certainly. */
+/** Whether the request ran on an engine: `maybe` when the daemon cannot determine it. */
 export type RanState = 'no' | 'maybe' | 'yes';
 
-/** What a caller is told for one error kind. */
+/** HTTP status and retry advice that a caller receives for one error kind. */
 export interface ErrorResponseSpec {
-  /** HTTP status code. */
   readonly status: number;
-  /** Whether the request ran on an engine. */
   readonly ran: RanState;
-  /** Whether sending the same request again is safe and may help. */
+  /** Whether sending the same request again is safe and may succeed. */
   readonly retryable: boolean;
-  /** Seconds after which to come back, sent as `Retry-After`; absent when waiting does not help. */
+  /** Delay before a retry in seconds, sent as `Retry-After`; absent when waiting does not help. */
   readonly retryAfterSeconds?: number;
 }
 
-/** The table from error kind to answer. */
+/** Maps each error kind to its response. */
 export const ERROR_RESPONSES = {
   bad_request: { status: 400, ran: 'no', retryable: false },
   body_too_large: { status: 413, ran: 'no', retryable: false },
@@ -42,7 +40,7 @@
   stopping: { status: 503, ran: 'no', retryable: true, retryAfterSeconds: 1 },
   platform_unavailable: { status: 503, ran: 'no', retryable: true, retryAfterSeconds: 10 },
   write_outcome_unknown: { status: 504, ran: 'maybe', retryable: false },
-  /** Its content ended the processes that ran it; coming back within a client's deadline does not help. */
+  /** The request's content crashed the processes that ran it; a retry within a client's deadline does not help. */
   request_quarantined: { status: 503, ran: 'no', retryable: false, retryAfterSeconds: 3600 },
   no_replica: { status: 503, ran: 'no', retryable: true, retryAfterSeconds: 1 },
   backend_broken: { status: 502, ran: 'maybe', retryable: false },
@@ -60,13 +58,12 @@
   internal: { status: 500, ran: 'maybe', retryable: false },
 } as const satisfies Record<string, ErrorResponseSpec>;
 
-/** One of the closed list of error kinds. */
 export type ErrorKind = keyof typeof ERROR_RESPONSES;
 
-/** All error kinds, in the order of the table. */
+/** All error kinds, in the order of {@link ERROR_RESPONSES}. */
 export const ERROR_KINDS = Object.keys(ERROR_RESPONSES) as ErrorKind[];
 
-/** The answer that belongs to an error kind. */
+/** Returns the status and retry advice of an error kind. */
 export function answerFor(kind: ErrorKind): ErrorResponseSpec {
   return ERROR_RESPONSES[kind];
 }
--- a/packages/errors/src/woodbarrow-error.ts
+++ b/packages/errors/src/woodbarrow-error.ts
@@ -1,4 +1,4 @@
-/** The one error class of the project, built on modern-errors, and conversions to and from it. */
+/** The error class that all packages throw, built on modern-errors, and helpers to convert to it. */
 import ModernError from 'modern-errors';
 import {
   ERROR_RESPONSES,
@@ -8,26 +8,23 @@
   type RanState,
 } from './kinds.js';
 
-/** Options of {@link WoodbarrowError}. */
+/** Options of the {@link WoodbarrowError} constructor. */
 export interface WoodbarrowErrorOptions {
-  /** The error that led to this one. */
   readonly cause?: unknown;
-  /** Overrides the table's `ran` where the thrower knows better, for example after bytes were sent. */
+  /** Overrides the `ran` of the error kind, for example when bytes of the request were already sent. */
   readonly ran?: RanState;
-  /** Overrides the table's `Retry-After`, in seconds. */
+  /** Overrides the `Retry-After` of the error kind, in seconds. */
   readonly retryAfterSeconds?: number;
-  /** Further facts for the receiver, for example the newer revision after a lost race. */
+  /** Additional data sent to the receiver, for example the current revision after a conflicting write. */
   readonly details?: Readonly<Record<string, unknown>>;
 }
 
 class CustomError extends ModernError {
-  /** Kind of the failure. */
   readonly kind: ErrorKind;
-  /** Whether the request ran on an engine. */
   readonly ran: RanState;
-  /** Seconds after which to come back. */
+  /** Delay before a retry in seconds; undefined when waiting does not help. */
   readonly retryAfterSeconds: number | undefined;
-  /** Further facts for the receiver. */
+  /** Additional data sent to the receiver. */
   readonly details: Readonly<Record<string, unknown>> | undefined;
 
   constructor(kind: ErrorKind, message: string, options: WoodbarrowErrorOptions = {}) {
@@ -37,43 +34,43 @@
     this.ran = options.ran ?? answer.ran;
     this.retryAfterSeconds = options.retryAfterSeconds ?? answer.retryAfterSeconds;
     this.details = options.details;
-    // Set here rather than by modern-errors, which would merge the cause's message into this one's.
+    // Not passed to modern-errors, which would merge the cause's message into this error's message.
     if (options.cause !== undefined) this.cause = options.cause;
   }
 
-  /** The table's answer for this error's kind. */
+  /** Status and retry advice of this error's kind, without the overrides. */
   get responseSpec(): ErrorResponseSpec {
     return answerFor(this.kind);
   }
 }
 
-/** A failure of one of the closed list of kinds. */
+/** An error with one of the closed list of kinds. */
 export type WoodbarrowError = CustomError & Error;
 
-/** Makes {@link WoodbarrowError}s. */
+/** Constructor signature of {@link WoodbarrowError}. */
 export type WoodbarrowErrorConstructor = new (
   kind: ErrorKind,
   message: string,
   options?: WoodbarrowErrorOptions,
 ) => WoodbarrowError;
 
-/** A failure of one of the closed list of kinds. */
+/** An error with one of the closed list of kinds. */
 export const WoodbarrowError = ModernError.subclass('WoodbarrowError', {
   custom: CustomError as never,
 }) as unknown as WoodbarrowErrorConstructor;
 
-/** What something thrown says. */
+/** Returns the message of a thrown value, or its string form when it is not an `Error`. */
 export function messageOf(thrown: unknown): string {
   return thrown instanceof Error ? thrown.message : String(thrown);
 }
 
-/** Turns anything thrown into a {@link WoodbarrowError}; unknown errors become `internal`. */
+/** Converts a thrown value to a {@link WoodbarrowError}; any other value becomes kind `internal`. */
 export function toWoodbarrowError(thrown: unknown): WoodbarrowError {
   if (thrown instanceof WoodbarrowError) return thrown;
   return new WoodbarrowError('internal', messageOf(thrown), { cause: thrown });
 }
 
-/** Whether something thrown is a {@link WoodbarrowError} of one of the given kinds. */
+/** Whether a thrown value is a {@link WoodbarrowError} of one of the given kinds. */
 export function isKind(thrown: unknown, ...kinds: ErrorKind[]): thrown is WoodbarrowError {
   return thrown instanceof WoodbarrowError && kinds.includes(thrown.kind);
 }
--- a/packages/gateway/src/caller-api.ts
+++ b/packages/gateway/src/caller-api.ts
@@ -1,4 +1,4 @@
-/** The API that callers use: OpenAI-compatible completions, the list of models, and jobs. */
+/** HTTP API for callers: OpenAI-compatible completions, the list of models, and jobs. */
 import type { Catalog, CatalogTenant } from '@woodbarrow/configuration';
 import { WoodbarrowError } from '@woodbarrow/errors';
 import { jsonResponse, type HttpHandler, type HttpRequest, type HttpResponse } from '@woodbarrow/runtime';
@@ -16,18 +16,18 @@
   readonly catalog: Catalog;
   readonly completions: CompletionService;
   readonly jobs: JobService;
-  /** A new request id, unique over all daemons. */
+  /** Returns a new request id, unique across all daemons. */
   readonly newRequestId: () => string;
-  /** Why new requests are refused now, or undefined. */
+  /** Returns the reason why new requests are refused, or undefined when they are accepted. */
   readonly refusal: () => 'not_ready' | 'stopping' | undefined;
 }
 
-/** Header by which every answer names its request. */
+/** Header that carries the request id in every response. */
 export const REQUEST_ID_HEADER = 'x-woodbarrow-request-id';
 const COMPLETION_PATHS = new Set(['/v1/chat/completions', '/v1/completions']);
 const JOB_PATH = /^\/v1\/jobs\/([^/]+)(\/result)?$/;
 
-/** The handler of the callers' listener. */
+/** Creates the request handler of the callers' listener. */
 export function createCallerApi(options: CallerApiOptions): HttpHandler {
   return async (request) => {
     const requestId = options.newRequestId();
@@ -43,7 +43,8 @@
 ): Promise<HttpResponse> {
   const path = request.path.split('?', 1)[0] ?? '/';
   const refusal = options.refusal();
-  if (refusal === 'not_ready') throw new WoodbarrowError('not_ready', 'this daemon has no configuration yet');
+  if (refusal === 'not_ready')
+    throw new WoodbarrowError('not_ready', 'this daemon has not loaded its configuration yet');
   const tenant = resolveTenant(request, options);
   if (COMPLETION_PATHS.has(path)) {
     assertMethod(request, 'POST');
@@ -75,7 +76,7 @@
 function resolveTenant(request: HttpRequest, options: CallerApiOptions): CatalogTenant {
   const identity = options.authenticator.identify(request);
   if (identity.role === 'administrator' || identity.tenant === undefined) {
-    throw new WoodbarrowError('forbidden', "use a tenant's token for the callers' API");
+    throw new WoodbarrowError('forbidden', "the callers' API needs a token of a tenant");
   }
   const tenant = options.catalog.tenant(identity.tenant);
   if (tenant === undefined)
@@ -99,7 +100,7 @@
 ): Promise<HttpResponse> {
   const completion = readCompletionRequest(request, tenant);
   if (completion.streaming)
-    throw new WoodbarrowError('bad_request', 'a job has no stream; leave "stream" out');
+    throw new WoodbarrowError('bad_request', 'jobs do not support streaming; omit "stream"');
   const path = 'messages' in readJsonObject(request) ? '/v1/chat/completions' : '/v1/completions';
   const job = await options.jobs.submit(request, path, tenant.name);
   return jsonResponse(202, describeJob(job), { location: `/v1/jobs/${encodeURIComponent(job.id)}` });
--- a/packages/gateway/src/completion-request.ts
+++ b/packages/gateway/src/completion-request.ts
@@ -1,24 +1,24 @@
-/** Reads a caller's completion request: its model, class, allowed wait and marks, within its template's limits. */
+/** Parses and validates a caller's completion request against the limits of the tenant's template. */
 import type { CatalogTarget, CatalogTenant, PriorityClass } from '@woodbarrow/configuration';
 import { WoodbarrowError } from '@woodbarrow/errors';
 import { hashText, type HttpHeaders, type HttpRequest } from '@woodbarrow/runtime';
 import { readJsonObject } from './json-body.js';
 
-/** Request headers that carry this project's parameters. */
+/** Request headers with parameters that the OpenAI API does not have. */
 export const CALLER_HEADERS = {
   priorityClass: 'x-woodbarrow-class',
-  /** Allowed wait in milliseconds until the answer begins. */
+  /** Maximum time until the response begins, in milliseconds. */
   wait: 'x-woodbarrow-wait-ms',
-  /** Requests of one session go to the same replica when they can. */
+  /** Session id; requests of one session are routed to the same replica when possible. */
   session: 'x-woodbarrow-session',
   /** `true` when the request must never run twice. */
   notRepeatable: 'x-woodbarrow-not-repeatable',
   idempotencyKey: 'idempotency-key',
-  /** Milliseconds since the caller made the idempotency key. */
+  /** Milliseconds since the caller created the idempotency key. */
   idempotencyKeyAge: 'x-woodbarrow-key-age-ms',
 } as const;
 
-/** A checked completion request. */
+/** A validated completion request. */
 export interface CompletionRequest {
   readonly target: CatalogTarget;
   readonly priorityClass: PriorityClass;
@@ -27,18 +27,27 @@
   readonly repeatable: boolean;
   readonly idempotencyKey: string | undefined;
   readonly idempotencyKeyAgeMs: number | undefined;
-  /** Digest of session or prompt start; 0 when there is neither. */
+  /** Hash of the session id or, without one, of the start of the prompt; the router uses it to choose a replica. */
   readonly affinity: number;
 }
 
+/** Maximum length of an idempotency key, and of a model name quoted in an error message, in characters. */
 const MAX_KEY_LENGTH = 255;
+/** Number of characters at the start of the prompt that determine the affinity hash. */
 const AFFINITY_PREFIX_LENGTH = 256;
 
-/** @throws WoodbarrowError of the kind that names what is wrong. */
+/**
+ * Parses a completion request.
+ *
+ * @throws WoodbarrowError whose kind identifies the invalid part, for example `body_too_large` or `model_not_found`.
+ */
 export function readCompletionRequest(request: HttpRequest, tenant: CatalogTenant): CompletionRequest {
   const { limits } = tenant.parameters;
   if (request.body.byteLength > limits.bodyBytes) {
-    throw new WoodbarrowError('body_too_large', `the body may have ${String(limits.bodyBytes)} bytes`);
+    throw new WoodbarrowError(
+      'body_too_large',
+      `the body exceeds the limit of ${String(limits.bodyBytes)} bytes`,
+    );
   }
   const body = readJsonObject(request);
   const target = resolveTarget(body['model'], tenant);
@@ -67,7 +76,7 @@
   if (target === undefined) {
     throw new WoodbarrowError(
       'model_not_found',
-      `no model "${model.slice(0, MAX_KEY_LENGTH)}" for this tenant`,
+      `model "${model.slice(0, MAX_KEY_LENGTH)}" does not exist for this tenant`,
     );
   }
   return target;
@@ -78,7 +87,7 @@
   const hasMessages = Array.isArray(messages) && messages.length > 0;
   const hasPrompt = typeof prompt === 'string' || (Array.isArray(prompt) && prompt.length > 0);
   if (!hasMessages && !hasPrompt) {
-    throw new WoodbarrowError('bad_request', 'send "messages" as a list or "prompt" as a string');
+    throw new WoodbarrowError('bad_request', 'the body needs "messages" as a list or "prompt" as a string');
   }
 }
 
@@ -86,7 +95,7 @@
   const name = headers[CALLER_HEADERS.priorityClass] ?? tenant.parameters.defaultClass;
   const found = tenant.parameters.priorityClasses.find((candidate) => candidate.name === name);
   if (found === undefined)
-    throw new WoodbarrowError('bad_request', `no priority class "${name}" for this tenant`);
+    throw new WoodbarrowError('bad_request', `priority class "${name}" does not exist for this tenant`);
   return found;
 }
 
@@ -97,7 +106,7 @@
   if (requestedMs > maximumMs) {
     throw new WoodbarrowError(
       'limit_exceeded',
-      `class ${priorityClass.name} allows a wait of ${String(maximumMs)} ms, not ${String(requestedMs)}`,
+      `priority class ${priorityClass.name} allows a wait of at most ${String(maximumMs)} ms, not ${String(requestedMs)} ms`,
     );
   }
   return requestedMs;
@@ -108,7 +117,7 @@
   if (key !== undefined && (key === '' || key.length > MAX_KEY_LENGTH)) {
     throw new WoodbarrowError(
       'bad_request',
-      `an idempotency key has 1 to ${String(MAX_KEY_LENGTH)} characters`,
+      `an idempotency key must have 1 to ${String(MAX_KEY_LENGTH)} characters`,
     );
   }
   return key;
--- a/packages/gateway/src/completions.ts
+++ b/packages/gateway/src/completions.ts
@@ -1,4 +1,4 @@
-/** Serves completion requests: admission, claim, routing, settlement. */
+/** Serves completion requests: admission, claim of the idempotency key, routing, and settlement of the claim. */
 import type { Catalog, CatalogTenant } from '@woodbarrow/configuration';
 import type { ClaimsClient } from '@woodbarrow/coordination';
 import { WoodbarrowError, toWoodbarrowError } from '@woodbarrow/errors';
@@ -13,33 +13,39 @@
   readonly admission: Admission;
   readonly claims: ClaimsClient;
   readonly clock: Clock;
-  /** Called when a request is answered, for counters. */
+  /**
+   * Called when the response of a request starts or the request fails, for metrics. `kind` is `served` or an error kind.
+   */
   readonly onAnswer?: (kind: string, waitedMs: number) => void;
 }
 
-/** A key that this request holds at the ledger. */
+/** An idempotency key that this request has claimed in the claim ledger. */
 interface HeldClaim {
   readonly key: string;
   readonly claimant: string;
 }
 
-/** Largest answer kept for repeats of its key, in bytes. */
+/** Maximum size of a response that is stored for repeated requests with its idempotency key, in bytes. */
 const MAX_STORED_RESPONSE_BYTES = 65_536;
-/** This daemon's clock may be slow by this share; a long wait ends that much earlier by it. */
+/** Maximum relative rate error of the local clock; deadlines are shortened by it, as the clock may run slow. */
 const MAX_CLOCK_RATE_ERROR = 0.001;
-/** Longest time spent on a claim, as a share of the allowed wait. */
+/** Maximum time for claiming a key, as a fraction of the allowed wait. */
 const CLAIM_WAIT_FRACTION = 0.8;
 
-/** Runs one completion request after another, many at once. */
+/** Runs completion requests concurrently. */
 export class CompletionService {
   constructor(private readonly options: CompletionServiceOptions) {}
 
-  /** Requests in progress. */
+  /** Number of requests in progress. */
   get active(): number {
     return this.options.admission.active;
   }
 
-  /** @throws WoodbarrowError */
+  /**
+   * Runs a completion request and returns its response, which may be a stream.
+   *
+   * @throws WoodbarrowError when the request is refused or fails before its response starts.
+   */
   async complete(
     request: HttpRequest,
     path: string,
@@ -102,7 +108,10 @@
     }
   }
 
-  /** Claims the request's key, if it has one: the claim to settle, or the stored answer of an earlier run. */
+  /**
+   * Claims the request's idempotency key, if it has one. Returns the claim to settle, or the stored response of an
+   * earlier run.
+   */
   private async claim(
     claimant: string,
     request: HttpRequest,
@@ -127,17 +136,17 @@
       case 'running':
         throw new WoodbarrowError('already_running', 'a request with this idempotency key is in progress');
       case 'mismatch':
-        throw new WoodbarrowError('key_reused', 'this idempotency key was used for another request');
+        throw new WoodbarrowError('key_reused', 'this idempotency key was used for a different request');
       case 'unknown':
         throw new WoodbarrowError(
           'outcome_unknown',
-          'it cannot be told whether this idempotency key was used before',
+          'cannot determine whether this idempotency key was used before',
         );
       case 'finished':
         if (result.answer === undefined) {
           throw new WoodbarrowError(
             'outcome_unknown',
-            'this request has run before, and its answer is not kept',
+            'this request has already run, and its response was not stored',
           );
         }
         return { answer: replayResponse(result.answer, completion.streaming) };
@@ -148,7 +157,7 @@
     void this.options.claims.settle({ ...claim, result, ...(answer === undefined ? {} : { answer }) });
   }
 
-  /** Keeps the answer for repeats once it has gone out whole. */
+  /** Settles the claim when the response is complete, and stores the response for repeated requests. */
   private settleAfterResponse(response: HttpResponse, claim: HeldClaim): HttpResponse {
     const { body } = response;
     if (body instanceof Uint8Array) {
@@ -192,7 +201,7 @@
   };
 }
 
-/** Ends the admission when the answer has gone out, whole or not. */
+/** Releases the admission when the response has been sent or its stream has been aborted. */
 function releaseAfterResponse(response: HttpResponse, release: () => void): HttpResponse {
   const { body } = response;
   if (body instanceof Uint8Array) {
--- a/packages/gateway/src/error-response.ts
+++ b/packages/gateway/src/error-response.ts
@@ -1,8 +1,7 @@
-/** Error answers in the shape that OpenAI's clients expect, with this project's additions. */
+/** Error responses in the format of the OpenAI API, extended by `ran`, `retryable` and `details`. */
 import { answerFor, toWoodbarrowError, type WoodbarrowError } from '@woodbarrow/errors';
 import { jsonResponse, type HttpResponse } from '@woodbarrow/runtime';
 
-/** The body of an error answer. */
 export interface ErrorBody {
   readonly error: {
     readonly message: string;
@@ -16,7 +15,7 @@
 
 const MIN_SERVER_ERROR_STATUS = 500;
 
-/** The answer for anything thrown. */
+/** Returns the HTTP response for a thrown value. */
 export function errorResponse(thrown: unknown): HttpResponse {
   const error = toWoodbarrowError(thrown);
   const retryAfter = error.retryAfterSeconds;
@@ -24,7 +23,7 @@
   return jsonResponse(error.responseSpec.status, errorBody(error), headers);
 }
 
-/** The body for an error. An internal failure's own message stays inside. */
+/** Returns the response body for an error. The message of an internal error is not exposed. */
 export function errorBody(error: WoodbarrowError): ErrorBody {
   const { status, retryable } = answerFor(error.kind);
   return {
--- a/packages/gateway/src/index.ts
+++ b/packages/gateway/src/index.ts
@@ -1,4 +1,4 @@
-/** The gateway: the callers' and the operators' APIs. */
+/** The HTTP APIs for callers and operators. */
 export * from './authentication.js';
 export * from './caller-api.js';
 export * from './completion-request.js';
--- a/packages/gateway/src/jobs.ts
+++ b/packages/gateway/src/jobs.ts
@@ -1,6 +1,6 @@
 /**
- * Jobs: submitted once, polled at any daemon. A job's id names the daemons that keep it. The first runs it; when
- * that one is lost, the next runs it again under the same claim, so that it cannot run twice.
+ * Jobs are submitted once and can be polled at any daemon. A job's id lists the daemons that store a copy of it.
+ * The first of them that is present runs the job, under a claim on the job's key that prevents a second execution.
  */
 import type { Catalog } from '@woodbarrow/configuration';
 import { rankByRendezvous } from '@woodbarrow/coordination';
@@ -24,7 +24,7 @@
 /** Options of {@link JobService}. */
 export interface JobServiceOptions {
   readonly completions: CompletionService;
-  /** A new request id, unique over all daemons. */
+  /** Returns a new request id, unique across all daemons. */
   readonly newRequestId: () => string;
   readonly catalog: Catalog;
   readonly membership: Membership;
@@ -36,7 +36,7 @@
 
 const DAEMON_ID_SEPARATOR = '~';
 const ID_PREFIX = 'job_';
-/** Daemons that keep a job, the one that runs it included. */
+/** Number of daemons that store a job, including the one that runs it. */
 const COPIES_PER_JOB = 3;
 const JOB_RETENTION_MS = 3_600_000;
 const MAX_STORED_JOBS = 10_000;
@@ -44,7 +44,7 @@
 const PEER_CALL_TIMEOUT_MS = 1500;
 const FORWARDED_HEADERS: readonly string[] = ['content-type', ...Object.values(CALLER_HEADERS)];
 
-/** Takes, keeps and runs jobs. */
+/** Accepts, stores, replicates and runs jobs. */
 export class JobService extends BackgroundService {
   private readonly jobs = new Map<string, JobRecord>();
   private readonly running = new Set<string>();
@@ -53,12 +53,12 @@
     super(options.clock, options.onTaskFailure);
   }
 
-  /** Jobs that this daemon runs now. */
+  /** Number of jobs that this daemon is running. */
   get active(): number {
     return this.running.size;
   }
 
-  /** Starts answering other daemons. */
+  /** Registers the handlers for requests of other daemons and starts the periodic sweep. */
   start(): void {
     const { peers } = this.options;
     peers.handle(storeJobMethod, (request) => {
@@ -80,13 +80,13 @@
   }
 
   /**
-   * Takes a job. It is kept by another daemon too before this resolves, if there is another.
+   * Accepts a job. If there are other daemons, at least one of them has stored the job before this resolves.
    *
-   * @throws WoodbarrowError `not_ready` when no other daemon would keep it.
+   * @throws WoodbarrowError `queue_full` at the limit of stored jobs, `not_ready` when no other daemon stored the job.
    */
   async submit(request: HttpRequest, path: string, tenant: string): Promise<JobRecord> {
     if (this.jobs.size >= MAX_STORED_JOBS)
-      throw new WoodbarrowError('queue_full', 'this daemon keeps as many jobs as it can');
+      throw new WoodbarrowError('queue_full', 'this daemon has reached its limit of stored jobs');
     const { membership, random, clock } = this.options;
     const suffix = random.id();
     const others = membership.eligible().filter((member) => member.id !== membership.local.id);
@@ -103,13 +103,17 @@
     };
     const copies = await this.replicate(job);
     if (others.length > 0 && copies === 0)
-      throw new WoodbarrowError('not_ready', 'no other daemon could keep the job');
+      throw new WoodbarrowError('not_ready', 'no other daemon could store a copy of the job');
     this.storeLocally(job);
     this.run(job);
     return job;
   }
 
-  /** Finds a job at whichever daemon keeps it. @throws WoodbarrowError `not_found` */
+  /**
+   * Returns a job from this daemon or from another one that stores it.
+   *
+   * @throws WoodbarrowError `not_found`
+   */
   async fetch(jobId: string, tenant: string): Promise<JobRecord> {
     const local = this.jobs.get(jobId);
     let latest = local;
@@ -135,12 +139,12 @@
 
   private storeLocally(job: JobRecord): void {
     const stored = this.jobs.get(job.id);
-    // A finished job never becomes unfinished again.
+    // A late copy in state `queued` must not overwrite a finished job.
     if (stored !== undefined && stored.state !== 'queued') return;
     this.jobs.set(job.id, job);
   }
 
-  /** Sends a job to its other keepers; returns how many took it. */
+  /** Sends a job to the other daemons listed in its id. Returns the number of daemons that stored it. */
   private async replicate(job: JobRecord): Promise<number> {
     const { membership, peers } = this.options;
     const answers = await Promise.all(
@@ -162,7 +166,7 @@
     this.tasks.spawn(`gateway.job.${job.id}`, async (signal) => {
       try {
         const response = await this.execute(job, signal);
-        // A daemon that stops leaves the job to the next keeper.
+        // The job stays queued, so that the next daemon in its id runs it after this daemon has stopped.
         if (signal.aborted || response === undefined) return;
         const result = await readBody(response.body);
         const finished: JobRecord = {
@@ -179,7 +183,7 @@
     });
   }
 
-  /** The job's answer, or undefined when this daemon is stopping and did not run it. */
+  /** Runs the job. Returns its response, or undefined when this daemon is stopping and did not run it. */
   private async execute(job: JobRecord, signal: AbortSignal): Promise<HttpResponse | undefined> {
     const tenant = this.options.catalog.tenant(job.tenant);
     const key = job.headers[CALLER_HEADERS.idempotencyKey] ?? job.id;
@@ -190,7 +194,8 @@
       [CALLER_HEADERS.idempotencyKeyAge]: String(Math.round(age)),
     };
     try {
-      if (tenant === undefined) throw new WoodbarrowError('not_found', 'the tenant is gone');
+      if (tenant === undefined)
+        throw new WoodbarrowError('not_found', 'the tenant of this job does not exist');
       const request = { method: 'POST', path: job.path, headers, body: job.body, signal };
       return await this.options.completions.complete(request, job.path, tenant, this.options.newRequestId());
     } catch (error) {
@@ -199,7 +204,7 @@
     }
   }
 
-  /** Forgets old jobs, and takes over those whose earlier keepers are gone. */
+  /** Deletes expired jobs, and runs queued jobs when all daemons before this one in the job's id are absent. */
   private sweep(): void {
     const now = this.options.clock.wall();
     for (const [id, job] of this.jobs) {
@@ -216,6 +221,7 @@
   }
 }
 
+/** Maximum length of the idempotency key under which a job runs; the end of a longer key is used. */
 const MAX_JOB_KEY_LENGTH = 200;
 
 function daemonIdsOf(jobId: string): string[] {
--- a/packages/gateway/src/json-body.ts
+++ b/packages/gateway/src/json-body.ts
@@ -1,8 +1,8 @@
-/** Reads JSON bodies with bounds on depth, before anything is built from them. */
+/** Parses JSON request bodies; the nesting depth is checked before parsing. */
 import { WoodbarrowError } from '@woodbarrow/errors';
 import { decodeText, type HttpRequest } from '@woodbarrow/runtime';
 
-/** Deepest nesting of objects and lists accepted. */
+/** Maximum nesting depth of objects and arrays. */
 export const MAX_JSON_DEPTH = 32;
 
 const QUOTE = 0x22;
@@ -11,7 +11,7 @@
 const CLOSING = new Set([0x7d, 0x5d]);
 
 /**
- * The JSON object in a request's body.
+ * Parses the JSON object in a request's body.
  *
  * @throws WoodbarrowError `unsupported_content_type`, `body_too_deep` or `bad_request`.
  */
@@ -21,7 +21,10 @@
     throw new WoodbarrowError('unsupported_content_type', 'send the body as application/json');
   }
   if (jsonDepth(request.body) > MAX_JSON_DEPTH) {
-    throw new WoodbarrowError('body_too_deep', `the body nests deeper than ${String(MAX_JSON_DEPTH)} levels`);
+    throw new WoodbarrowError(
+      'body_too_deep',
+      `the body is nested deeper than ${String(MAX_JSON_DEPTH)} levels`,
+    );
   }
   let value: unknown;
   try {
@@ -35,7 +38,7 @@
   return value as Record<string, unknown>;
 }
 
-/** Depth of nesting in a JSON text, valid or not. */
+/** Returns the nesting depth of a JSON text, which need not be valid. */
 export function jsonDepth(text: Uint8Array): number {
   let depth = 0;
   let maximumDepth = 0;
--- a/packages/gateway/src/merge-patch.ts
+++ b/packages/gateway/src/merge-patch.ts
@@ -1,6 +1,6 @@
-/** JSON Merge Patch, RFC 7396. */
+/** JSON Merge Patch (RFC 7396). */
 
-/** Applies `patch` to `target`: null removes a member, objects merge, all else replaces. */
+/** Returns `target` with `patch` applied: null removes a member, objects are merged, other values replace. */
 export function mergePatch(target: unknown, patch: unknown): unknown {
   if (!isObject(patch)) return patch;
   const result: Record<string, unknown> = isObject(target) ? { ...target } : {};
--- a/packages/gateway/src/operator-api.ts
+++ b/packages/gateway/src/operator-api.ts
@@ -1,4 +1,4 @@
-/** The API that operators use: templates and tenants by compare-and-set, their history, and the system's status. */
+/** HTTP API for operators: configuration objects with compare-and-set writes, their history, and system status. */
 import {
   OBJECT_SCHEMAS,
   objectKey,
@@ -31,21 +31,21 @@
   readonly platform: PlatformClient;
   readonly status: StatusService;
   readonly random: Random;
-  /** Begins a planned stop of this daemon. */
+  /** Starts a graceful shutdown of this daemon. */
   readonly drain: () => void;
-  /** Whether this daemon may serve. */
+  /** Whether this daemon has a configuration and can serve requests. */
   readonly isReady: () => boolean;
 }
 
-/** Kinds of objects that operators see, by the first part of the path. */
+/** Object kinds of this API; the first path segment of a request selects one. */
 const OBJECT_KINDS: readonly ObjectKind[] = ['templates', 'tenants', 'partners', 'deployment'];
 const ADMINISTRATOR_ONLY_KINDS: readonly ObjectKind[] = ['deployment', 'partners'];
-/** Time that an accepted change is given to be in force everywhere before the answer goes out. */
+/** Maximum time that the response to a write waits until the change is in effect on all daemons. */
 const IN_FORCE_TIMEOUT_MS = 3000;
 
 type OwnedObject = Readonly<Record<string, unknown>> & { readonly partner?: string };
 
-/** The handler of the operators' listener. */
+/** Creates the request handler of the operators' listener. */
 export function createOperatorApi(options: OperatorApiOptions): HttpHandler {
   const api = new OperatorApi(options);
   return async (request) => {
@@ -63,9 +63,10 @@
   async handle(request: HttpRequest): Promise<HttpResponse> {
     const url = new URL(request.path, 'http://operator');
     const identity = this.options.authenticator.identify(request);
-    if (identity.role === 'caller') throw new WoodbarrowError('forbidden', 'this token is for callers');
+    if (identity.role === 'caller')
+      throw new WoodbarrowError('forbidden', 'a token with role caller cannot use the operator API');
     if (!this.options.isReady())
-      throw new WoodbarrowError('not_ready', 'this daemon has no configuration yet');
+      throw new WoodbarrowError('not_ready', 'this daemon has not loaded its configuration yet');
     const [resource = '', name, subresource] = url.pathname.split('/').slice(1).map(decodeURIComponent);
     if (resource === 'status') return this.showStatus(identity, name);
     if (resource === 'drain') return this.startDrain(request, identity);
@@ -107,7 +108,7 @@
     return jsonResponse(200, { name, revision, value }, { etag: `"${String(revision)}"` });
   }
 
-  /** An object that this identity may read; one of another partner does not exist for it. */
+  /** Returns an object that this identity can read. Objects of other partners are reported as `not_found`. */
   private readObject(kind: ObjectKind, name: string, identity: Identity): OwnedObject {
     const key = objectKey(kind, name);
     const value = this.options.store.get(key) as OwnedObject | undefined;
@@ -166,7 +167,7 @@
     const templateObject = this.options.store.get(objectKey('templates', template)) as
       OwnedObject | undefined;
     if (templateObject?.partner !== partner)
-      throw new WoodbarrowError('bad_request', `no template ${template} of this partner`);
+      throw new WoodbarrowError('bad_request', `template ${template} does not exist for this partner`);
   }
 
   private async write(
@@ -202,7 +203,7 @@
       if (!isKind(error, 'revision_conflict')) throw error;
       const current = error.details?.['current'] as PlatformObject | null | undefined;
       const isReadable = current?.value != null && canRead(identity, kind, key, current.value);
-      throw new WoodbarrowError('revision_conflict', `${key} was changed by someone else`, {
+      throw new WoodbarrowError('revision_conflict', `${key} has changed since the expected revision`, {
         details: { current: isReadable ? { revision: current.revision, value: current.value } : null },
       });
     }
@@ -216,17 +217,17 @@
   ): void {
     if (identity.role === 'administrator') return;
     if (ADMINISTRATOR_ONLY_KINDS.includes(kind))
-      throw new WoodbarrowError('forbidden', `${kind} belong to the administrator`);
+      throw new WoodbarrowError('forbidden', `only the administrator can change ${kind}`);
     const key = objectKey(kind, name);
     const current = this.options.store.get(key) as OwnedObject | undefined;
     if (current !== undefined && !canRead(identity, kind, key, current)) {
-      throw new WoodbarrowError('forbidden', `the name ${name} is taken`);
+      throw new WoodbarrowError('forbidden', `the name ${name} is already in use`);
     }
     if (identity.tenant !== undefined && (kind !== 'tenants' || identity.tenant !== name)) {
-      throw new WoodbarrowError('forbidden', `this token is for tenant ${identity.tenant} alone`);
+      throw new WoodbarrowError('forbidden', `this token can change only tenant ${identity.tenant}`);
     }
     if (value !== null && value.partner !== identity.partner) {
-      throw new WoodbarrowError('forbidden', 'objects belong to the partner of the token');
+      throw new WoodbarrowError('forbidden', 'the partner of the object must be the partner of the token');
     }
   }
 
@@ -243,12 +244,12 @@
   private startDrain(request: HttpRequest, identity: Identity): HttpResponse {
     if (request.method !== 'POST') throw new WoodbarrowError('method_not_allowed', 'use POST');
     if (identity.role !== 'administrator')
-      throw new WoodbarrowError('forbidden', 'only the administrator stops daemons');
+      throw new WoodbarrowError('forbidden', 'only the administrator can drain a daemon');
     this.options.drain();
     return jsonResponse(202, { draining: true });
   }
 
-  /** Changes as they come into force here, one JSON object a line. */
+  /** Streams changes as this daemon applies them, as one JSON object per line. */
   private watch(identity: Identity, signal: AbortSignal): HttpResponse {
     const { store } = this.options;
     const lines = new AsyncQueue<Uint8Array>();
@@ -291,14 +292,14 @@
   return { ...body, partner: identity.partner };
 }
 
-/** `If-Match` with the revision seen, or `If-None-Match: *` for a new object. */
+/** Reads the expected revision from `If-Match`; `If-None-Match: *` gives 0, for a new object. */
 function expectedRevisionOf(request: HttpRequest): number {
   if (request.headers['if-none-match'] === '*') return 0;
   const match = /^"?(\d+)"?$/.exec(request.headers['if-match'] ?? '');
   if (match === null) {
     throw new WoodbarrowError(
       'bad_request',
-      'send If-Match with the revision you saw, or If-None-Match: * to create',
+      'send If-Match with the current revision, or If-None-Match: * to create the object',
     );
   }
   return Number(match[1]);
--- a/packages/gateway/src/status.ts
+++ b/packages/gateway/src/status.ts
@@ -1,4 +1,4 @@
-/** The system's status as operators see it, gathered from the daemons that know. */
+/** System status for operators, collected from the coordinators and all present daemons. */
 import type { Catalog, ConfigurationStore } from '@woodbarrow/configuration';
 import type { LeaseLocator } from '@woodbarrow/coordination';
 import { WoodbarrowError } from '@woodbarrow/errors';
@@ -20,11 +20,11 @@
   readonly locator: LeaseLocator;
   readonly store: ConfigurationStore;
   readonly catalog: Catalog;
-  /** Group of a zone's coordinator lease. */
+  /** Returns the lease group of a zone's coordinator. */
   readonly coordinatorGroup: (zone: string) => string;
 }
 
-/** On how many daemons a revision is in force. */
+/** Number of daemons on which a revision is in effect, of all present daemons. */
 export interface InForceCount {
   readonly daemons: number;
   readonly of: number;
@@ -33,11 +33,11 @@
 const PEER_CALL_TIMEOUT_MS = 800;
 const IN_FORCE_POLL_MS = 100;
 
-/** Gathers status. */
+/** Collects the status of zones, models, workers and queues. */
 export class StatusService {
   constructor(private readonly options: StatusServiceOptions) {}
 
-  /** Counts the daemons on which `revision` is in force, until all are counted or time runs out. */
+  /** Polls the daemons until `revision` is in effect on all of them or the timeout passes. Returns the last count. */
   async waitUntilInForce(revision: number, timeoutMs: number): Promise<InForceCount> {
     const { clock } = this.options;
     const deadline = clock.monotonic() + timeoutMs;
@@ -49,7 +49,7 @@
   }
 
   /**
-   * One section of the status.
+   * Returns one section of the status: `zones`, `models`, `workers` or `queues`.
    *
    * @throws WoodbarrowError `not_found` for an unknown section.
    */
@@ -78,7 +78,10 @@
       case 'queues':
         return { queues: (await this.describeQueues()).filter((queue) => isVisible(queue.model)) };
       default:
-        throw new WoodbarrowError('not_found', `no section ${section}: zones, models, workers or queues`);
+        throw new WoodbarrowError(
+          'not_found',
+          `unknown section ${section}; use zones, models, workers or queues`,
+        );
     }
   }
 
--- a/packages/gateway/test/gateway.test.ts
+++ b/packages/gateway/test/gateway.test.ts
@@ -75,7 +75,7 @@
   const kind = (body: unknown, headers?: Record<string, string>): string =>
     errorKindOf(() => readCompletionRequest(createRequest(body, headers), tenant));
 
-  it('take class, wait, key and marks from headers, within the template', () => {
+  it('take the wait, idempotency key, key age and repeatability from headers and the template', () => {
     const headers = {
       'x-woodbarrow-wait-ms': '7000',
       'idempotency-key': 'k',
@@ -97,7 +97,7 @@
     expect(readCompletionRequest(createRequest(VALID), tenant).waitMs).to.equal(5000);
   });
 
-  it('refuse each kind of bad input by its own kind', () => {
+  it('are refused with a specific error kind for each invalid input', () => {
     expect(kind(VALID)).to.equal('accepted');
     expect(kind('{"model":')).to.equal('bad_request');
     expect(kind('[]')).to.equal('bad_request');
@@ -115,16 +115,16 @@
     expect(kind(VALID, { 'idempotency-key': '' })).to.equal('bad_request');
   });
 
-  it('measure depth without reading strings', () => {
+  it('have a nesting depth that ignores brackets inside strings', () => {
     expect(jsonDepth(encodeText('{"a":[{"b":"[[[[\\"]]"}]}'))).to.equal(3);
   });
 });
 
-describe('completions with a key', () => {
+describe('completions with an idempotency key', () => {
   const { tenant, catalog } = createTenant();
   const request = createRequest({ ...VALID, stream: true }, { 'idempotency-key': 'k' });
 
-  /** Streams an engine's answer, which is cut off unless it is whole; returns it with what is kept of it. */
+  /** Completes a request whose engine stream fails after `text` unless `isWhole`; returns the response and settlements. */
   async function completeStream(text: string, isWhole: boolean): Promise<[string, SettleClaimRequest[]]> {
     async function* engine(): AsyncGenerator<Uint8Array> {
       yield await Promise.resolve(encodeText(text));
@@ -147,7 +147,7 @@
     return [await readText(response.body), settled];
   }
 
-  it('keep a whole stream for repeats', async () => {
+  it('store a complete stream for repeated requests', async () => {
     const whole = 'data: 1\n\ndata: [DONE]\n\n';
     const [text, settled] = await completeStream(whole, true);
     expect(text).to.equal(whole);
@@ -156,7 +156,7 @@
     );
   });
 
-  it('keep nothing of a stream that was cut off, also when its text speaks of an end', async () => {
+  it('store nothing of an interrupted stream, even when its text contains the end marker', async () => {
     const [text, settled] = await completeStream('data: {"text":"data: [DONE]"}\n\ndata: 2\n\n', false);
     expect(text).to.contain('stream_interrupted');
     expect(settled.map(({ result, answer }) => [result, answer])).to.deep.equal([['finished', undefined]]);
@@ -164,7 +164,7 @@
 });
 
 describe('authentication', () => {
-  it('knows tokens by their digest only', () => {
+  it('identifies tokens by their digest', () => {
     const { authenticator } = createTenant();
     const identify = (token: string): unknown =>
       authenticator.identify(createRequest('', { authorization: `Bearer ${token}` }));
@@ -175,8 +175,8 @@
   });
 });
 
-describe('error answers', () => {
-  it('carry kind, truth on running and when to come back, for every kind', async () => {
+describe('error responses', () => {
+  it('carry the status, code, execution state and retry delay of every error kind', async () => {
     for (const kind of ERROR_KINDS) {
       const response = errorResponse(new WoodbarrowError(kind, 'why'));
       const { error } = JSON.parse(await readText(response.body)) as {
@@ -192,7 +192,7 @@
     }
   });
 
-  it('do not show an internal failure to callers', async () => {
+  it('do not expose the message of an internal error', async () => {
     const response = errorResponse(new Error('secret detail'));
     expect(response.status).to.equal(500);
     expect(await readText(response.body)).not.to.contain('secret');
@@ -200,7 +200,7 @@
 });
 
 describe('merge patch', () => {
-  it('merges objects, removes by null and replaces all else', () => {
+  it('merges objects, removes members set to null and replaces other values', () => {
     const target = { a: { b: 1, c: 2 }, list: [1, 2], gone: 1 };
     expect(mergePatch(target, { a: { b: null, d: 3 }, list: [9], gone: null })).to.deep.equal({
       a: { c: 2, d: 3 },
