--- a/packages/errors/src/woodbarrow-error.ts
+++ b/packages/errors/src/woodbarrow-error.ts
@@ -29,10 +29,10 @@
 
   constructor(kind: ErrorKind, message: string, options: WoodbarrowErrorOptions = {}) {
     super(message);
-    const answer = answerFor(kind);
+    const spec = answerFor(kind);
     this.kind = kind;
-    this.ran = options.ran ?? answer.ran;
-    this.retryAfterSeconds = options.retryAfterSeconds ?? answer.retryAfterSeconds;
+    this.ran = options.ran ?? spec.ran;
+    this.retryAfterSeconds = options.retryAfterSeconds ?? spec.retryAfterSeconds;
     this.details = options.details;
     // Not passed to modern-errors, which would merge the cause's message into this error's message.
     if (options.cause !== undefined) this.cause = options.cause;
--- a/packages/gateway/src/completions.ts
+++ b/packages/gateway/src/completions.ts
@@ -181,9 +181,9 @@
         yield chunk;
       }
     } finally {
-      const answer = Buffer.concat(chunks);
-      const isComplete = size <= MAX_STORED_RESPONSE_BYTES && hasEndMark(answer);
-      this.settle(claim, 'finished', isComplete ? storableBody(status, answer) : undefined);
+      const recordedBody = Buffer.concat(chunks);
+      const isComplete = size <= MAX_STORED_RESPONSE_BYTES && hasEndMark(recordedBody);
+      this.settle(claim, 'finished', isComplete ? storableBody(status, recordedBody) : undefined);
     }
   }
 }
@@ -192,12 +192,12 @@
   return status === 200 && body.byteLength <= MAX_STORED_RESPONSE_BYTES ? body : undefined;
 }
 
-function replayResponse(answer: Uint8Array, streaming: boolean): HttpResponse {
+function replayResponse(storedBody: Uint8Array, streaming: boolean): HttpResponse {
   const contentType = streaming ? 'text/event-stream' : 'application/json';
   return {
     status: 200,
     headers: { 'content-type': contentType, 'x-woodbarrow-replayed': 'true' },
-    body: answer,
+    body: storedBody,
   };
 }
 
--- a/packages/gateway/src/jobs.ts
+++ b/packages/gateway/src/jobs.ts
@@ -125,13 +125,13 @@
 
   private async fetchFromPeers(jobId: string): Promise<JobRecord | undefined> {
     let found: JobRecord | undefined;
-    for (const keeper of daemonIdsOf(jobId)) {
-      const member = this.options.membership.get(keeper);
-      if (member === undefined || keeper === this.options.membership.local.id) continue;
-      const answer = await this.options.peers
+    for (const daemonId of daemonIdsOf(jobId)) {
+      const member = this.options.membership.get(daemonId);
+      if (member === undefined || daemonId === this.options.membership.local.id) continue;
+      const response = await this.options.peers
         .call(member.address, fetchJobMethod, { jobId }, { timeoutMs: PEER_CALL_TIMEOUT_MS })
         .catch(() => undefined);
-      found = answer?.job ?? found;
+      found = response?.job ?? found;
       if (found !== undefined && found.state !== 'queued') return found;
     }
     return found;
@@ -147,17 +147,17 @@
   /** Sends a job to the other daemons listed in its id. Returns the number of daemons that stored it. */
   private async replicate(job: JobRecord): Promise<number> {
     const { membership, peers } = this.options;
-    const answers = await Promise.all(
-      daemonIdsOf(job.id).map(async (keeper) => {
-        const member = membership.get(keeper);
-        if (member === undefined || keeper === membership.local.id) return 0;
+    const acknowledgements = await Promise.all(
+      daemonIdsOf(job.id).map(async (daemonId) => {
+        const member = membership.get(daemonId);
+        if (member === undefined || daemonId === membership.local.id) return 0;
         return peers
           .call(member.address, storeJobMethod, { job }, { timeoutMs: PEER_CALL_TIMEOUT_MS })
           .then(() => 1)
           .catch(() => 0);
       }),
     );
-    return answers.reduce<number>((total, count) => total + count, 0);
+    return acknowledgements.reduce<number>((total, count) => total + count, 0);
   }
 
   private run(job: JobRecord): void {
@@ -216,7 +216,7 @@
   private isFirstPresentDaemon(jobId: string): boolean {
     const { membership } = this.options;
     const present = new Set(membership.present().map((member) => member.id));
-    const first = daemonIdsOf(jobId).find((keeper) => present.has(keeper));
+    const first = daemonIdsOf(jobId).find((daemonId) => present.has(daemonId));
     return first === membership.local.id;
   }
 }
--- a/packages/gateway/src/status.ts
+++ b/packages/gateway/src/status.ts
@@ -88,17 +88,17 @@
   private async countInForce(revision: number): Promise<InForceCount> {
     const { membership, peers, store } = this.options;
     const members = membership.present();
-    const answers = await Promise.all(
+    const confirmations = await Promise.all(
       members.map(async (member) => {
         if (member.id === membership.local.id) return store.revision >= revision;
         const request = { revision: Number.MAX_SAFE_INTEGER };
         return peers
           .call(member.address, pullConfigurationMethod, request, { timeoutMs: PEER_CALL_TIMEOUT_MS })
-          .then((answer) => answer.revision >= revision)
+          .then((response) => response.revision >= revision)
           .catch(() => false);
       }),
     );
-    return { daemons: answers.filter(Boolean).length, of: members.length };
+    return { daemons: confirmations.filter(Boolean).length, of: members.length };
   }
 
   private async describeZones(): Promise<object[]> {
@@ -117,22 +117,22 @@
 
   private async fetchPlacements(): Promise<DescribePlacementResponse[]> {
     const { catalog, locator, peers, coordinatorGroup } = this.options;
-    const answers = await Promise.all(
+    const responses = await Promise.all(
       catalog.zones().map(async (zone) => {
         const holder = await locator.find(coordinatorGroup(zone));
         if (holder === undefined) return [];
         return peers
           .call(holder.address, describePlacementMethod, { zone }, { timeoutMs: PEER_CALL_TIMEOUT_MS })
-          .then((answer) => [answer])
+          .then((response) => [response])
           .catch(() => []);
       }),
     );
-    return answers.flat();
+    return responses.flat();
   }
 
   private async describeQueues(): Promise<{ zone: string; model: string }[]> {
     const { membership, peers } = this.options;
-    const answers = await Promise.all(
+    const responses = await Promise.all(
       membership.present().map((member) =>
         peers
           .call(
@@ -141,10 +141,12 @@
             { zone: member.zone },
             { timeoutMs: PEER_CALL_TIMEOUT_MS },
           )
-          .then((answer) => answer.queues.map((queue) => ({ zone: member.zone, owner: member.id, ...queue })))
+          .then((response) =>
+            response.queues.map((queue) => ({ zone: member.zone, owner: member.id, ...queue })),
+          )
           .catch(() => []),
       ),
     );
-    return answers.flat();
+    return responses.flat();
   }
 }
