--- a/packages/gateway/src/jobs.ts
+++ b/packages/gateway/src/jobs.ts
@@ -1,6 +1,6 @@
 /**
  * Jobs are submitted once and can be polled at any daemon. A job's id lists the daemons that store a copy of it.
- * The first of them that is present runs the job, under a claim on the job's key that prevents a second execution.
+ * The first of them that is present runs the job, under a claim on the job's key, which guards against a second execution.
  */
 import type { Catalog } from '@woodbarrow/configuration';
 import { rankByRendezvous } from '@woodbarrow/coordination';
