--- a/packages/gateway/src/completions.ts
+++ b/packages/gateway/src/completions.ts
@@ -1,4 +1,4 @@
-/** Serves completion requests: admission, claim, routing, settlement. */
+/** Serves completion requests: admission, claim of the idempotency key, routing, and settlement of the claim. */
 import type { Catalog, CatalogTenant } from '@woodbarrow/configuration';
 import type { ClaimsClient } from '@woodbarrow/coordination';
 import { WoodbarrowError, toWoodbarrowError } from '@woodbarrow/errors';
@@ -13,33 +13,39 @@
   readonly admission: Admission;
   readonly claims: ClaimsClient;
   readonly clock: Clock;
-  /** Called when a request is answered, for counters. */
+  /**
+   * Called when the response of a request starts or the request fails, for metrics. `kind` is `served` or an error kind.
+   */
   readonly onAnswer?: (kind: string, waitedMs: number) => void;
 }
 
-/** A key that this request holds at the ledger. */
+/** An idempotency key that this request has claimed in the claim ledger. */
 interface HeldClaim {
   readonly key: string;
   readonly claimant: string;
 }
 
-/** Largest answer kept for repeats of its key, in bytes. */
-const STORED_ANSWER_BYTES = 65_536;
-/** This daemon's clock may be slow by this share; a long wait ends that much earlier by it. */
-const CLOCK_ERROR_SHARE = 0.001;
-/** Longest time spent on a claim, as a share of the allowed wait. */
-const CLAIM_WAIT_SHARE = 0.8;
+/** Maximum size of a response that is stored for repeated requests with its idempotency key, in bytes. */
+const MAX_STORED_RESPONSE_BYTES = 65_536;
+/** Maximum relative rate error of the local clock; deadlines are shortened by it, as the clock may run slow. */
+const MAX_CLOCK_RATE_ERROR = 0.001;
+/** Maximum time for claiming a key, as a fraction of the allowed wait. */
+const CLAIM_WAIT_FRACTION = 0.8;
 
-/** Runs one completion request after another, many at once. */
+/** Runs completion requests concurrently. */
 export class CompletionService {
   constructor(private readonly options: CompletionServiceOptions) {}
 
-  /** Requests in progress. */
+  /** Number of requests in progress. */
   get active(): number {
     return this.options.admission.active;
   }
 
-  /** @throws WoodbarrowError */
+  /**
+   * Runs a completion request and returns its response, which may be a stream.
+   *
+   * @throws WoodbarrowError when the request is refused or fails before its response starts.
+   */
   async complete(
     request: HttpRequest,
     path: string,
@@ -57,7 +63,7 @@
     try {
       const response = await this.run(request, requestId, path, tenant, completion, startedAt);
       this.options.onAnswer?.('served', this.options.clock.monotonic() - startedAt);
-      return releaseAfter(response, release);
+      return releaseAfterResponse(response, release);
     } catch (thrown) {
       release();
       const error = toWoodbarrowError(thrown);
@@ -87,14 +93,14 @@
         priority: completion.priorityClass.priority,
         deferrable: completion.priorityClass.deferrable,
         receivedAt: startedAt,
-        deadline: startedAt + completion.waitMs * (1 - CLOCK_ERROR_SHARE),
+        deadline: startedAt + completion.waitMs * (1 - MAX_CLOCK_RATE_ERROR),
         runLimitMs: tenant.parameters.limits.runSeconds * 1000,
         repeatable: completion.repeatable && claim === undefined,
         affinity: completion.affinity,
         queueLimit: tenant.parameters.limits.queuedRequests,
         signal: request.signal,
       });
-      return claim === undefined ? response : this.settleAfter(response, claim);
+      return claim === undefined ? response : this.settleAfterResponse(response, claim);
     } catch (thrown) {
       const error = toWoodbarrowError(thrown);
       if (claim !== undefined) this.settle(claim, error.ran === 'no' ? 'released' : 'finished');
@@ -102,7 +108,10 @@
     }
   }
 
-  /** Claims the request's key, if it has one: the claim to settle, or the stored answer of an earlier run. */
+  /**
+   * Claims the request's idempotency key, if it has one. Returns the claim to settle, or the stored response of an
+   * earlier run.
+   */
   private async claim(
     claimant: string,
     request: HttpRequest,
@@ -119,7 +128,7 @@
         lifetimeMs: tenant.parameters.keyLifetimeSeconds * 1000,
         ...(completion.idempotencyKeyAgeMs === undefined ? {} : { ageMs: completion.idempotencyKeyAgeMs }),
       },
-      completion.waitMs * CLAIM_WAIT_SHARE,
+      completion.waitMs * CLAIM_WAIT_FRACTION,
     );
     switch (result.outcome) {
       case 'granted':
@@ -127,20 +136,20 @@
       case 'running':
         throw new WoodbarrowError('already_running', 'a request with this idempotency key is in progress');
       case 'mismatch':
-        throw new WoodbarrowError('key_reused', 'this idempotency key was used for another request');
+        throw new WoodbarrowError('key_reused', 'this idempotency key was used for a different request');
       case 'unknown':
         throw new WoodbarrowError(
           'outcome_unknown',
-          'it cannot be told whether this idempotency key was used before',
+          'cannot determine whether this idempotency key was used before',
         );
       case 'finished':
         if (result.answer === undefined) {
           throw new WoodbarrowError(
             'outcome_unknown',
-            'this request has run before, and its answer is not kept',
+            'this request has already run, and its response was not stored',
           );
         }
-        return { answer: storedResponse(result.answer, completion.streaming) };
+        return { answer: replayResponse(result.answer, completion.streaming) };
     }
   }
 
@@ -148,11 +157,11 @@
     void this.options.claims.settle({ ...claim, result, ...(answer === undefined ? {} : { answer }) });
   }
 
-  /** Keeps the answer for repeats once it has gone out whole. */
-  private settleAfter(response: HttpResponse, claim: HeldClaim): HttpResponse {
+  /** Settles the claim when the response is complete, and stores the response for repeated requests. */
+  private settleAfterResponse(response: HttpResponse, claim: HeldClaim): HttpResponse {
     const { body } = response;
     if (body instanceof Uint8Array) {
-      this.settle(claim, 'finished', storable(response.status, body));
+      this.settle(claim, 'finished', storableBody(response.status, body));
       return response;
     }
     return { ...response, body: this.recordStream(body, response.status, claim) };
@@ -168,41 +177,44 @@
     try {
       for await (const chunk of body) {
         size += chunk.byteLength;
-        if (size <= STORED_ANSWER_BYTES) chunks.push(chunk);
+        if (size <= MAX_STORED_RESPONSE_BYTES) chunks.push(chunk);
         yield chunk;
       }
     } finally {
-      const answer = Buffer.concat(chunks);
-      const whole = size <= STORED_ANSWER_BYTES && hasEndMark(answer);
-      this.settle(claim, 'finished', whole ? storable(status, answer) : undefined);
+      const recordedBody = Buffer.concat(chunks);
+      const isComplete = size <= MAX_STORED_RESPONSE_BYTES && hasEndMark(recordedBody);
+      this.settle(claim, 'finished', isComplete ? storableBody(status, recordedBody) : undefined);
     }
   }
 }
 
-function storable(status: number, body: Uint8Array): Uint8Array | undefined {
-  return status === 200 && body.byteLength <= STORED_ANSWER_BYTES ? body : undefined;
+function storableBody(status: number, body: Uint8Array): Uint8Array | undefined {
+  return status === 200 && body.byteLength <= MAX_STORED_RESPONSE_BYTES ? body : undefined;
 }
 
-function storedResponse(answer: Uint8Array, streaming: boolean): HttpResponse {
+function replayResponse(storedBody: Uint8Array, streaming: boolean): HttpResponse {
   const contentType = streaming ? 'text/event-stream' : 'application/json';
   return {
     status: 200,
     headers: { 'content-type': contentType, 'x-woodbarrow-replayed': 'true' },
-    body: answer,
+    body: storedBody,
   };
 }
 
-/** Ends the admission when the answer has gone out, whole or not. */
-function releaseAfter(response: HttpResponse, release: () => void): HttpResponse {
+/** Releases the admission when the response has been sent or its stream has been aborted. */
+function releaseAfterResponse(response: HttpResponse, release: () => void): HttpResponse {
   const { body } = response;
   if (body instanceof Uint8Array) {
     release();
     return response;
   }
-  return { ...response, body: releasing(body, release) };
+  return { ...response, body: releaseAfterStream(body, release) };
 }
 
-async function* releasing(body: AsyncIterable<Uint8Array>, release: () => void): AsyncGenerator<Uint8Array> {
+async function* releaseAfterStream(
+  body: AsyncIterable<Uint8Array>,
+  release: () => void,
+): AsyncGenerator<Uint8Array> {
   try {
     yield* body;
   } finally {
--- a/packages/gateway/src/jobs.ts
+++ b/packages/gateway/src/jobs.ts
@@ -1,6 +1,6 @@
 /**
- * Jobs: submitted once, polled at any daemon. A job's id names the daemons that keep it. The first runs it; when
- * that one is lost, the next runs it again under the same claim, so that it cannot run twice.
+ * Jobs are submitted once and can be polled at any daemon. A job's id lists the daemons that store a copy of it.
+ * The first of them that is present runs the job, under a claim on the job's key, which guards against a second execution.
  */
 import type { Catalog } from '@woodbarrow/configuration';
 import { rankByRendezvous } from '@woodbarrow/coordination';
@@ -24,7 +24,7 @@
 /** Options of {@link JobService}. */
 export interface JobServiceOptions {
   readonly completions: CompletionService;
-  /** A new request id, unique over all daemons. */
+  /** Returns a new request id, unique across all daemons. */
   readonly newRequestId: () => string;
   readonly catalog: Catalog;
   readonly membership: Membership;
@@ -34,17 +34,17 @@
   readonly onTaskFailure?: (name: string, error: unknown) => void;
 }
 
-const KEEPER_SEPARATOR = '~';
+const DAEMON_ID_SEPARATOR = '~';
 const ID_PREFIX = 'job_';
-/** Daemons that keep a job, the one that runs it included. */
-const KEEPERS = 3;
-const RETENTION_MS = 3_600_000;
-const MAXIMUM_JOBS = 10_000;
-const SWEEP_MS = 2000;
-const CALL_TIMEOUT_MS = 1500;
+/** Number of daemons that store a job, including the one that runs it. */
+const COPIES_PER_JOB = 3;
+const JOB_RETENTION_MS = 3_600_000;
+const MAX_STORED_JOBS = 10_000;
+const SWEEP_INTERVAL_MS = 2000;
+const PEER_CALL_TIMEOUT_MS = 1500;
 const FORWARDED_HEADERS: readonly string[] = ['content-type', ...Object.values(CALLER_HEADERS)];
 
-/** Takes, keeps and runs jobs. */
+/** Accepts, stores, replicates and runs jobs. */
 export class JobService extends BackgroundService {
   private readonly jobs = new Map<string, JobRecord>();
   private readonly running = new Set<string>();
@@ -53,16 +53,16 @@
     super(options.clock, options.onTaskFailure);
   }
 
-  /** Jobs that this daemon runs now. */
+  /** Number of jobs that this daemon is running. */
   get active(): number {
     return this.running.size;
   }
 
-  /** Starts answering other daemons. */
+  /** Registers the handlers for requests of other daemons and starts the periodic sweep. */
   start(): void {
     const { peers } = this.options;
     peers.handle(storeJobMethod, (request) => {
-      this.keep(request.job);
+      this.storeLocally(request.job);
       return {};
     });
     peers.handle(fetchJobMethod, (request) => {
@@ -71,7 +71,7 @@
     });
     this.tasks.loop(
       'gateway.jobs',
-      () => SWEEP_MS,
+      () => SWEEP_INTERVAL_MS,
       () => {
         this.sweep();
         return Promise.resolve();
@@ -80,20 +80,20 @@
   }
 
   /**
-   * Takes a job. It is kept by another daemon too before this resolves, if there is another.
+   * Accepts a job. If there are other daemons, at least one of them has stored the job before this resolves.
    *
-   * @throws WoodbarrowError `not_ready` when no other daemon would keep it.
+   * @throws WoodbarrowError `queue_full` at the limit of stored jobs, `not_ready` when no other daemon stored the job.
    */
   async submit(request: HttpRequest, path: string, tenant: string): Promise<JobRecord> {
-    if (this.jobs.size >= MAXIMUM_JOBS)
-      throw new WoodbarrowError('queue_full', 'this daemon keeps as many jobs as it can');
+    if (this.jobs.size >= MAX_STORED_JOBS)
+      throw new WoodbarrowError('queue_full', 'this daemon has reached its limit of stored jobs');
     const { membership, random, clock } = this.options;
     const suffix = random.id();
     const others = membership.eligible().filter((member) => member.id !== membership.local.id);
-    const backups = rankByRendezvous(suffix, others).slice(0, KEEPERS - 1);
-    const keepers = [membership.local.id, ...backups.map((member) => member.id)];
+    const backups = rankByRendezvous(suffix, others).slice(0, COPIES_PER_JOB - 1);
+    const daemonIds = [membership.local.id, ...backups.map((member) => member.id)];
     const job: JobRecord = {
-      id: `${ID_PREFIX}${[...keepers, suffix].join(KEEPER_SEPARATOR)}`,
+      id: `${ID_PREFIX}${[...daemonIds, suffix].join(DAEMON_ID_SEPARATOR)}`,
       tenant,
       state: 'queued',
       path,
@@ -101,58 +101,63 @@
       body: request.body,
       submittedAt: clock.wall(),
     };
-    const kept = await this.replicate(job);
-    if (others.length > 0 && kept === 0)
-      throw new WoodbarrowError('not_ready', 'no other daemon could keep the job');
-    this.keep(job);
+    const copies = await this.replicate(job);
+    if (others.length > 0 && copies === 0)
+      throw new WoodbarrowError('not_ready', 'no other daemon could store a copy of the job');
+    this.storeLocally(job);
     this.run(job);
     return job;
   }
 
-  /** Finds a job at whichever daemon keeps it. @throws WoodbarrowError `not_found` */
+  /**
+   * Returns a job from this daemon or from another one that stores it.
+   *
+   * @throws WoodbarrowError `not_found`
+   */
   async fetch(jobId: string, tenant: string): Promise<JobRecord> {
-    const own = this.jobs.get(jobId);
-    let best = own;
-    if (own === undefined || own.state === 'queued') best = (await this.fetchElsewhere(jobId)) ?? own;
-    if (best === undefined || best.tenant !== tenant) throw new WoodbarrowError('not_found', 'no such job');
-    return best;
+    const local = this.jobs.get(jobId);
+    let latest = local;
+    if (local === undefined || local.state === 'queued') latest = (await this.fetchFromPeers(jobId)) ?? local;
+    if (latest === undefined || latest.tenant !== tenant)
+      throw new WoodbarrowError('not_found', 'no such job');
+    return latest;
   }
 
-  private async fetchElsewhere(jobId: string): Promise<JobRecord | undefined> {
+  private async fetchFromPeers(jobId: string): Promise<JobRecord | undefined> {
     let found: JobRecord | undefined;
-    for (const keeper of keepersOf(jobId)) {
-      const member = this.options.membership.get(keeper);
-      if (member === undefined || keeper === this.options.membership.local.id) continue;
-      const answer = await this.options.peers
-        .call(member.address, fetchJobMethod, { jobId }, { timeoutMs: CALL_TIMEOUT_MS })
+    for (const daemonId of daemonIdsOf(jobId)) {
+      const member = this.options.membership.get(daemonId);
+      if (member === undefined || daemonId === this.options.membership.local.id) continue;
+      const response = await this.options.peers
+        .call(member.address, fetchJobMethod, { jobId }, { timeoutMs: PEER_CALL_TIMEOUT_MS })
         .catch(() => undefined);
-      found = answer?.job ?? found;
+      found = response?.job ?? found;
       if (found !== undefined && found.state !== 'queued') return found;
     }
     return found;
   }
 
-  private keep(job: JobRecord): void {
-    const known = this.jobs.get(job.id);
-    // A finished job never becomes unfinished again.
-    if (known !== undefined && known.state !== 'queued') return;
+  private storeLocally(job: JobRecord): void {
+    const stored = this.jobs.get(job.id);
+    // A late copy in state `queued` must not overwrite a finished job.
+    if (stored !== undefined && stored.state !== 'queued') return;
     this.jobs.set(job.id, job);
   }
 
-  /** Sends a job to its other keepers; returns how many took it. */
+  /** Sends a job to the other daemons listed in its id. Returns the number of daemons that stored it. */
   private async replicate(job: JobRecord): Promise<number> {
     const { membership, peers } = this.options;
-    const answers = await Promise.all(
-      keepersOf(job.id).map(async (keeper) => {
-        const member = membership.get(keeper);
-        if (member === undefined || keeper === membership.local.id) return 0;
+    const acknowledgements = await Promise.all(
+      daemonIdsOf(job.id).map(async (daemonId) => {
+        const member = membership.get(daemonId);
+        if (member === undefined || daemonId === membership.local.id) return 0;
         return peers
-          .call(member.address, storeJobMethod, { job }, { timeoutMs: CALL_TIMEOUT_MS })
+          .call(member.address, storeJobMethod, { job }, { timeoutMs: PEER_CALL_TIMEOUT_MS })
           .then(() => 1)
           .catch(() => 0);
       }),
     );
-    return answers.reduce<number>((total, count) => total + count, 0);
+    return acknowledgements.reduce<number>((total, count) => total + count, 0);
   }
 
   private run(job: JobRecord): void {
@@ -161,7 +166,7 @@
     this.tasks.spawn(`gateway.job.${job.id}`, async (signal) => {
       try {
         const response = await this.execute(job, signal);
-        // A daemon that stops leaves the job to the next keeper.
+        // The job stays queued, so that the next daemon in its id runs it after this daemon has stopped.
         if (signal.aborted || response === undefined) return;
         const result = await readBody(response.body);
         const finished: JobRecord = {
@@ -170,7 +175,7 @@
           status: response.status,
           result,
         };
-        this.keep(finished);
+        this.storeLocally(finished);
         await this.replicate(finished);
       } finally {
         this.running.delete(job.id);
@@ -178,18 +183,19 @@
     });
   }
 
-  /** The job's answer, or undefined when this daemon is stopping and did not run it. */
+  /** Runs the job. Returns its response, or undefined when this daemon is stopping and did not run it. */
   private async execute(job: JobRecord, signal: AbortSignal): Promise<HttpResponse | undefined> {
     const tenant = this.options.catalog.tenant(job.tenant);
     const key = job.headers[CALLER_HEADERS.idempotencyKey] ?? job.id;
     const age = Math.max(0, this.options.clock.wall() - job.submittedAt);
     const headers = {
       ...job.headers,
-      [CALLER_HEADERS.idempotencyKey]: key.slice(-MAXIMUM_JOB_KEY),
+      [CALLER_HEADERS.idempotencyKey]: key.slice(-MAX_JOB_KEY_LENGTH),
       [CALLER_HEADERS.idempotencyKeyAge]: String(Math.round(age)),
     };
     try {
-      if (tenant === undefined) throw new WoodbarrowError('not_found', 'the tenant is gone');
+      if (tenant === undefined)
+        throw new WoodbarrowError('not_found', 'the tenant of this job does not exist');
       const request = { method: 'POST', path: job.path, headers, body: job.body, signal };
       return await this.options.completions.complete(request, job.path, tenant, this.options.newRequestId());
     } catch (error) {
@@ -198,27 +204,28 @@
     }
   }
 
-  /** Forgets old jobs, and takes over those whose earlier keepers are gone. */
+  /** Deletes expired jobs, and runs queued jobs when all daemons before this one in the job's id are absent. */
   private sweep(): void {
     const now = this.options.clock.wall();
     for (const [id, job] of this.jobs) {
-      if (now - job.submittedAt > RETENTION_MS && !this.running.has(id)) this.jobs.delete(id);
-      else if (job.state === 'queued' && this.isNextKeeper(id)) this.run(job);
+      if (now - job.submittedAt > JOB_RETENTION_MS && !this.running.has(id)) this.jobs.delete(id);
+      else if (job.state === 'queued' && this.isFirstPresentDaemon(id)) this.run(job);
     }
   }
 
-  private isNextKeeper(jobId: string): boolean {
+  private isFirstPresentDaemon(jobId: string): boolean {
     const { membership } = this.options;
     const present = new Set(membership.present().map((member) => member.id));
-    const first = keepersOf(jobId).find((keeper) => present.has(keeper));
+    const first = daemonIdsOf(jobId).find((daemonId) => present.has(daemonId));
     return first === membership.local.id;
   }
 }
 
-const MAXIMUM_JOB_KEY = 200;
+/** Maximum length of the idempotency key under which a job runs; the end of a longer key is used. */
+const MAX_JOB_KEY_LENGTH = 200;
 
-function keepersOf(jobId: string): string[] {
-  return jobId.slice(ID_PREFIX.length).split(KEEPER_SEPARATOR).slice(0, -1);
+function daemonIdsOf(jobId: string): string[] {
+  return jobId.slice(ID_PREFIX.length).split(DAEMON_ID_SEPARATOR).slice(0, -1);
 }
 
 function pickHeaders(headers: HttpHeaders): Record<string, string> {
--- a/packages/gateway/src/status.ts
+++ b/packages/gateway/src/status.ts
@@ -1,4 +1,4 @@
-/** The system's status as operators see it, gathered from the daemons that know. */
+/** System status for operators, collected from the coordinators and all present daemons. */
 import type { Catalog, ConfigurationStore } from '@woodbarrow/configuration';
 import type { LeaseLocator } from '@woodbarrow/coordination';
 import { WoodbarrowError } from '@woodbarrow/errors';
@@ -20,36 +20,36 @@
   readonly locator: LeaseLocator;
   readonly store: ConfigurationStore;
   readonly catalog: Catalog;
-  /** Group of a zone's coordinator lease. */
+  /** Returns the lease group of a zone's coordinator. */
   readonly coordinatorGroup: (zone: string) => string;
 }
 
-/** On how many daemons a revision is in force. */
-export interface InForce {
+/** Number of daemons on which a revision is in effect, of all present daemons. */
+export interface InForceCount {
   readonly daemons: number;
   readonly of: number;
 }
 
-const CALL_TIMEOUT_MS = 800;
+const PEER_CALL_TIMEOUT_MS = 800;
 const IN_FORCE_POLL_MS = 100;
 
-/** Gathers status. */
+/** Collects the status of zones, models, workers and queues. */
 export class StatusService {
   constructor(private readonly options: StatusServiceOptions) {}
 
-  /** Counts the daemons on which `revision` is in force, until all are counted or time runs out. */
-  async waitInForce(revision: number, limitMs: number): Promise<InForce> {
+  /** Polls the daemons until `revision` is in effect on all of them or the timeout passes. Returns the last count. */
+  async waitUntilInForce(revision: number, timeoutMs: number): Promise<InForceCount> {
     const { clock } = this.options;
-    const until = clock.monotonic() + limitMs;
+    const deadline = clock.monotonic() + timeoutMs;
     for (;;) {
-      const count = await this.inForce(revision);
-      if (count.daemons === count.of || clock.monotonic() >= until) return count;
+      const count = await this.countInForce(revision);
+      if (count.daemons === count.of || clock.monotonic() >= deadline) return count;
       await sleep(clock, IN_FORCE_POLL_MS);
     }
   }
 
   /**
-   * One section of the status.
+   * Returns one section of the status: `zones`, `models`, `workers` or `queues`.
    *
    * @throws WoodbarrowError `not_found` for an unknown section.
    */
@@ -58,14 +58,14 @@
       case 'zones':
         return { revision: this.options.store.revision, zones: await this.describeZones() };
       case 'models': {
-        const placements = await this.placements();
+        const placements = await this.fetchPlacements();
         const models = placements.flatMap(({ zone, models: entries }) =>
           entries.map((entry) => ({ zone, ...entry })),
         );
         return { models: models.filter((entry) => isVisible(entry.model)) };
       }
       case 'workers': {
-        const placements = await this.placements();
+        const placements = await this.fetchPlacements();
         const workers = placements.flatMap(({ zone, workers: entries }) =>
           entries.map((entry) => ({
             zone,
@@ -78,24 +78,27 @@
       case 'queues':
         return { queues: (await this.describeQueues()).filter((queue) => isVisible(queue.model)) };
       default:
-        throw new WoodbarrowError('not_found', `no section ${section}: zones, models, workers or queues`);
+        throw new WoodbarrowError(
+          'not_found',
+          `unknown section ${section}; use zones, models, workers or queues`,
+        );
     }
   }
 
-  private async inForce(revision: number): Promise<InForce> {
+  private async countInForce(revision: number): Promise<InForceCount> {
     const { membership, peers, store } = this.options;
     const members = membership.present();
-    const answers = await Promise.all(
+    const confirmations = await Promise.all(
       members.map(async (member) => {
         if (member.id === membership.local.id) return store.revision >= revision;
         const request = { revision: Number.MAX_SAFE_INTEGER };
         return peers
-          .call(member.address, pullConfigurationMethod, request, { timeoutMs: CALL_TIMEOUT_MS })
-          .then((answer) => answer.revision >= revision)
+          .call(member.address, pullConfigurationMethod, request, { timeoutMs: PEER_CALL_TIMEOUT_MS })
+          .then((response) => response.revision >= revision)
           .catch(() => false);
       }),
     );
-    return { daemons: answers.filter(Boolean).length, of: members.length };
+    return { daemons: confirmations.filter(Boolean).length, of: members.length };
   }
 
   private async describeZones(): Promise<object[]> {
@@ -112,31 +115,38 @@
     );
   }
 
-  private async placements(): Promise<DescribePlacementResponse[]> {
+  private async fetchPlacements(): Promise<DescribePlacementResponse[]> {
     const { catalog, locator, peers, coordinatorGroup } = this.options;
-    const answers = await Promise.all(
+    const responses = await Promise.all(
       catalog.zones().map(async (zone) => {
         const holder = await locator.find(coordinatorGroup(zone));
         if (holder === undefined) return [];
         return peers
-          .call(holder.address, describePlacementMethod, { zone }, { timeoutMs: CALL_TIMEOUT_MS })
-          .then((answer) => [answer])
+          .call(holder.address, describePlacementMethod, { zone }, { timeoutMs: PEER_CALL_TIMEOUT_MS })
+          .then((response) => [response])
           .catch(() => []);
       }),
     );
-    return answers.flat();
+    return responses.flat();
   }
 
   private async describeQueues(): Promise<{ zone: string; model: string }[]> {
     const { membership, peers } = this.options;
-    const answers = await Promise.all(
+    const responses = await Promise.all(
       membership.present().map((member) =>
         peers
-          .call(member.address, describeQueuesMethod, { zone: member.zone }, { timeoutMs: CALL_TIMEOUT_MS })
-          .then((answer) => answer.queues.map((queue) => ({ zone: member.zone, owner: member.id, ...queue })))
+          .call(
+            member.address,
+            describeQueuesMethod,
+            { zone: member.zone },
+            { timeoutMs: PEER_CALL_TIMEOUT_MS },
+          )
+          .then((response) =>
+            response.queues.map((queue) => ({ zone: member.zone, owner: member.id, ...queue })),
+          )
           .catch(() => []),
       ),
     );
-    return answers.flat();
+    return responses.flat();
   }
 }
--- a/packages/gateway/test/gateway.test.ts
+++ b/packages/gateway/test/gateway.test.ts
@@ -14,14 +14,14 @@
 import {
   Authenticator,
   CompletionService,
-  depthOf,
+  jsonDepth,
   errorResponse,
   hashToken,
   mergePatch,
   readCompletionRequest,
 } from '../src/index.js';
 
-function tenantOf(parameters: object = {}): {
+function createTenant(parameters: object = {}): {
   tenant: CatalogTenant;
   catalog: Catalog;
   authenticator: Authenticator;
@@ -49,7 +49,7 @@
   return { tenant, catalog, authenticator: new Authenticator(store, catalog, hashToken('root')) };
 }
 
-function requestWith(body: unknown, headers: Record<string, string> = {}): HttpRequest {
+function createRequest(body: unknown, headers: Record<string, string> = {}): HttpRequest {
   return {
     method: 'POST',
     path: '/v1/chat/completions',
@@ -61,7 +61,7 @@
 
 const VALID = { model: 'one', messages: [{ role: 'user', content: 'hello' }] };
 
-function kindOf(action: () => unknown): string {
+function errorKindOf(action: () => unknown): string {
   try {
     action();
     return 'accepted';
@@ -71,11 +71,11 @@
 }
 
 describe('completion requests', () => {
-  const { tenant } = tenantOf({ limits: { bodyBytes: 500 }, nonRepeatableModels: ['one'] });
+  const { tenant } = createTenant({ limits: { bodyBytes: 500 }, nonRepeatableModels: ['one'] });
   const kind = (body: unknown, headers?: Record<string, string>): string =>
-    kindOf(() => readCompletionRequest(requestWith(body, headers), tenant));
+    errorKindOf(() => readCompletionRequest(createRequest(body, headers), tenant));
 
-  it('take class, wait, key and marks from headers, within the template', () => {
+  it('take the wait, idempotency key, key age and repeatability from headers and the template', () => {
     const headers = {
       'x-woodbarrow-wait-ms': '7000',
       'idempotency-key': 'k',
@@ -83,7 +83,7 @@
       'x-woodbarrow-session': 's',
     };
     const read = readCompletionRequest(
-      requestWith({ ...VALID, model: 'tuned', stream: true }, headers),
+      createRequest({ ...VALID, model: 'tuned', stream: true }, headers),
       tenant,
     );
     expect(read).to.include({
@@ -94,10 +94,10 @@
       idempotencyKeyAgeMs: 30,
     });
     expect(read.target.adapter?.name).to.equal('tuned');
-    expect(readCompletionRequest(requestWith(VALID), tenant).waitMs).to.equal(5000);
+    expect(readCompletionRequest(createRequest(VALID), tenant).waitMs).to.equal(5000);
   });
 
-  it('refuse each kind of bad input by its own kind', () => {
+  it('are refused with a specific error kind for each invalid input', () => {
     expect(kind(VALID)).to.equal('accepted');
     expect(kind('{"model":')).to.equal('bad_request');
     expect(kind('[]')).to.equal('bad_request');
@@ -115,17 +115,17 @@
     expect(kind(VALID, { 'idempotency-key': '' })).to.equal('bad_request');
   });
 
-  it('measure depth without reading strings', () => {
-    expect(depthOf(encodeText('{"a":[{"b":"[[[[\\"]]"}]}'))).to.equal(3);
+  it('have a nesting depth that ignores brackets inside strings', () => {
+    expect(jsonDepth(encodeText('{"a":[{"b":"[[[[\\"]]"}]}'))).to.equal(3);
   });
 });
 
-describe('completions with a key', () => {
-  const { tenant, catalog } = tenantOf();
-  const request = requestWith({ ...VALID, stream: true }, { 'idempotency-key': 'k' });
+describe('completions with an idempotency key', () => {
+  const { tenant, catalog } = createTenant();
+  const request = createRequest({ ...VALID, stream: true }, { 'idempotency-key': 'k' });
 
-  /** Streams an engine's answer, which is cut off unless it is whole; returns it with what is kept of it. */
-  async function streamOf(text: string, isWhole: boolean): Promise<[string, SettleClaimRequest[]]> {
+  /** Completes a request whose engine stream fails after `text` unless `isWhole`; returns the response and settlements. */
+  async function completeStream(text: string, isWhole: boolean): Promise<[string, SettleClaimRequest[]]> {
     async function* engine(): AsyncGenerator<Uint8Array> {
       yield await Promise.resolve(encodeText(text));
       if (!isWhole) throw new Error('cut');
@@ -147,36 +147,36 @@
     return [await readText(response.body), settled];
   }
 
-  it('keep a whole stream for repeats', async () => {
+  it('store a complete stream for repeated requests', async () => {
     const whole = 'data: 1\n\ndata: [DONE]\n\n';
-    const [text, settled] = await streamOf(whole, true);
+    const [text, settled] = await completeStream(whole, true);
     expect(text).to.equal(whole);
     expect(settled.map(({ result, answer }) => [result, Buffer.from(answer ?? []).toString()])).to.deep.equal(
       [['finished', whole]],
     );
   });
 
-  it('keep nothing of a stream that was cut off, also when its text speaks of an end', async () => {
-    const [text, settled] = await streamOf('data: {"text":"data: [DONE]"}\n\ndata: 2\n\n', false);
+  it('store nothing of an interrupted stream, even when its text contains the end marker', async () => {
+    const [text, settled] = await completeStream('data: {"text":"data: [DONE]"}\n\ndata: 2\n\n', false);
     expect(text).to.contain('stream_interrupted');
     expect(settled.map(({ result, answer }) => [result, answer])).to.deep.equal([['finished', undefined]]);
   });
 });
 
 describe('authentication', () => {
-  it('knows tokens by their digest only', () => {
-    const { authenticator } = tenantOf();
+  it('identifies tokens by their digest', () => {
+    const { authenticator } = createTenant();
     const identify = (token: string): unknown =>
-      authenticator.identify(requestWith('', { authorization: `Bearer ${token}` }));
+      authenticator.identify(createRequest('', { authorization: `Bearer ${token}` }));
     expect(identify('secret')).to.deep.equal({ partner: 'p', tenant: 't', role: 'caller' });
     expect(identify('root')).to.deep.equal({ role: 'administrator' });
-    expect(kindOf(() => identify('wrong'))).to.equal('unauthenticated');
-    expect(kindOf(() => authenticator.identify(requestWith('')))).to.equal('unauthenticated');
+    expect(errorKindOf(() => identify('wrong'))).to.equal('unauthenticated');
+    expect(errorKindOf(() => authenticator.identify(createRequest('')))).to.equal('unauthenticated');
   });
 });
 
-describe('error answers', () => {
-  it('carry kind, truth on running and when to come back, for every kind', async () => {
+describe('error responses', () => {
+  it('carry the status, code, execution state and retry delay of every error kind', async () => {
     for (const kind of ERROR_KINDS) {
       const response = errorResponse(new WoodbarrowError(kind, 'why'));
       const { error } = JSON.parse(await readText(response.body)) as {
@@ -192,7 +192,7 @@
     }
   });
 
-  it('do not show an internal failure to callers', async () => {
+  it('do not expose the message of an internal error', async () => {
     const response = errorResponse(new Error('secret detail'));
     expect(response.status).to.equal(500);
     expect(await readText(response.body)).not.to.contain('secret');
@@ -200,7 +200,7 @@
 });
 
 describe('merge patch', () => {
-  it('merges objects, removes by null and replaces all else', () => {
+  it('merges objects, removes members set to null and replaces other values', () => {
     const target = { a: { b: 1, c: 2 }, list: [1, 2], gone: 1 };
     expect(mergePatch(target, { a: { b: null, d: 3 }, list: [9], gone: null })).to.deep.equal({
       a: { c: 2, d: 3 },
