--- a/packages/observability/src/bounded-log.ts
+++ b/packages/observability/src/bounded-log.ts
@@ -26,7 +26,7 @@
 }
 
 /** Bytes that may wait for standard output. */
-export const MAXIMUM_WAITING_BYTES = 256 * 1024;
+export const MAX_PENDING_LOG_BYTES = 256 * 1024;
 /** Lines are collected for this long before they are written, in milliseconds. */
 const FLUSH_INTERVAL_MS = 250;
 const BUDGET_WINDOW_MS = 1000;
@@ -48,18 +48,18 @@
   };
   private readonly logger: Logger;
   private readonly sink: ByteSink;
-  private readonly limits: Readonly<Record<LineClass, number>>;
-  private readonly used: Record<LineClass, number> = { routine: 0, failure: 0, change: 0 };
+  private readonly lineLimits: Readonly<Record<LineClass, number>>;
+  private readonly usedLines: Record<LineClass, number> = { routine: 0, failure: 0, change: 0 };
   private windowStart = 0;
-  private toldDropped = 0;
-  private waiting: string[] = [];
-  private waitingBytes = 0;
-  private writing = false;
-  private flushScheduled = false;
+  private reportedDropped = 0;
+  private pendingLines: string[] = [];
+  private pendingBytes = 0;
+  private isWriting = false;
+  private isFlushScheduled = false;
 
   constructor(private readonly options: BoundedLogOptions) {
     this.sink = options.sink ?? standardOutput;
-    this.limits = options.linesPerSecond ?? DEFAULT_LINES_PER_SECOND;
+    this.lineLimits = options.linesPerSecond ?? DEFAULT_LINES_PER_SECOND;
     this.logger = pino(
       {
         base: { ...options.fields },
@@ -89,55 +89,55 @@
 
   /** Writes what waits, without the usual delay. */
   flush(): void {
-    this.flushScheduled = false;
-    if (this.writing || this.waiting.length === 0) return;
-    const bytes = Buffer.from(this.waiting.join(''));
-    this.waiting = [];
-    this.waitingBytes = 0;
-    this.writing = true;
+    this.isFlushScheduled = false;
+    if (this.isWriting || this.pendingLines.length === 0) return;
+    const bytes = Buffer.from(this.pendingLines.join(''));
+    this.pendingLines = [];
+    this.pendingBytes = 0;
+    this.isWriting = true;
     this.sink(bytes, () => {
-      this.writing = false;
-      if (this.waiting.length > 0) this.scheduleFlush();
+      this.isWriting = false;
+      if (this.pendingLines.length > 0) this.scheduleFlush();
     });
   }
 
   private allows(lineClass: LineClass): boolean {
     const now = this.options.clock.monotonic();
-    if (now - this.windowStart >= BUDGET_WINDOW_MS) this.beginWindow(now);
-    if (this.used[lineClass] >= this.limits[lineClass]) {
+    if (now - this.windowStart >= BUDGET_WINDOW_MS) this.startWindow(now);
+    if (this.usedLines[lineClass] >= this.lineLimits[lineClass]) {
       this.dropped[lineClass] += 1;
       return false;
     }
-    this.used[lineClass] += 1;
+    this.usedLines[lineClass] += 1;
     return true;
   }
 
-  private beginWindow(now: number): void {
+  private startWindow(now: number): void {
     this.windowStart = now;
-    this.used.routine = 0;
-    this.used.failure = 0;
-    this.used.change = 0;
+    this.usedLines.routine = 0;
+    this.usedLines.failure = 0;
+    this.usedLines.change = 0;
     const { routine, failure, change, not_taken } = this.dropped;
     const total = routine + failure + change + not_taken;
-    if (total > this.toldDropped) {
-      this.toldDropped = total;
+    if (total > this.reportedDropped) {
+      this.reportedDropped = total;
       this.logger.warn({ routine, failure, change, notTaken: not_taken }, 'log_lines_dropped');
     }
   }
 
   private enqueue(line: string): void {
-    if (this.waitingBytes + line.length > MAXIMUM_WAITING_BYTES) {
+    if (this.pendingBytes + line.length > MAX_PENDING_LOG_BYTES) {
       this.dropped.not_taken += 1;
       return;
     }
-    this.waiting.push(line);
-    this.waitingBytes += line.length;
+    this.pendingLines.push(line);
+    this.pendingBytes += line.length;
     this.scheduleFlush();
   }
 
   private scheduleFlush(): void {
-    if (this.flushScheduled) return;
-    this.flushScheduled = true;
+    if (this.isFlushScheduled) return;
+    this.isFlushScheduled = true;
     this.options.clock.schedule(FLUSH_INTERVAL_MS, () => {
       this.flush();
     });
--- a/packages/observability/src/call-failures.ts
+++ b/packages/observability/src/call-failures.ts
@@ -7,12 +7,12 @@
 import type { EventLog } from './event-log.js';
 
 /** Pause between two lines of one kind of call, in milliseconds: a lost peer fails several calls a second. */
-const LINE_PAUSE_MS = 1000;
+const LOG_INTERVAL_MS = 1000;
 
 interface FailureCount {
   total: number;
-  untold: number;
-  toldAt: number;
+  unreported: number;
+  lastReportedAt: number;
 }
 
 /** Failed calls of one daemon, by kind. */
@@ -38,15 +38,15 @@
   note(call: string, peer: string, error: unknown): void {
     let count = this.counts.get(call);
     if (count === undefined) {
-      count = { total: 0, untold: 0, toldAt: -Infinity };
+      count = { total: 0, unreported: 0, lastReportedAt: -Infinity };
       this.counts.set(call, count);
     }
     count.total += 1;
-    count.untold += 1;
+    count.unreported += 1;
     const now = this.clock.monotonic();
-    if (now - count.toldAt < LINE_PAUSE_MS) return;
-    this.log.warned('call_failed', { call, peer, cause: messageOf(error), failures: count.untold });
-    count.toldAt = now;
-    count.untold = 0;
+    if (now - count.lastReportedAt < LOG_INTERVAL_MS) return;
+    this.log.warned('call_failed', { call, peer, cause: messageOf(error), failures: count.unreported });
+    count.lastReportedAt = now;
+    count.unreported = 0;
   }
 }
--- a/packages/observability/src/metric-registry.ts
+++ b/packages/observability/src/metric-registry.ts
@@ -12,7 +12,7 @@
 ];
 
 /** Series of one family are bounded, so that labels from outside cannot fill the memory. */
-const MAXIMUM_SERIES = 200;
+const MAX_SERIES_PER_FAMILY = 200;
 
 interface Family {
   readonly name: string;
@@ -29,15 +29,15 @@
 
   /** Adds to one series. */
   add(labels: MetricLabels, amount = 1): void {
-    const key = labelText(labels);
-    const known = this.values.get(key);
-    if (known === undefined && this.values.size >= MAXIMUM_SERIES) return;
-    this.values.set(key, (known ?? 0) + amount);
+    const key = formatLabels(labels);
+    const current = this.values.get(key);
+    if (current === undefined && this.values.size >= MAX_SERIES_PER_FAMILY) return;
+    this.values.set(key, (current ?? 0) + amount);
   }
 
   /** Lines of the text format. */
   lines(): string[] {
-    return [...this.values].map(([labels, value]) => `${this.name}${braced(labels)} ${String(value)}`);
+    return [...this.values].map(([labels, value]) => `${this.name}${withBraces(labels)} ${String(value)}`);
   }
 }
 
@@ -58,10 +58,10 @@
 
   /** Records one value. */
   observe(labels: MetricLabels, value: number): void {
-    const key = labelText(labels);
+    const key = formatLabels(labels);
     let series = this.series.get(key);
     if (series === undefined) {
-      if (this.series.size >= MAXIMUM_SERIES) return;
+      if (this.series.size >= MAX_SERIES_PER_FAMILY) return;
       series = { counts: this.bounds.map(() => 0), sum: 0, total: 0 };
       this.series.set(key, series);
     }
@@ -78,16 +78,16 @@
 
   private seriesLines(labels: string, series: Series): string[] {
     const prefix = labels === '' ? '' : `${labels},`;
-    let below = 0;
+    let cumulativeCount = 0;
     const buckets = this.bounds.map((bound, index) => {
-      below += series.counts[index] ?? 0;
-      return `${this.name}_bucket{${prefix}le="${String(bound)}"} ${String(below)}`;
+      cumulativeCount += series.counts[index] ?? 0;
+      return `${this.name}_bucket{${prefix}le="${String(bound)}"} ${String(cumulativeCount)}`;
     });
     return [
       ...buckets,
       `${this.name}_bucket{${prefix}le="+Inf"} ${String(series.total)}`,
-      `${this.name}_sum${braced(labels)} ${String(series.sum)}`,
-      `${this.name}_count${braced(labels)} ${String(series.total)}`,
+      `${this.name}_sum${withBraces(labels)} ${String(series.sum)}`,
+      `${this.name}_count${withBraces(labels)} ${String(series.total)}`,
     ];
   }
 }
@@ -117,7 +117,7 @@
     const lines = (): string[] => {
       const value = read();
       if (typeof value === 'number') return [`${name} ${String(value)}`];
-      return [...value].map(([key, each]) => `${name}{${labelText({ [label]: key })}} ${String(each)}`);
+      return [...value].map(([key, each]) => `${name}{${formatLabels({ [label]: key })}} ${String(each)}`);
     };
     this.families.push({ name, help, type: 'gauge', lines });
   }
@@ -135,12 +135,12 @@
   }
 }
 
-function labelText(labels: MetricLabels): string {
+function formatLabels(labels: MetricLabels): string {
   return Object.entries(labels)
     .map(([name, value]) => `${name}="${value.replace(/[\\"\n]/g, '_')}"`)
     .join(',');
 }
 
-function braced(labels: string): string {
+function withBraces(labels: string): string {
   return labels === '' ? '' : `{${labels}}`;
 }
--- a/packages/observability/src/metrics.ts
+++ b/packages/observability/src/metrics.ts
@@ -11,12 +11,12 @@
 /** The metrics of one daemon. */
 export class Metrics {
   private readonly registry = new Registry();
-  private readonly waits: Histogram;
+  private readonly waitHistogram: Histogram;
   private readonly sources = new Map<string, NumberSource>();
   private readonly gauges = new Map<string, Gauge>();
 
   constructor() {
-    this.waits = new Histogram({
+    this.waitHistogram = new Histogram({
       name: 'woodbarrow_request_wait_seconds',
       help: 'Time from the arrival of a request to the beginning of its answer, by result',
       labelNames: ['result'],
@@ -32,7 +32,7 @@
 
   /** Records an answered request: `served` or an error kind. */
   recordAnswer(result: string, waitedMs: number): void {
-    this.waits.observe({ result }, waitedMs / 1000);
+    this.waitHistogram.observe({ result }, waitedMs / 1000);
   }
 
   /** Registers numbers of a subsystem; they appear as `woodbarrow_<subsystem>_<name>`. */
--- a/packages/observability/test/observability.test.ts
+++ b/packages/observability/test/observability.test.ts
@@ -1,7 +1,7 @@
 import { readFileSync } from 'node:fs';
 import { expect } from 'chai';
 import { SimulatedProcess, SimulatedWorld } from '@woodbarrow/runtime';
-import { BoundedLog, MAXIMUM_WAITING_BYTES, MetricRegistry, renderLogEvents } from '../src/index.js';
+import { BoundedLog, MAX_PENDING_LOG_BYTES, MetricRegistry, renderLogEvents } from '../src/index.js';
 
 function clockOf(world: SimulatedWorld): SimulatedProcess {
   return new SimulatedProcess(world, { name: 'd', zone: 'a', region: 'r' });
@@ -48,7 +48,7 @@
       log.changed('daemon_started', details);
       if (count % 100 === 0) await world.run(world.now + 200);
     }
-    expect(taken).to.be.at.most(MAXIMUM_WAITING_BYTES);
+    expect(taken).to.be.at.most(MAX_PENDING_LOG_BYTES);
     expect(log.dropped.not_taken).to.be.greaterThan(4000);
   });
 });
--- a/packages/runtime/src/collected-response-stream.ts
+++ b/packages/runtime/src/buffered-response-stream.ts
@@ -5,27 +5,27 @@
 import type { ResponseStream } from './streaming-http.js';
 
 /** Bytes kept for one answer at most: a stream of 1,000 events of 1 KB. Clients of HTTP/1.0 are few, and a daemon has 96 MB of heap. */
-export const MOST_COLLECTED_BYTES = 1024 * 1024;
+export const MAX_BUFFERED_RESPONSE_BYTES = 1024 * 1024;
 
 /** One answer that is not sent before it is whole. */
-export class CollectedResponseStream implements ResponseStream {
+export class BufferedResponseStream implements ResponseStream {
   private chunks: Uint8Array[] = [];
-  private size = 0;
+  private bufferedBytes = 0;
   private hasEnded = false;
 
   /**
    * @param respond Sends the whole answer.
-   * @param cut Ends the connection without an answer.
+   * @param resetConnection Ends the connection without an answer.
    */
   constructor(
     private readonly respond: (body: Uint8Array) => void,
-    private readonly cut: () => void,
+    private readonly resetConnection: () => void,
   ) {}
 
   write(chunk: Uint8Array): Promise<void> | undefined {
     if (this.hasEnded) return undefined;
-    this.size += chunk.byteLength;
-    if (this.size > MOST_COLLECTED_BYTES) this.abort();
+    this.bufferedBytes += chunk.byteLength;
+    if (this.bufferedBytes > MAX_BUFFERED_RESPONSE_BYTES) this.abort();
     else this.chunks.push(Uint8Array.from(chunk));
     return undefined;
   }
@@ -40,6 +40,6 @@
     if (this.hasEnded) return;
     this.hasEnded = true;
     this.chunks = [];
-    this.cut();
+    this.resetConnection();
   }
 }
--- a/packages/runtime/src/express-server.ts
+++ b/packages/runtime/src/express-server.ts
@@ -55,7 +55,7 @@
     response.once('close', () => {
       active -= 1;
     });
-    void answer(request, response, options);
+    void handleRequest(request, response, options);
   });
   const limits = {
     headersTimeout: options.headersTimeoutMs ?? DEFAULT_HEADERS_TIMEOUT_MS,
@@ -92,14 +92,14 @@
   };
 }
 
-async function answer(
+async function handleRequest(
   request: IncomingMessage,
   response: ServerResponse,
   options: ServeHttpOptions,
 ): Promise<void> {
-  const gone = new AbortController();
+  const disconnected = new AbortController();
   response.once('close', () => {
-    if (!response.writableFinished) gone.abort();
+    if (!response.writableFinished) disconnected.abort();
   });
   try {
     const body = await readRequestBody(request, options.maximumBodyBytes ?? DEFAULT_MAXIMUM_BODY_BYTES);
@@ -108,7 +108,7 @@
       path: request.url ?? '/',
       headers: requestHeaders(request),
       body,
-      signal: gone.signal,
+      signal: disconnected.signal,
     });
     await sendResponse(response, result);
   } catch (error) {
@@ -132,12 +132,12 @@
   response.flushHeaders();
   for await (const chunk of body) {
     if (response.destroyed) return;
-    if (!response.write(chunk)) await drained(response);
+    if (!response.write(chunk)) await waitForDrain(response);
   }
   response.end();
 }
 
-function drained(response: ServerResponse): Promise<void> {
+function waitForDrain(response: ServerResponse): Promise<void> {
   return new Promise((resolve) => {
     const finish = (): void => {
       response.off('drain', finish);
--- a/packages/runtime/src/index.ts
+++ b/packages/runtime/src/index.ts
@@ -7,7 +7,7 @@
 export * from './http.js';
 export * from './least-by.js';
 export * from './node-backend-client.js';
-export * from './collected-response-stream.js';
+export * from './buffered-response-stream.js';
 export * from './node-ingress.js';
 export * from './random.js';
 export * from './retry.js';
--- a/packages/runtime/src/message-body.ts
+++ b/packages/runtime/src/message-body.ts
@@ -11,21 +11,21 @@
   private wake: (() => void) | undefined;
 
   constructor(private readonly message: IncomingMessage) {
-    const notice = (): void => {
+    const notifyReader = (): void => {
       this.wake?.();
     };
-    message.on('readable', notice);
+    message.on('readable', notifyReader);
     message.once('end', () => {
       this.hasEnded = true;
-      notice();
+      notifyReader();
     });
     message.once('error', (error) => {
       this.failure ??= error;
-      notice();
+      notifyReader();
     });
     message.once('close', () => {
       if (!this.hasEnded) this.failure ??= new Error('the message broke off');
-      notice();
+      notifyReader();
     });
   }
 
--- a/packages/runtime/src/node-backend-client.ts
+++ b/packages/runtime/src/node-backend-client.ts
@@ -9,12 +9,12 @@
 /** Kept connections at most for each address. */
 export const IDLE_CONNECTIONS_KEPT = 4;
 
-const NOTHING = Buffer.alloc(0);
+const EMPTY_BUFFER = Buffer.alloc(0);
 /** Answers with these statuses never have a body (RFC 9110). */
 const BODYLESS_STATUSES: ReadonlySet<number> = new Set([204, 304]);
 
 /** Keeps connections; one on which bytes arrive that nobody asked for is never used again. */
-class GuardedAgent extends Agent {
+class KeepAliveAgent extends Agent {
   constructor(private readonly onOpened: () => void) {
     super({ keepAlive: true, maxFreeSockets: IDLE_CONNECTIONS_KEPT, scheduling: 'lifo' });
   }
@@ -28,9 +28,9 @@
 
   // The declared result of the method differs between versions of the types.
   override keepSocketAlive(socket: Socket): void {
-    const keep = super.keepSocketAlive(socket) as unknown as boolean;
-    if (keep) socket.on('data', destroyOnData);
-    return keep as unknown as undefined;
+    const isKeptAlive = super.keepSocketAlive(socket) as unknown as boolean;
+    if (isKeptAlive) socket.on('data', destroyOnData);
+    return isKeptAlive as unknown as undefined;
   }
 
   override reuseSocket(socket: Socket, request: ClientRequest): void {
@@ -44,10 +44,10 @@
 }
 
 /** Reads a body to its true end: one without a length ends with its connection, and is not complete where that was reset. */
-class AnswerBody implements AsyncIterable<Uint8Array>, AsyncIterator<Uint8Array> {
+class ResponseBody implements AsyncIterable<Uint8Array>, AsyncIterator<Uint8Array> {
   constructor(
     private readonly body: MessageBody,
-    private readonly checkEnd: () => Promise<void>,
+    private readonly assertComplete: () => Promise<void>,
   ) {}
 
   [Symbol.asyncIterator](): this {
@@ -56,7 +56,7 @@
 
   async next(): Promise<IteratorResult<Uint8Array>> {
     const step = await this.body.next();
-    if (step.done === true) await this.checkEnd();
+    if (step.done === true) await this.assertComplete();
     return step;
   }
 
@@ -65,14 +65,14 @@
   }
 }
 
-class NodeBackendAnswer implements BackendAnswer {
+class NodeBackendResponse implements BackendAnswer {
   readonly status: number;
   readonly headers: Readonly<Record<string, string | undefined>>;
   readonly rawHeaders: readonly string[];
   readonly endsWithConnection: boolean;
   readonly body: AsyncIterable<Uint8Array>;
   private failed = false;
-  private endChecked: Promise<void> | undefined;
+  private resetCheck: Promise<void> | undefined;
 
   constructor(
     private readonly request: ClientRequest,
@@ -81,12 +81,12 @@
     this.status = message.statusCode ?? 0;
     this.headers = message.headers as Readonly<Record<string, string | undefined>>;
     this.rawHeaders = message.rawHeaders;
-    this.body = new AnswerBody(new MessageBody(message), () => this.checkEnd());
+    this.body = new ResponseBody(new MessageBody(message), () => this.assertComplete());
     request.once('error', () => {
       this.failed = true;
     });
     this.endsWithConnection = request.method !== 'HEAD' && endsWithConnection(message);
-    if (this.endsWithConnection) this.watchEnd(message.socket);
+    if (this.endsWithConnection) this.detectReset(message.socket);
     // An answer that came before the request was read leaves its connection in doubt.
     message.once('end', () => {
       if (!request.writableFinished) request.destroy();
@@ -97,8 +97,8 @@
     this.request.destroy();
   }
 
-  private async checkEnd(): Promise<void> {
-    await this.endChecked;
+  private async assertComplete(): Promise<void> {
+    await this.resetCheck;
     if (this.failed) throw new Error('the connection failed before the end of the answer');
   }
 
@@ -106,10 +106,10 @@
    * A reset that arrives together with data is reported as a plain end of the connection. A write of nothing
    * then fails, while after a plain end it does not.
    */
-  private watchEnd(socket: Socket): void {
+  private detectReset(socket: Socket): void {
     socket.prependOnceListener('end', () => {
-      this.endChecked = new Promise((resolve) => {
-        socket.write(NOTHING, (error) => {
+      this.resetCheck = new Promise((resolve) => {
+        socket.write(EMPTY_BUFFER, (error) => {
           if (error !== undefined && error !== null) this.failed = true;
           resolve();
         });
@@ -132,11 +132,11 @@
 
 /** Sends requests over TCP. */
 export class NodeBackendClient implements BackendClient {
-  private readonly agents = new Map<string, GuardedAgent>();
-  private opened = 0;
+  private readonly agents = new Map<string, KeepAliveAgent>();
+  private openedCount = 0;
 
   get connectionsOpened(): number {
-    return this.opened;
+    return this.openedCount;
   }
 
   send(call: BackendCall): Promise<BackendAnswer> {
@@ -179,7 +179,7 @@
         });
       });
       request.once('response', (message: IncomingMessage) => {
-        resolve(new NodeBackendAnswer(request, message));
+        resolve(new NodeBackendResponse(request, message));
       });
       request.on('error', (error) => {
         if (sent) reject(error);
@@ -198,11 +198,11 @@
     }
   }
 
-  private agentOf(address: string): GuardedAgent {
+  private agentOf(address: string): KeepAliveAgent {
     let agent = this.agents.get(address);
     if (agent === undefined) {
-      agent = new GuardedAgent(() => {
-        this.opened += 1;
+      agent = new KeepAliveAgent(() => {
+        this.openedCount += 1;
       });
       this.agents.set(address, agent);
     }
--- a/packages/runtime/src/node-ingress.ts
+++ b/packages/runtime/src/node-ingress.ts
@@ -10,7 +10,7 @@
   type ResponseHead,
   type ResponseStream,
 } from './streaming-http.js';
-import { CollectedResponseStream } from './collected-response-stream.js';
+import { BufferedResponseStream } from './buffered-response-stream.js';
 import { parseAddress, type Address } from './transport.js';
 
 /** Answers one request; must answer or abort the exchange in the end. */
@@ -19,11 +19,11 @@
 /** Pause between two checks of connections for exceeded time limits, in milliseconds. */
 const LIMIT_CHECK_INTERVAL_MS = 500;
 /** Largest head that the server can be told to take, in bytes; the limit in force is checked beside it. */
-const LARGEST_HEAD_BYTES = 256 * 1024;
+const MAX_HEAD_BYTES = 256 * 1024;
 /** Bytes of a head around each name and value, and around the request line. */
-const HEADER_LINE_BYTES = 4;
-const REQUEST_LINE_BYTES = 14;
-const HEAD_TOO_LARGE = 431;
+const HEADER_LINE_OVERHEAD_BYTES = 4;
+const REQUEST_LINE_OVERHEAD_BYTES = 14;
+const STATUS_HEADERS_TOO_LARGE = 431;
 /** A client that does not take its answer for this long is cut off, in milliseconds. */
 const WRITE_STALL_TIMEOUT_MS = 15_000;
 
@@ -106,15 +106,15 @@
   respond(head: ResponseHead, body: Uint8Array): void {
     if (this.response.headersSent || this.response.destroyed) return;
     // A request that was not read to its end cannot be followed by another one on its connection.
-    const unread = !this.request.complete;
+    const isRequestUnread = !this.request.complete;
     const headers = [...head.headers, 'Content-Length', String(body.byteLength)];
-    this.writeHead(head.status, headers, unread);
-    if (unread) this.response.once('finish', () => this.request.destroy());
+    this.writeHead(head.status, headers, isRequestUnread);
+    if (isRequestUnread) this.response.once('finish', () => this.request.destroy());
     this.response.end(body);
   }
 
   beginStream(head: ResponseHead): ResponseStream {
-    if (!this.takesChunks && !hasLength(head)) return this.collect(head);
+    if (!this.supportsChunkedEncoding && !hasLength(head)) return this.beginBufferedStream(head);
     this.writeHead(head.status, [...head.headers], false);
     this.response.flushHeaders();
     return new NodeResponseStream(this.response);
@@ -126,12 +126,12 @@
   }
 
   /** A client of HTTP/1.0 takes no chunks: without a length, its answer ends as whole with the connection, whatever ended that. */
-  private get takesChunks(): boolean {
+  private get supportsChunkedEncoding(): boolean {
     return this.request.httpVersionMajor > 1 || this.request.httpVersionMinor > 0;
   }
 
-  private collect(head: ResponseHead): ResponseStream {
-    return new CollectedResponseStream(
+  private beginBufferedStream(head: ResponseHead): ResponseStream {
+    return new BufferedResponseStream(
       (body) => {
         this.respond(head, body);
       },
@@ -142,8 +142,8 @@
     );
   }
 
-  private writeHead(status: number, headers: string[], closing: boolean): void {
-    if (closing || this.isDraining()) headers.push('Connection', 'close');
+  private writeHead(status: number, headers: string[], closeConnection: boolean): void {
+    if (closeConnection || this.isDraining()) headers.push('Connection', 'close');
     this.response.writeHead(status, headers);
   }
 }
@@ -151,15 +151,15 @@
 /** Accepts requests over TCP. */
 export class NodeIngress implements Ingress {
   private readonly server: Server;
-  private readonly busy = new Map<Socket, number>();
+  private readonly activeRequestsBySocket = new Map<Socket, number>();
   private readonly sockets = new Set<Socket>();
-  private draining = false;
-  private unanswered = 0;
+  private isDraining = false;
+  private activeRequests = 0;
   private maximumHeaderBytes: number;
 
   private constructor(limits: IngressLimits, handler: ExchangeHandler) {
     this.server = createServer({
-      maxHeaderSize: LARGEST_HEAD_BYTES,
+      maxHeaderSize: MAX_HEAD_BYTES,
       connectionsCheckingInterval: LIMIT_CHECK_INTERVAL_MS,
       requireHostHeader: true,
       noDelay: true,
@@ -170,11 +170,11 @@
       this.sockets.add(socket);
       socket.on('close', () => {
         this.sockets.delete(socket);
-        this.busy.delete(socket);
+        this.activeRequestsBySocket.delete(socket);
       });
     });
     this.server.on('request', (request: IncomingMessage, response: ServerResponse) => {
-      this.accept(request, response, handler);
+      this.handleRequest(request, response, handler);
     });
   }
 
@@ -200,7 +200,7 @@
   }
 
   get inProgress(): number {
-    return this.unanswered;
+    return this.activeRequests;
   }
 
   setLimits(limits: IngressLimits): void {
@@ -211,14 +211,14 @@
   }
 
   startDraining(): void {
-    this.draining = true;
+    this.isDraining = true;
   }
 
   closeIdle(): void {
-    this.draining = true;
+    this.isDraining = true;
     this.server.close(() => undefined);
     for (const socket of this.sockets) {
-      if (!this.busy.has(socket)) socket.end();
+      if (!this.activeRequestsBySocket.has(socket)) socket.end();
     }
   }
 
@@ -231,26 +231,26 @@
     });
   }
 
-  private accept(request: IncomingMessage, response: ServerResponse, handler: ExchangeHandler): void {
+  private handleRequest(request: IncomingMessage, response: ServerResponse, handler: ExchangeHandler): void {
     const { socket } = request;
-    this.unanswered += 1;
-    this.busy.set(socket, (this.busy.get(socket) ?? 0) + 1);
+    this.activeRequests += 1;
+    this.activeRequestsBySocket.set(socket, (this.activeRequestsBySocket.get(socket) ?? 0) + 1);
     response.once('close', () => {
-      this.unanswered -= 1;
-      this.release(socket);
+      this.activeRequests -= 1;
+      this.releaseSocket(socket);
     });
-    if (headBytes(request) > this.maximumHeaderBytes) {
-      response.writeHead(HEAD_TOO_LARGE, { Connection: 'close' }).end();
+    if (headSizeBytes(request) > this.maximumHeaderBytes) {
+      response.writeHead(STATUS_HEADERS_TOO_LARGE, { Connection: 'close' }).end();
       return;
     }
-    const exchange = new NodeExchange(request, response, () => this.draining);
+    const exchange = new NodeExchange(request, response, () => this.isDraining);
     void handler(exchange);
   }
 
-  private release(socket: Socket): void {
-    const left = (this.busy.get(socket) ?? 1) - 1;
-    if (left > 0) this.busy.set(socket, left);
-    else this.busy.delete(socket);
+  private releaseSocket(socket: Socket): void {
+    const remaining = (this.activeRequestsBySocket.get(socket) ?? 1) - 1;
+    if (remaining > 0) this.activeRequestsBySocket.set(socket, remaining);
+    else this.activeRequestsBySocket.delete(socket);
   }
 }
 
@@ -259,8 +259,12 @@
 }
 
 /** Size of a request's head as it came. */
-function headBytes(request: IncomingMessage): number {
-  const line = (request.method?.length ?? 0) + (request.url?.length ?? 0) + REQUEST_LINE_BYTES;
-  const lines = request.rawHeaders.length / 2;
-  return request.rawHeaders.reduce((sum, text) => sum + text.length, line + lines * HEADER_LINE_BYTES);
+function headSizeBytes(request: IncomingMessage): number {
+  const requestLineBytes =
+    (request.method?.length ?? 0) + (request.url?.length ?? 0) + REQUEST_LINE_OVERHEAD_BYTES;
+  const headerCount = request.rawHeaders.length / 2;
+  return request.rawHeaders.reduce(
+    (sum, text) => sum + text.length,
+    requestLineBytes + headerCount * HEADER_LINE_OVERHEAD_BYTES,
+  );
 }
--- a/packages/runtime/src/random.ts
+++ b/packages/runtime/src/random.ts
@@ -44,9 +44,9 @@
     const result = [...items];
     for (let index = result.length - 1; index > 0; index -= 1) {
       const other = this.integer(index + 1);
-      const held = result[index] as T;
+      const swapped = result[index] as T;
       result[index] = result[other] as T;
-      result[other] = held;
+      result[other] = swapped;
     }
     return result;
   }
--- a/packages/runtime/src/retry.ts
+++ b/packages/runtime/src/retry.ts
@@ -54,8 +54,8 @@
 
   private refill(): void {
     const now = this.clock.monotonic();
-    const earned = ((now - this.lastRefill) / 1000) * this.options.minimumPerSecond;
-    this.tokens = Math.min(this.options.maximumSaved, this.tokens + earned);
+    const refilledTokens = ((now - this.lastRefill) / 1000) * this.options.minimumPerSecond;
+    this.tokens = Math.min(this.options.maximumSaved, this.tokens + refilledTokens);
     this.lastRefill = now;
   }
 }
--- a/packages/runtime/src/simulated-clock.ts
+++ b/packages/runtime/src/simulated-clock.ts
@@ -12,8 +12,8 @@
 const FNV_OFFSET = 0x811c9dc5;
 const FNV_PRIME = 0x01000193;
 /** Rounding of virtual time in the clock of a process, in milliseconds. */
-const TIMER_SLACK_MS = 0.001;
-const WALL_START_MS = 1_800_000_000_000;
+const TIMER_ROUNDING_MS = 0.001;
+const WALL_CLOCK_START_MS = 1_800_000_000_000;
 const MICROSECONDS_PER_MS = 1000;
 
 /** Lets every pending microtask run. */
@@ -177,8 +177,8 @@
   }
 
   monotonic(): number {
-    const suspendedSoFar = this.suspendedMs - Math.max(0, this.suspendedUntil - this.world.now);
-    return (this.world.now - this.startedAt - suspendedSoFar) * this.clockRate;
+    const elapsedSuspensionMs = this.suspendedMs - Math.max(0, this.suspendedUntil - this.world.now);
+    return (this.world.now - this.startedAt - elapsedSuspensionMs) * this.clockRate;
   }
 
   elapsed(): number {
@@ -186,7 +186,7 @@
   }
 
   wall(): number {
-    return WALL_START_MS + this.world.now + this.wallOffsetMs;
+    return WALL_CLOCK_START_MS + this.world.now + this.wallOffsetMs;
   }
 
   schedule(delayMs: number, callback: () => void): CancelTimer {
@@ -196,7 +196,7 @@
       if (cancelled) return;
       const leftMs = (dueAt - this.monotonic()) / this.clockRate;
       // A timer goes by the steady clock, which stood still while the machine was suspended.
-      if (leftMs > TIMER_SLACK_MS) this.world.schedule(leftMs, due);
+      if (leftMs > TIMER_ROUNDING_MS) this.world.schedule(leftMs, due);
       else callback();
     };
     const due = (): void => {
--- a/packages/runtime/src/simulated-http.ts
+++ b/packages/runtime/src/simulated-http.ts
@@ -83,7 +83,7 @@
 /** One request and its response. */
 class SimulatedExchange {
   private readonly chunks = new AsyncQueue<Uint8Array>();
-  private readonly serverGone = new AbortController();
+  private readonly clientDisconnected = new AbortController();
   private readonly toServer: SimulatedPipe<ClientItem>;
   private readonly toClient: SimulatedPipe<ServerItem>;
   private headReceived = false;
@@ -101,10 +101,10 @@
     this.toServer = new SimulatedPipe<ClientItem>(network, from, server.process, {
       onItem: (item) => {
         if (item.type === 'request') void this.serve();
-        else this.serverGone.abort();
+        else this.clientDisconnected.abort();
       },
       onEnd: () => {
-        this.serverGone.abort();
+        this.clientDisconnected.abort();
       },
     });
     this.toClient = new SimulatedPipe<ServerItem>(network, server.process, from, {
@@ -139,7 +139,7 @@
     });
     const stopWatchingClient = this.from.onKill(() => {
       this.server.process.schedule(1, () => {
-        this.serverGone.abort();
+        this.clientDisconnected.abort();
       });
     });
     this.cleanup = () => {
@@ -159,12 +159,12 @@
         path: this.call.path,
         headers: this.call.headers ?? {},
         body: this.call.body ?? EMPTY_BODY,
-        signal: this.serverGone.signal,
+        signal: this.clientDisconnected.signal,
       });
       this.toClient.send({ type: 'head', response });
       if (response.body instanceof Uint8Array) return;
       for await (const chunk of response.body) {
-        if (this.serverGone.signal.aborted) return;
+        if (this.clientDisconnected.signal.aborted) return;
         this.toClient.send({ type: 'chunk', chunk });
       }
       this.toClient.send({ type: 'end' });
--- a/packages/runtime/src/simulated-network.ts
+++ b/packages/runtime/src/simulated-network.ts
@@ -18,10 +18,10 @@
 }
 
 const DEFAULT_JITTER = 0.2;
-const RETRANSMIT_MS = 200;
-const CUT_RETRY_MS = 100;
+const RETRANSMIT_DELAY_MS = 200;
+const BLOCKED_PATH_RETRY_MS = 100;
 /** A connection with undelivered data breaks after this long. */
-const RESET_AFTER_MS = 15_000;
+const BLOCKED_PIPE_RESET_MS = 15_000;
 
 /** Latencies, loss and cuts. */
 export class SimulatedNetwork {
@@ -54,7 +54,7 @@
     const jitter = this.options.jitter ?? DEFAULT_JITTER;
     const base = this.options.latency(from, to) * (1 + jitter * this.random.next());
     const lost = this.random.next() < (this.options.lossRate ?? 0);
-    return lost ? base + RETRANSMIT_MS : base;
+    return lost ? base + RETRANSMIT_DELAY_MS : base;
   }
 }
 
@@ -68,8 +68,8 @@
 /** One direction of a connection: items arrive in order, late while the path is cut, until it breaks. */
 export class SimulatedPipe<T> {
   private lastArrival = 0;
-  private readonly waiting: { readonly item: T | undefined; readonly readyAt: number }[] = [];
-  private pumping = false;
+  private readonly queue: { readonly item: T | undefined; readonly readyAt: number }[] = [];
+  private isDeliveryScheduled = false;
   private blockedSince: number | undefined;
   private ended = false;
 
@@ -103,27 +103,27 @@
     if (this.ended) return;
     const arrival = this.network.world.now + this.network.delay(this.from, this.to);
     this.lastArrival = Math.max(this.lastArrival, arrival);
-    this.waiting.push({ item, readyAt: this.lastArrival });
-    if (!this.pumping) this.pump();
+    this.queue.push({ item, readyAt: this.lastArrival });
+    if (!this.isDeliveryScheduled) this.scheduleDelivery();
   }
 
-  private pump(): void {
-    const head = this.waiting[0];
-    this.pumping = head !== undefined && !this.ended;
+  private scheduleDelivery(): void {
+    const head = this.queue[0];
+    this.isDeliveryScheduled = head !== undefined && !this.ended;
     if (head === undefined || this.ended) return;
     this.network.world.schedule(head.readyAt - this.network.world.now, () => {
-      this.arrive();
+      this.deliverNext();
     });
   }
 
-  private arrive(): void {
+  private deliverNext(): void {
     if (this.ended) return;
     if (this.network.isCut(this.from, this.to)) {
-      this.waitForPath();
+      this.retryBlockedPath();
       return;
     }
     this.blockedSince = undefined;
-    const head = this.waiting.shift();
+    const head = this.queue.shift();
     if (head === undefined) return;
     if (head.item === undefined) {
       this.ended = true;
@@ -136,18 +136,18 @@
     this.to.deliver(() => {
       this.receiver.onItem(item);
     });
-    this.pump();
+    this.scheduleDelivery();
   }
 
-  private waitForPath(): void {
+  private retryBlockedPath(): void {
     const now = this.network.world.now;
     this.blockedSince ??= now;
-    if (now - this.blockedSince >= RESET_AFTER_MS) {
+    if (now - this.blockedSince >= BLOCKED_PIPE_RESET_MS) {
       this.reset();
       return;
     }
-    this.network.world.schedule(CUT_RETRY_MS, () => {
-      this.arrive();
+    this.network.world.schedule(BLOCKED_PATH_RETRY_MS, () => {
+      this.deliverNext();
     });
   }
 }
--- a/packages/runtime/src/simulated-transport.ts
+++ b/packages/runtime/src/simulated-transport.ts
@@ -24,7 +24,7 @@
   }
 
   /** A port nobody else uses. */
-  takePort(): number {
+  allocatePort(): number {
     this.nextPort += 1;
     return this.nextPort;
   }
@@ -49,11 +49,11 @@
   }
 
   /** Whether this side has closed the connection, or was told that it is over. */
-  get isOver(): boolean {
+  get isClosed(): boolean {
     return this.closed;
   }
 
-  ended(): void {
+  markClosed(): void {
     this.closed = true;
     this.frames.close();
   }
@@ -66,7 +66,9 @@
   ) {}
 
   listen(address: Address, accept: (connection: Connection) => void): Promise<Listener> {
-    const bound = address.endsWith(':0') ? `${address.slice(0, -1)}${String(this.hub.takePort())}` : address;
+    const bound = address.endsWith(':0')
+      ? `${address.slice(0, -1)}${String(this.hub.allocatePort())}`
+      : address;
     const entry: ListenerEntry = { process: this.process, accept };
     this.hub.listeners.set(bound, entry);
     const remove = (): void => {
@@ -116,17 +118,27 @@
     const network = this.hub.network;
     const from = this.process;
     const to = entry.process;
-    const near = new SimulatedConnection(address);
-    const far = new SimulatedConnection(from.name);
-    near.outgoing = new SimulatedPipe(network, from, to, receiverOf(far, near));
-    far.outgoing = new SimulatedPipe(network, to, from, receiverOf(near, far));
-    breakWhenKilled(network, from, far);
-    breakWhenKilled(network, to, near);
+    const clientConnection = new SimulatedConnection(address);
+    const serverConnection = new SimulatedConnection(from.name);
+    clientConnection.outgoing = new SimulatedPipe(
+      network,
+      from,
+      to,
+      receiverOf(serverConnection, clientConnection),
+    );
+    serverConnection.outgoing = new SimulatedPipe(
+      network,
+      to,
+      from,
+      receiverOf(clientConnection, serverConnection),
+    );
+    closeOnKill(network, from, serverConnection);
+    closeOnKill(network, to, clientConnection);
     to.deliver(() => {
-      entry.accept(far);
+      entry.accept(serverConnection);
     });
     from.deliver(() => {
-      resolve(near);
+      resolve(clientConnection);
     });
   }
 }
@@ -138,25 +150,25 @@
 function receiverOf(receiver: SimulatedConnection, sender: SimulatedConnection): PipeReceiver<Uint8Array> {
   return {
     onItem: (frame) => {
-      if (receiver.isOver) sender.ended();
+      if (receiver.isClosed) sender.markClosed();
       else receiver.frames.push(frame);
     },
     onEnd: (broken) => {
-      if (broken) sender.ended();
-      else receiver.ended();
+      if (broken) sender.markClosed();
+      else receiver.markClosed();
     },
   };
 }
 
 /** When `process` dies, the other side notices after a moment. */
-function breakWhenKilled(
+function closeOnKill(
   network: SimulatedNetwork,
   process: SimulatedProcess,
   otherSide: SimulatedConnection,
 ): void {
   process.onKill(() => {
     network.world.schedule(1, () => {
-      otherSide.ended();
+      otherSide.markClosed();
     });
   });
 }
--- a/packages/runtime/src/suspension-meter.ts
+++ b/packages/runtime/src/suspension-meter.ts
@@ -12,27 +12,27 @@
  * Advance of the time of day over the steady clock between two readings that counts as a suspension, in milliseconds. Corrections of
  * the time of day stay far below it (0.5 ms a second); suspensions last for seconds, and what lapses keeps margins of 300 ms or more.
  */
-const LEAST_JUMP_MS = 100;
+const MIN_SUSPENSION_JUMP_MS = 100;
 
 /** Meter of one machine. Both readings in milliseconds. */
 export class SuspensionMeter {
-  private lastAheadMs: number;
+  private lastWallOffsetMs: number;
   private suspendedMs = 0;
 
   constructor(
-    private readonly steady: () => number,
+    private readonly monotonic: () => number,
     private readonly wall: () => number,
   ) {
-    this.lastAheadMs = wall() - steady();
+    this.lastWallOffsetMs = wall() - monotonic();
   }
 
   /** Milliseconds since the start of the steady clock, suspensions included; never goes back. */
   elapsed(): number {
-    const steady = this.steady();
-    const aheadMs = this.wall() - steady;
-    const jumpMs = aheadMs - this.lastAheadMs;
-    this.lastAheadMs = aheadMs;
-    if (jumpMs > LEAST_JUMP_MS) this.suspendedMs += jumpMs;
-    return steady + this.suspendedMs;
+    const monotonicMs = this.monotonic();
+    const wallOffsetMs = this.wall() - monotonicMs;
+    const jumpMs = wallOffsetMs - this.lastWallOffsetMs;
+    this.lastWallOffsetMs = wallOffsetMs;
+    if (jumpMs > MIN_SUSPENSION_JUMP_MS) this.suspendedMs += jumpMs;
+    return monotonicMs + this.suspendedMs;
   }
 }
--- a/packages/runtime/src/tls-refresh.ts
+++ b/packages/runtime/src/tls-refresh.ts
@@ -13,7 +13,7 @@
   readonly authority?: string;
 }
 
-const REFRESH_MS = 5000;
+const REFRESH_INTERVAL_MS = 5000;
 
 /** Reads keys from files on each call. */
 export function tlsFromFiles(files: TlsFiles): TlsSource {
@@ -32,7 +32,7 @@
     } catch {
       // The files are being replaced right now; the next round reads them.
     }
-  }, REFRESH_MS);
+  }, REFRESH_INTERVAL_MS);
   timer.unref();
   return () => {
     clearInterval(timer);
--- a/packages/runtime/test/backend-client.test.ts
+++ b/packages/runtime/test/node-backend-client.test.ts
@@ -31,7 +31,7 @@
   }
 }
 
-function call(client: NodeBackendClient, address: string): Promise<BackendAnswer> {
+function sendRequest(client: NodeBackendClient, address: string): Promise<BackendAnswer> {
   return client.send({
     address,
     method: 'GET',
@@ -66,7 +66,7 @@
 
   it('takes an answer without a length that ends with its connection for complete', async () => {
     backend = new RawBackend((socket) => socket.end('HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nwhole'));
-    const answer = await call(new NodeBackendClient(), await backend.listen());
+    const answer = await sendRequest(new NodeBackendClient(), await backend.listen());
     expect(await textOf(answer)).to.equal('whole');
   });
 
@@ -84,7 +84,7 @@
     const client = new NodeBackendClient();
     const told: boolean[] = [];
     for (const head of heads) {
-      const answer = await call(client, address);
+      const answer = await sendRequest(client, address);
       await textOf(answer);
       expect(head).to.contain(String(answer.status));
       told.push(answer.endsWithConnection);
@@ -100,14 +100,14 @@
     });
     const address = await backend.listen();
     const client = new NodeBackendClient();
-    const answered = call(client, address);
+    const answered = sendRequest(client, address);
     const broken = await failureOf(answered.then(textOf));
     expect(broken).to.be.instanceOf(Error);
   });
 
   it('sees that an answer with a length broke off', async () => {
     backend = new RawBackend((socket) => socket.end('HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\npart'));
-    const answer = await call(new NodeBackendClient(), await backend.listen());
+    const answer = await sendRequest(new NodeBackendClient(), await backend.listen());
     expect(await failureOf(textOf(answer))).to.be.instanceOf(Error);
   });
 
@@ -119,10 +119,10 @@
     const address = await backend.listen();
     const client = new NodeBackendClient();
     for (let index = 0; index < 2; index += 1)
-      expect(await textOf(await call(client, address))).to.equal('ok');
+      expect(await textOf(await sendRequest(client, address))).to.equal('ok');
     expect(client.connectionsOpened).to.equal(1);
     await new Promise((resolve) => setTimeout(resolve, 50));
-    expect(await textOf(await call(client, address))).to.equal('ok');
+    expect(await textOf(await sendRequest(client, address))).to.equal('ok');
     expect(client.connectionsOpened).to.equal(2);
   });
 
@@ -130,6 +130,6 @@
     backend = new RawBackend(() => undefined);
     const address = await backend.listen();
     backend.close();
-    expect(await failureOf(call(new NodeBackendClient(), address))).to.be.instanceOf(HttpNotSentError);
+    expect(await failureOf(sendRequest(new NodeBackendClient(), address))).to.be.instanceOf(HttpNotSentError);
   });
 });
--- a/packages/runtime/test/cut-answers.test.ts
+++ b/packages/runtime/test/node-ingress.test.ts
@@ -1,6 +1,6 @@
 import { connect, type Socket } from 'node:net';
 import { expect } from 'chai';
-import { MOST_COLLECTED_BYTES, NodeIngress } from '../src/index.js';
+import { MAX_BUFFERED_RESPONSE_BYTES, NodeIngress } from '../src/index.js';
 
 const LIMITS = {
   maximumHeaderBytes: 8192,
@@ -9,7 +9,10 @@
 };
 
 /** Sends a request line of the given version; resolves with what came, and how the connection ended. */
-function ask(port: number, version: string): Promise<{ readonly text: string; readonly end: string }> {
+function sendRequest(
+  port: number,
+  version: string,
+): Promise<{ readonly text: string; readonly end: string }> {
   return new Promise((resolve) => {
     let text = '';
     const socket: Socket = connect(port, '127.0.0.1');
@@ -42,11 +45,11 @@
       }, 50);
     });
     try {
-      const chunked = await ask(ingress.port, '1.1');
+      const chunked = await sendRequest(ingress.port, '1.1');
       expect(chunked.text).to.match(/half/);
       expect(chunked.text).to.not.match(/\r\n0\r\n/);
       // Nothing came that could be taken for an answer, and no plain close either.
-      expect(await ask(ingress.port, '1.0')).to.deep.equal({ text: '', end: 'reset' });
+      expect(await sendRequest(ingress.port, '1.0')).to.deep.equal({ text: '', end: 'reset' });
     } finally {
       await ingress.close();
     }
@@ -64,7 +67,7 @@
       await stream.write(Buffer.from('id: 0\ndata: half\n\n'));
       begun();
     });
-    const asked = ask(ingress.port, '1.0');
+    const asked = sendRequest(ingress.port, '1.0');
     await hasBegun;
     await new Promise((resolve) => setTimeout(resolve, 50));
     // What the kernel does with the connections of a process that is killed.
@@ -79,7 +82,7 @@
       stream.end();
     });
     try {
-      const { text } = await ask(ingress.port, '1.0');
+      const { text } = await sendRequest(ingress.port, '1.0');
       expect(text).to.match(/Content-Length: 14\r\n/);
       expect(isWhole(text)).to.equal(true);
     } finally {
@@ -90,11 +93,12 @@
   it('cuts off a client that takes no chunks where its answer is larger than is kept for it', async () => {
     const ingress = await NodeIngress.listen('127.0.0.1:0', LIMITS, async (exchange) => {
       const stream = exchange.beginStream({ status: 200, headers: [] });
-      for (let index = 0; index < 5; index += 1) await stream.write(Buffer.alloc(MOST_COLLECTED_BYTES / 4));
+      for (let index = 0; index < 5; index += 1)
+        await stream.write(Buffer.alloc(MAX_BUFFERED_RESPONSE_BYTES / 4));
       stream.end();
     });
     try {
-      expect(await ask(ingress.port, '1.0')).to.deep.equal({ text: '', end: 'reset' });
+      expect(await sendRequest(ingress.port, '1.0')).to.deep.equal({ text: '', end: 'reset' });
     } finally {
       await ingress.close();
     }
