--- a/packages/observability/src/bounded-log.ts
+++ b/packages/observability/src/bounded-log.ts
@@ -1,6 +1,6 @@
 /**
- * Structured log that is bounded and never blocks: lines of each class have a budget a second, and what standard
- * output does not take in time is dropped. Both are counted and told once a second.
+ * Structured, non-blocking log with rate limits: each class of lines has a limit per second, and lines that exceed the buffer
+ * for standard output are dropped. Dropped lines are counted and reported at most once per second.
  */
 import { write as writeToDescriptor } from 'node:fs';
 import { pino, type Logger } from 'pino';
@@ -8,26 +8,26 @@
 import type { EventDetails, EventLog } from './event-log.js';
 import type { LogEventName } from './log-events.js';
 
-/** Classes of lines, each with a budget of its own. */
+/** Classes of log lines, each with its own rate limit. */
 export type LineClass = 'routine' | 'failure' | 'change';
 
-/** Takes bytes; calls back when they are written or have failed. */
+/** Writes bytes and calls `done` when the write has succeeded or failed. */
 export type ByteSink = (bytes: Buffer, done: () => void) => void;
 
 /** Options of {@link BoundedLog}. */
 export interface BoundedLogOptions {
   readonly clock: Clock;
-  /** Fields of every line. */
+  /** Fields added to every line. */
   readonly fields: EventDetails;
-  /** Where lines go. @default standard output */
+  /** Destination of the lines. @default standard output */
   readonly sink?: ByteSink;
-  /** Lines a second for each class. */
+  /** Maximum number of lines per second for each class. */
   readonly linesPerSecond?: Readonly<Record<LineClass, number>>;
 }
 
-/** Bytes that may wait for standard output. */
+/** Maximum size of the buffer for standard output; further lines are dropped. */
 export const MAX_PENDING_LOG_BYTES = 256 * 1024;
-/** Lines are collected for this long before they are written, in milliseconds. */
+/** Delay for which lines are batched before a write, in milliseconds. */
 const FLUSH_INTERVAL_MS = 250;
 const BUDGET_WINDOW_MS = 1000;
 const DEFAULT_LINES_PER_SECOND: Readonly<Record<LineClass, number>> = {
@@ -37,9 +37,9 @@
 };
 const STANDARD_OUTPUT = 1;
 
-/** Log of one daemon. */
+/** Log that drops lines over its limits instead of blocking the daemon. */
 export class BoundedLog implements EventLog {
-  /** Lines left out since the start, over budget or not taken. */
+  /** Dropped lines since the start: by class when over the rate limit, and under `not_taken` when the buffer was full. */
   readonly dropped: Record<LineClass | 'not_taken', number> = {
     routine: 0,
     failure: 0,
@@ -82,12 +82,12 @@
     if (this.allows('failure')) this.logger.warn(details, event);
   }
 
-  /** A step that every request takes. */
+  /** Logs a step of request processing, which occurs for every request. */
   routine(event: LogEventName, details: EventDetails): void {
     if (this.allows('routine')) this.logger.info(details, event);
   }
 
-  /** Writes what waits, without the usual delay. */
+  /** Writes the buffered lines immediately, unless a write is in progress. */
   flush(): void {
     this.isFlushScheduled = false;
     if (this.isWriting || this.pendingLines.length === 0) return;
@@ -144,7 +144,7 @@
   }
 }
 
-/** Writes on a thread of the pool: a pipe that nobody reads holds up that thread, not the daemon. */
+/** Writes asynchronously: a blocked pipe then stalls a thread of the pool instead of the event loop. */
 function standardOutput(bytes: Buffer, done: () => void): void {
   writeToDescriptor(STANDARD_OUTPUT, bytes, 0, bytes.length, null, (error, written) => {
     if (error === null && written < bytes.length) standardOutput(bytes.subarray(written), done);
--- a/packages/observability/src/call-failures.ts
+++ b/packages/observability/src/call-failures.ts
@@ -1,12 +1,12 @@
 /**
- * Calls between daemons that failed and are made up for by the caller's next step: each is counted, and a line tells of the
- * first of each kind in a second, with how many there were since the line before.
+ * Failed calls between daemons that the caller recovers from by its next attempt. All are counted; log lines are limited to one
+ * per second and kind, with the number of failures since the previous line.
  */
 import { messageOf } from '@woodbarrow/errors';
 import type { Clock } from '@woodbarrow/runtime';
 import type { EventLog } from './event-log.js';
 
-/** Pause between two lines of one kind of call, in milliseconds: a lost peer fails several calls a second. */
+/** Minimum interval between log lines for the same kind of call, in milliseconds. */
 const LOG_INTERVAL_MS = 1000;
 
 interface FailureCount {
@@ -15,7 +15,7 @@
   lastReportedAt: number;
 }
 
-/** Failed calls of one daemon, by kind. */
+/** Counts and logs the failed calls of one daemon by kind. */
 export class CallFailures {
   private readonly counts = new Map<string, FailureCount>();
 
@@ -24,15 +24,15 @@
     private readonly log: EventLog,
   ) {}
 
-  /** Failed calls since the start, by kind. */
+  /** Returns the number of failed calls since the start by kind. */
   totals(): ReadonlyMap<string, number> {
     return new Map([...this.counts].map(([call, { total }]) => [call, total]));
   }
 
   /**
-   * Notes a failure.
+   * Counts a failed call and logs it unless the kind was logged within the last second.
    *
-   * @param call Kind of call, a short fixed text.
+   * @param call Kind of call; must come from a small fixed set.
    * @param peer Daemon that was called.
    */
   note(call: string, peer: string, error: unknown): void {
--- a/packages/observability/src/event-log.ts
+++ b/packages/observability/src/event-log.ts
@@ -1,26 +1,26 @@
-/** Structured log lines, for changes of state only. What happens often is counted instead. */
+/** Structured logging of state changes and failures; frequent events are counted in metrics instead. */
 import { pino, type Logger } from 'pino';
 import type { LogEventName } from './log-events.js';
 
-/** Facts of one event. */
+/** Named values of one event. */
 export type EventDetails = Readonly<Record<string, unknown>>;
 
-/** Writes events under stable names. */
+/** Logs events under stable names. */
 export interface EventLog {
-  /** A change of state. */
+  /** Logs a change of state at level `info`. */
   changed(event: LogEventName, details?: EventDetails): void;
-  /** Something went wrong that an operator may want to know of. */
+  /** Logs a failure that may concern an operator, at level `warn`. */
   warned(event: LogEventName, details?: EventDetails): void;
 }
 
 /** Options of {@link createEventLog}. */
 export interface EventLogOptions {
   readonly level: string;
-  /** Fields of every line. */
+  /** Fields added to every line. */
   readonly fields: EventDetails;
 }
 
-/** The log of a shipped daemon: JSON lines on standard output, through pino. */
+/** Creates a log that writes JSON lines to standard output with pino. */
 export function createEventLog(options: EventLogOptions): EventLog {
   const logger: Logger = pino({ level: options.level, base: { ...options.fields }, messageKey: 'event' });
   return {
@@ -33,5 +33,5 @@
   };
 }
 
-/** A log that goes nowhere. */
+/** Log that discards all events. */
 export const silentLog: EventLog = { changed: () => undefined, warned: () => undefined };
--- a/packages/observability/src/index.ts
+++ b/packages/observability/src/index.ts
@@ -1,4 +1,4 @@
-/** Logs and metrics. */
+/** Structured logging and metrics. */
 export * from './event-log.js';
 export * from './metrics.js';
 export * from './bounded-log.js';
--- a/packages/observability/src/log-events.ts
+++ b/packages/observability/src/log-events.ts
@@ -1,6 +1,6 @@
 /**
- * All events that daemons log, each with what it means and its facts. docs/LOGS.md is generated from this list, and
- * lines can only be written under these names.
+ * Names of all log events, each with its meaning and its fields. docs/LOGS.md is generated from this list, and the compiler
+ * rejects other names.
  */
 export const LOG_EVENTS = {
   request_admitted:
@@ -116,10 +116,9 @@
   log_lines_dropped: 'Lines were left out in the last second. Their number by class.',
 } as const;
 
-/** Name of an event. */
 export type LogEventName = keyof typeof LOG_EVENTS;
 
-/** The page docs/LOGS.md. */
+/** Renders the contents of docs/LOGS.md as Markdown. */
 export function renderLogEvents(): string {
   const rows = Object.entries(LOG_EVENTS).map(([name, meaning]) => `| \`${name}\` | ${meaning} |`);
   return [
--- a/packages/observability/src/metric-registry.ts
+++ b/packages/observability/src/metric-registry.ts
@@ -1,17 +1,14 @@
-/**
- * Counters, gauges and histograms in the Prometheus text format, kept small: a serving daemon's memory is paid for,
- * and the usual client library takes 6 MB of it (docs/BENCHMARKS.md).
- */
+/** Counters, gauges and histograms in the Prometheus text format, with a smaller memory footprint than the standard client library. */
 
-/** Label names and values of one series. */
+/** Label values of one series by label name. */
 export type MetricLabels = Readonly<Record<string, string>>;
 
-/** Upper bounds of the buckets of latencies, in seconds. */
+/** Upper bounds of latency histogram buckets, in seconds. */
 export const LATENCY_BUCKETS_SECONDS: readonly number[] = [
   0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 12.8,
 ];
 
-/** Series of one family are bounded, so that labels from outside cannot fill the memory. */
+/** Maximum number of series per metric, so that label values from requests cannot exhaust memory; further series are ignored. */
 const MAX_SERIES_PER_FAMILY = 200;
 
 interface Family {
@@ -21,13 +18,13 @@
   readonly lines: () => string[];
 }
 
-/** Numbers that only rise, by labels. */
+/** Monotonically increasing counter with one series per set of labels. */
 export class Counter {
   private readonly values = new Map<string, number>();
 
   constructor(private readonly name: string) {}
 
-  /** Adds to one series. */
+  /** Increases one series by `amount`. */
   add(labels: MetricLabels, amount = 1): void {
     const key = formatLabels(labels);
     const current = this.values.get(key);
@@ -35,7 +32,7 @@
     this.values.set(key, (current ?? 0) + amount);
   }
 
-  /** Lines of the text format. */
+  /** Renders all series as lines of the Prometheus text format. */
   lines(): string[] {
     return [...this.values].map(([labels, value]) => `${this.name}${withBraces(labels)} ${String(value)}`);
   }
@@ -47,7 +44,7 @@
   total: number;
 }
 
-/** Distribution of values, by labels. */
+/** Histogram with one series per set of labels. */
 export class Histogram {
   private readonly series = new Map<string, Series>();
 
@@ -56,7 +53,7 @@
     private readonly bounds: readonly number[],
   ) {}
 
-  /** Records one value. */
+  /** Adds one value to a series. */
   observe(labels: MetricLabels, value: number): void {
     const key = formatLabels(labels);
     let series = this.series.get(key);
@@ -71,7 +68,7 @@
     series.total += 1;
   }
 
-  /** Lines of the text format. */
+  /** Renders all series as lines of the Prometheus text format. */
   lines(): string[] {
     return [...this.series].flatMap(([labels, series]) => this.seriesLines(labels, series));
   }
@@ -92,27 +89,27 @@
   }
 }
 
-/** All metrics of a daemon. */
+/** Registry of the metrics of a daemon. */
 export class MetricRegistry {
-  /** Media type of {@link render}. */
+  /** Content type of the text returned by {@link render}. */
   readonly contentType = 'text/plain; version=0.0.4; charset=utf-8';
   private readonly families: Family[] = [];
 
-  /** Adds a counter; its name ends in `_total`. */
+  /** Registers a counter; by convention its name ends in `_total`. */
   counter(name: string, help: string): Counter {
     const counter = new Counter(name);
     this.families.push({ name, help, type: 'counter', lines: () => counter.lines() });
     return counter;
   }
 
-  /** Adds a histogram. */
+  /** Registers a histogram with the given upper bucket bounds in ascending order. */
   histogram(name: string, help: string, bounds = LATENCY_BUCKETS_SECONDS): Histogram {
     const histogram = new Histogram(name, bounds);
     this.families.push({ name, help, type: 'histogram', lines: () => histogram.lines() });
     return histogram;
   }
 
-  /** Adds a number, or one for each label value, that is read when metrics are asked for. */
+  /** Registers a gauge that is read on each {@link render}. `read` returns one number, or one number per value of `label`. */
   gauge(name: string, help: string, read: () => number | ReadonlyMap<string, number>, label = 'name'): void {
     const lines = (): string[] => {
       const value = read();
@@ -122,7 +119,7 @@
     this.families.push({ name, help, type: 'gauge', lines });
   }
 
-  /** All metrics as text. */
+  /** Renders all metrics in the Prometheus text format. */
   render(): string {
     return this.families
       .flatMap(({ name, help, type, lines }) => [
--- a/packages/observability/src/metrics.ts
+++ b/packages/observability/src/metrics.ts
@@ -1,14 +1,14 @@
-/** Counters and histograms in the Prometheus format, read from the subsystems when they are asked for. */
+/** Prometheus metrics whose values are read from the subsystems on each scrape. */
 import { Gauge, Histogram, Registry } from 'prom-client';
 
-/** Numbers of one subsystem by name, read when metrics are asked for. */
+/** Returns the current numbers of one subsystem by name. */
 export type NumberSource = () => Readonly<Record<string, number>>;
 
 const WAIT_BUCKETS_SECONDS = [
   0.001, 0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10, 30, 60, 120,
 ];
 
-/** The metrics of one daemon. */
+/** Registry of the metrics of one daemon, based on prom-client. */
 export class Metrics {
   private readonly registry = new Registry();
   private readonly waitHistogram: Histogram;
@@ -25,22 +25,22 @@
     });
   }
 
-  /** Media type of {@link render}. */
+  /** Content type of the text returned by {@link render}. */
   get contentType(): string {
     return this.registry.contentType;
   }
 
-  /** Records an answered request: `served` or an error kind. */
+  /** Records the wait of a completed request in milliseconds; `result` is `served` or an error kind. */
   recordAnswer(result: string, waitedMs: number): void {
     this.waitHistogram.observe({ result }, waitedMs / 1000);
   }
 
-  /** Registers numbers of a subsystem; they appear as `woodbarrow_<subsystem>_<name>`. */
+  /** Registers the numbers of a subsystem as gauges named `woodbarrow_<subsystem>_<name>`. */
   addSource(subsystem: string, source: NumberSource): void {
     this.sources.set(subsystem, source);
   }
 
-  /** All metrics as text. */
+  /** Reads all sources and renders the metrics in the Prometheus text format. */
   async render(): Promise<string> {
     for (const [subsystem, source] of this.sources) {
       for (const [name, value] of Object.entries(source())) this.gaugeOf(subsystem, name).set(value);
--- a/packages/observability/src/task-failures.ts
+++ b/packages/observability/src/task-failures.ts
@@ -1,9 +1,9 @@
-/** What is logged when a background task fails. */
+/** Logging of failed background tasks. */
 import { messageOf } from '@woodbarrow/errors';
 import type { TaskFailureHandler } from '@woodbarrow/runtime';
 import type { EventLog } from './event-log.js';
 
-/** Writes a line for each failed task. */
+/** Returns a handler that logs each failed task as `task_failed`. */
 export function logTaskFailures(log: EventLog): TaskFailureHandler {
   return (task, error) => {
     log.warned('task_failed', { task, cause: messageOf(error) });
--- a/packages/runtime/src/async-queue.ts
+++ b/packages/runtime/src/async-queue.ts
@@ -1,6 +1,6 @@
-/** An unbounded queue between one producer and one consuming task. */
+/** Unbounded queue between one producer and one consumer. */
 
-/** Values pushed by a producer are read in order by `for await`. */
+/** Delivers pushed values in order to a single `for await` loop. */
 export class AsyncQueue<T> implements AsyncIterable<T> {
   private readonly values: T[] = [];
   private waiting: ((result: IteratorResult<T>) => void) | undefined;
@@ -25,7 +25,7 @@
     resolve({ done: false, value });
   }
 
-  /** Ends the queue once its values are read; with `error`, reading then throws it. */
+  /** Ends iteration after the queued values have been read; when `error` is given, the next read then throws it. */
   close(error?: Error): void {
     if (this.closed) return;
     this.closed = true;
@@ -37,7 +37,7 @@
     else reject?.(error);
   }
 
-  /** The next value, or `done` at the end. */
+  /** Resolves with the next value, or with `done` after the queue was closed. @throws the error passed to {@link close}. */
   next(): Promise<IteratorResult<T>> {
     if (this.values.length > 0) return Promise.resolve({ done: false, value: this.values.shift() as T });
     if (this.failure !== undefined) return Promise.reject(this.failure);
--- a/packages/runtime/src/background-service.ts
+++ b/packages/runtime/src/background-service.ts
@@ -1,22 +1,22 @@
-/** What parts with tasks of their own have in common: they end together, with or without waiting. */
+/** Shared shutdown behaviour of components that run background tasks. */
 import type { Clock } from './clock.js';
 import { TaskGroup, type TaskFailureHandler } from './task-group.js';
 
-/** Base of a part that runs tasks in the background. */
+/** Base class of components that own background tasks. */
 export abstract class BackgroundService {
   protected readonly tasks: TaskGroup;
 
-  /** @param onTaskFailure Called with what a task threw; failures are dropped when absent. */
+  /** @param onTaskFailure Called with the error of a failed task; when absent, failures are ignored. */
   protected constructor(clock: Clock, onTaskFailure: TaskFailureHandler | undefined) {
     this.tasks = new TaskGroup(clock, onTaskFailure ?? (() => undefined));
   }
 
-  /** Ends all tasks and waits for them. */
+  /** Stops all tasks and waits until they have finished. */
   async stop(): Promise<void> {
     await this.tasks.stop();
   }
 
-  /** Ends all tasks without waiting, as a crash would. */
+  /** Signals all tasks to stop without waiting for them; simulates a crash. */
   abort(): void {
     this.tasks.abort();
   }
--- a/packages/runtime/src/buffered-response-stream.ts
+++ b/packages/runtime/src/buffered-response-stream.ts
@@ -1,21 +1,21 @@
 /**
- * A stream for clients that take no chunks: collected, and sent as one answer with its length. Without a length it would end with the connection, and
- * half of it would look whole when the process is killed. The client waits for the last event instead of the first.
+ * Response stream for clients without chunked encoding: buffers the body and sends it with a content length.
+ * Without a length, the end of the connection marks the end of the body, so a response truncated by a crash would look complete.
  */
 import type { ResponseStream } from './streaming-http.js';
 
-/** Bytes kept for one answer at most: a stream of 1,000 events of 1 KB. Clients of HTTP/1.0 are few, and a daemon has 96 MB of heap. */
+/** Maximum size of one buffered response; a larger one resets the connection. */
 export const MAX_BUFFERED_RESPONSE_BYTES = 1024 * 1024;
 
-/** One answer that is not sent before it is whole. */
+/** Buffers a response and sends it once it is complete. */
 export class BufferedResponseStream implements ResponseStream {
   private chunks: Uint8Array[] = [];
   private bufferedBytes = 0;
   private hasEnded = false;
 
   /**
-   * @param respond Sends the whole answer.
-   * @param resetConnection Ends the connection without an answer.
+   * @param respond Sends the complete response.
+   * @param resetConnection Resets the connection without sending a response.
    */
   constructor(
     private readonly respond: (body: Uint8Array) => void,
--- a/packages/runtime/src/clock.ts
+++ b/packages/runtime/src/clock.ts
@@ -1,4 +1,4 @@
-/** Time as the daemons see it. Nothing outside this package reads a clock or sets a timer directly. */
+/** Clock abstraction. Code outside this package reads time and sets timers only through it, so that simulations control time. */
 import { SuspensionMeter } from './suspension-meter.js';
 
 /** Cancels a scheduled callback; calling it again does nothing. */
@@ -7,24 +7,24 @@
 /** Source of time. All durations are in milliseconds. */
 export interface Clock {
   /**
-   * Milliseconds since an arbitrary start; never goes back; may drift against other machines. Stands still while the machine is
-   * suspended, so it may count too little: right for waiting until something of another daemon has certainly lapsed,
-   * and for how long work has run here.
+   * Milliseconds since an arbitrary start; never decreases; may drift against other machines. Does not advance while the
+   * machine is suspended, so it may report too little time. Use it to wait until a lease of another daemon has certainly
+   * expired, and to measure the duration of local work.
    */
   monotonic(): number;
   /**
-   * As {@link monotonic}, but with the time for which the machine was suspended; may count too much, after a step of the time of day.
-   * Right for what this daemon itself may use until it lapses: a lease, an answer, a word of another daemon.
-   * Ask at the act, not in a timer: after a suspension timers and messages come in any order.
+   * Like {@link monotonic}, but includes time for which the machine was suspended; may report too much time after the wall
+   * clock is set forward. Use it for the validity of what this daemon holds: a lease, a cached response, a report of another
+   * daemon. Read it when the value is used, not in a timer: after a suspension, timers and messages run in any order.
    */
   elapsed(): number;
-  /** Milliseconds since the Unix epoch; may jump. */
+  /** Milliseconds since the Unix epoch; may jump in either direction. */
   wall(): number;
   /** Runs `callback` once after `delayMs`. */
   schedule(delayMs: number, callback: () => void): CancelTimer;
 }
 
-/** The machine's own clock. */
+/** Clock of the operating system. */
 export class SystemClock implements Clock {
   private readonly meter = new SuspensionMeter(
     () => this.monotonic(),
@@ -68,10 +68,10 @@
   });
 }
 
-/** Result of {@link settleWithin}: the value, or word that time ran out. */
+/** Result of {@link settleWithin}: the value of the promise, or a time-out. */
 export type TimedResult<T> = { readonly timedOut: false; readonly value: T } | { readonly timedOut: true };
 
-/** Waits for `promise` for at most `limitMs`. The promise goes on after a time-out; its failure is then ignored. */
+/** Waits for `promise` for at most `limitMs`. The operation is not cancelled on a time-out; a later rejection is ignored. */
 export function settleWithin<T>(clock: Clock, limitMs: number, promise: Promise<T>): Promise<TimedResult<T>> {
   return new Promise((resolve, reject) => {
     const cancel = clock.schedule(limitMs, () => {
--- a/packages/runtime/src/express-server.ts
+++ b/packages/runtime/src/express-server.ts
@@ -9,30 +9,30 @@
 
 /** Options of {@link serveHttp}. */
 export interface ServeHttpOptions {
-  /** Address to listen on; port 0 takes a free one. */
+  /** Address to listen on; port 0 selects a free port. */
   readonly address: Address;
   readonly handler: HttpHandler;
-  /** Largest request body in bytes; a larger one gets the answer of `onTooLarge`. @default 1 MiB */
+  /** Maximum size of a request body in bytes; a larger one is answered with `onTooLarge`. @default 1 MiB */
   readonly maximumBodyBytes?: number;
-  /** Milliseconds a client may take for its headers. @default 10000 */
+  /** Milliseconds within which a client must send its headers. @default 10000 */
   readonly headersTimeoutMs?: number;
-  /** Milliseconds a client may take for the whole request. @default 30000 */
+  /** Milliseconds within which a client must send the whole request. @default 30000 */
   readonly requestTimeoutMs?: number;
-  /** Keys for HTTPS, read again when they change; plain HTTP when absent. */
+  /** Certificate and key for HTTPS, reloaded periodically; plain HTTP when absent. */
   readonly tls?: TlsSource;
-  /** Answer for a body over the limit. */
+  /** Returns the response to a request whose body is too large; the connection is closed without a response when absent. */
   readonly onTooLarge?: () => HttpResponse;
 }
 
 /** A running HTTP server. */
 export interface HttpServer {
-  /** Address it listens on. */
+  /** Address that the server is bound to. */
   readonly address: Address;
-  /** Requests being answered now. */
+  /** Number of requests in progress. */
   readonly activeRequests: () => number;
-  /** Stops accepting connections; those in progress go on. */
+  /** Stops accepting connections; requests in progress continue. */
   stopAccepting(): void;
-  /** Ends everything. */
+  /** Closes the server and all its connections. */
   close(): Promise<void>;
 }
 
@@ -44,7 +44,7 @@
 
 class BodyTooLargeError extends Error {}
 
-/** Starts a server. */
+/** Starts a server. @throws Error when the address cannot be bound. */
 export async function serveHttp(options: ServeHttpOptions): Promise<HttpServer> {
   let active = 0;
   const application = express();
--- a/packages/runtime/src/hashing.ts
+++ b/packages/runtime/src/hashing.ts
@@ -1,19 +1,16 @@
-/** Hashing: fast and non-cryptographic by xxHash, and digests that stand for a content. */
+/** Hash functions: non-cryptographic hashes with xxHash and content digests with SHA-256. */
 import { createHash } from 'node:crypto';
 import { xxHash32 } from 'js-xxhash';
 
-/**
- * 32-bit hash of a text. In JavaScript 1.9 µs for a short text, against 0.4 µs with WebAssembly, which costs each start of a process 0.04 s
- * of processor time (median of 25 starts): some twenty thousand hashes.
- */
+/** Returns a 32-bit non-cryptographic hash. Uses the JavaScript implementation because WebAssembly slows down process start. */
 export function hashText(text: string, seed = 0): number {
   return xxHash32(text, seed);
 }
 
-/** Characters of a content digest: 128 bits, so that two contents do not share one by chance. */
+/** Length of a content digest in hex characters: 128 bits make accidental collisions negligible. */
 const DIGEST_CHARACTERS = 32;
 
-/** Digest of several pieces of content, in hex; where one piece ends and the next begins counts as well. */
+/** Returns the hex digest of a sequence of pieces. Each piece is prefixed by its length, so that boundaries affect the digest. */
 export function contentDigest(pieces: readonly (string | Uint8Array)[]): string {
   const hash = createHash('sha256');
   for (const piece of pieces) {
--- a/packages/runtime/src/http.ts
+++ b/packages/runtime/src/http.ts
@@ -1,30 +1,30 @@
-/** HTTP as the product sees it: one client interface and one handler shape, over sockets or in memory. */
+/** HTTP client and handler interfaces, implemented over sockets and in simulation. */
 
-/** Header names are lower case. */
+/** Header values by lower-case name. */
 export type HttpHeaders = Readonly<Record<string, string>>;
 
-/** A request with its whole body. */
+/** A request with its complete body. */
 export interface HttpRequest {
   readonly method: string;
   /** Path with query, starting with a slash. */
   readonly path: string;
   readonly headers: HttpHeaders;
   readonly body: Uint8Array;
-  /** Aborts when the other side has gone or the sender gave up. */
+  /** Aborts when the client disconnects or cancels the request. */
   readonly signal: AbortSignal;
 }
 
-/** A response whose body is whole or a stream of chunks. A stream that throws was cut off. */
+/** A response whose body is either complete or a stream of chunks. A stream that was truncated throws. */
 export interface HttpResponse {
   readonly status: number;
   readonly headers: HttpHeaders;
   readonly body: Uint8Array | AsyncIterable<Uint8Array>;
 }
 
-/** Answers a request. */
+/** Handles a request and returns its response. */
 export type HttpHandler = (request: HttpRequest) => Promise<HttpResponse>;
 
-/** What to send; see {@link HttpClient.send}. */
+/** An outgoing request; see {@link HttpClient.send}. */
 export interface HttpCall {
   readonly method: string;
   /** Scheme and authority, for example `http://127.0.0.1:8080`. */
@@ -33,25 +33,25 @@
   readonly headers?: HttpHeaders;
   readonly body?: Uint8Array;
   readonly signal?: AbortSignal;
-  /** Milliseconds to wait for the response's head; none when absent. */
+  /** Milliseconds to wait for the response head; no limit when absent. */
   readonly timeoutMs?: number;
 }
 
-/** Time after which a connection that cannot be made is given up, in milliseconds. */
+/** Time-out for opening a connection, in milliseconds. */
 export const CONNECT_TIMEOUT_MS = 500;
 
 /** Sends requests. */
 export interface HttpClient {
   /**
-   * Resolves with the response's head.
+   * Resolves when the response head has arrived; the body may still be streaming.
    *
-   * @throws HttpNotSentError when no byte of the request can have reached the other side.
-   * @throws Error for any other failure: the request may have been received.
+   * @throws HttpNotSentError when no byte of the request can have reached the server.
+   * @throws Error for any other failure; the request may have been received.
    */
   send(call: HttpCall): Promise<HttpResponse>;
 }
 
-/** The connection could not be made: the request was certainly not received. */
+/** The connection could not be opened, so the request was certainly not received. */
 export class HttpNotSentError extends Error {
   override readonly name = 'HttpNotSentError';
 }
@@ -59,7 +59,7 @@
 const decoder = new TextDecoder();
 const encoder = new TextEncoder();
 
-/** Collects a body. @throws Error when it exceeds `maximumBytes` or the stream is cut off. */
+/** Reads a complete body. @throws Error when it exceeds `maximumBytes` or the stream is truncated. */
 export async function readBody(body: HttpResponse['body'], maximumBytes = Infinity): Promise<Uint8Array> {
   if (body instanceof Uint8Array) return body;
   const chunks: Uint8Array[] = [];
@@ -72,27 +72,26 @@
   return chunks.length === 1 ? (chunks[0] as Uint8Array) : Buffer.concat(chunks);
 }
 
-/** Collects a body as text. */
+/** Reads a complete body as UTF-8 text. @throws as {@link readBody}. */
 export async function readText(body: HttpResponse['body'], maximumBytes?: number): Promise<string> {
   return decoder.decode(await readBody(body, maximumBytes));
 }
 
-/** Collects a body as JSON. */
+/** Reads a complete body and parses it as JSON. @throws SyntaxError for invalid JSON, otherwise as {@link readBody}. */
 export async function readJson(body: HttpResponse['body'], maximumBytes?: number): Promise<unknown> {
   return JSON.parse(await readText(body, maximumBytes)) as unknown;
 }
 
-/** Encodes text as UTF-8. */
 export function encodeText(text: string): Uint8Array {
   return encoder.encode(text);
 }
 
-/** Decodes UTF-8. */
+/** Decodes UTF-8; invalid sequences become U+FFFD. */
 export function decodeText(bytes: Uint8Array): string {
   return decoder.decode(bytes);
 }
 
-/** A response with a JSON body. */
+/** Creates a response with a JSON body. */
 export function jsonResponse(status: number, value: unknown, headers: HttpHeaders = {}): HttpResponse {
   return {
     status,
--- a/packages/runtime/src/index.ts
+++ b/packages/runtime/src/index.ts
@@ -1,4 +1,4 @@
-/** Seams to the outside: time, randomness, transport and HTTP, each for real and in simulation. */
+/** Clock, randomness, transport and HTTP interfaces with production and simulated implementations. */
 export * from './async-queue.js';
 export * from './background-service.js';
 export * from './clock.js';
--- a/packages/runtime/src/least-by.ts
+++ b/packages/runtime/src/least-by.ts
@@ -1,4 +1,4 @@
-/** The first of the items with the least cost, or undefined when there is none. */
+/** Returns the first item with the lowest cost, or undefined when there are no items or all costs are infinite. */
 export function leastBy<T>(items: Iterable<T>, costOf: (item: T) => number): T | undefined {
   let best: T | undefined;
   let bestCost = Infinity;
--- a/packages/runtime/src/message-body.ts
+++ b/packages/runtime/src/message-body.ts
@@ -1,10 +1,10 @@
 /**
- * Body of an HTTP message, piece by piece as it comes. Node.js' own iterator over a stream waits by several promises and listeners for
- * each piece; here one listener each stays for the whole body (figures in docs/BENCHMARKS.md, passing events on).
+ * Async iterator over the body of an HTTP message. Cheaper per chunk than the iterator of Node.js streams, because its
+ * listeners are registered once for the whole body.
  */
 import type { IncomingMessage } from 'node:http';
 
-/** A body that can be read once. */
+/** Body of a message; can be read once, by a single consumer. */
 export class MessageBody implements AsyncIterable<Uint8Array>, AsyncIterator<Uint8Array> {
   private hasEnded = false;
   private failure: Error | undefined;
@@ -24,7 +24,7 @@
       notifyReader();
     });
     message.once('close', () => {
-      if (!this.hasEnded) this.failure ??= new Error('the message broke off');
+      if (!this.hasEnded) this.failure ??= new Error('connection closed before the end of the message body');
       notifyReader();
     });
   }
@@ -33,7 +33,7 @@
     return this;
   }
 
-  /** All that has come since the last piece. @throws where the body breaks off. */
+  /** Resolves with all bytes received since the previous call. @throws Error when the body is truncated. */
   async next(): Promise<IteratorResult<Uint8Array>> {
     for (;;) {
       const chunk = this.message.read() as Uint8Array | null;
@@ -47,7 +47,7 @@
     }
   }
 
-  /** The reader wants no more. */
+  /** Destroys the message when the consumer stops reading early. */
   return(): Promise<IteratorResult<Uint8Array>> {
     this.message.destroy();
     return Promise.resolve({ done: true, value: undefined });
--- a/packages/runtime/src/node-backend-client.ts
+++ b/packages/runtime/src/node-backend-client.ts
@@ -1,4 +1,4 @@
-/** The client towards back ends, on the HTTP client of Node.js, with connections kept by address. */
+/** HTTP client for back ends, based on the HTTP client of Node.js, with a connection pool for each address. */
 import { Agent, request as startRequest, type ClientRequest, type IncomingMessage } from 'node:http';
 import type { Socket } from 'node:net';
 import { HttpNotSentError } from './http.js';
@@ -6,14 +6,14 @@
 import type { BackendAnswer, BackendCall, BackendClient } from './streaming-http.js';
 import { parseAddress } from './transport.js';
 
-/** Kept connections at most for each address. */
+/** Maximum number of idle connections retained for each address. */
 export const IDLE_CONNECTIONS_KEPT = 4;
 
 const EMPTY_BUFFER = Buffer.alloc(0);
-/** Answers with these statuses never have a body (RFC 9110). */
+/** Responses with these statuses never have a body (RFC 9110). */
 const BODYLESS_STATUSES: ReadonlySet<number> = new Set([204, 304]);
 
-/** Keeps connections; one on which bytes arrive that nobody asked for is never used again. */
+/** Pools idle connections. Destroys a connection that receives data while idle, as that data could be taken for the next response. */
 class KeepAliveAgent extends Agent {
   constructor(private readonly onOpened: () => void) {
     super({ keepAlive: true, maxFreeSockets: IDLE_CONNECTIONS_KEPT, scheduling: 'lifo' });
@@ -26,7 +26,7 @@
     return socket;
   }
 
-  // The declared result of the method differs between versions of the types.
+  // The type definitions disagree on the return type of this method.
   override keepSocketAlive(socket: Socket): void {
     const isKeptAlive = super.keepSocketAlive(socket) as unknown as boolean;
     if (isKeptAlive) socket.on('data', destroyOnData);
@@ -43,7 +43,7 @@
   this.destroy();
 }
 
-/** Reads a body to its true end: one without a length ends with its connection, and is not complete where that was reset. */
+/** Detects truncation: a body without a length ends with its connection, and is incomplete when the connection was reset. */
 class ResponseBody implements AsyncIterable<Uint8Array>, AsyncIterator<Uint8Array> {
   constructor(
     private readonly body: MessageBody,
@@ -87,7 +87,7 @@
     });
     this.endsWithConnection = request.method !== 'HEAD' && endsWithConnection(message);
     if (this.endsWithConnection) this.detectReset(message.socket);
-    // An answer that came before the request was read leaves its connection in doubt.
+    // After a response that precedes the end of the request, the connection cannot be reused.
     message.once('end', () => {
       if (!request.writableFinished) request.destroy();
     });
@@ -99,12 +99,12 @@
 
   private async assertComplete(): Promise<void> {
     await this.resetCheck;
-    if (this.failed) throw new Error('the connection failed before the end of the answer');
+    if (this.failed) throw new Error('connection failed before the end of the response');
   }
 
   /**
-   * A reset that arrives together with data is reported as a plain end of the connection. A write of nothing
-   * then fails, while after a plain end it does not.
+   * Node.js reports a reset that arrives together with data as a normal end of the connection. An empty write fails
+   * after a reset and succeeds after a normal end.
    */
   private detectReset(socket: Socket): void {
     socket.prependOnceListener('end', () => {
@@ -124,13 +124,13 @@
   return headers['content-length'] === undefined && !isChunked;
 }
 
-/** Whether nobody listened at the address of a call. */
+/** Whether a call failed because its connection was refused. */
 export function isConnectionRefused(error: unknown): boolean {
   if (!(error instanceof HttpNotSentError) || !(error.cause instanceof Error)) return false;
   return (error.cause as NodeJS.ErrnoException).code === 'ECONNREFUSED';
 }
 
-/** Sends requests over TCP. */
+/** Sends requests to back ends over plain HTTP. */
 export class NodeBackendClient implements BackendClient {
   private readonly agents = new Map<string, KeepAliveAgent>();
   private openedCount = 0;
@@ -142,7 +142,7 @@
   send(call: BackendCall): Promise<BackendAnswer> {
     return new Promise((resolve, reject) => {
       if (call.signal.aborted) {
-        reject(new HttpNotSentError('given up before it was sent'));
+        reject(new HttpNotSentError('request aborted before it was sent'));
         return;
       }
       const { host, port } = parseAddress(call.address);
@@ -158,7 +158,7 @@
       let sent = false;
       let connectTimer: NodeJS.Timeout | undefined;
       const abort = (): void => {
-        request.destroy(new Error('given up'));
+        request.destroy(new Error('request aborted'));
       };
       call.signal.addEventListener('abort', abort, { once: true });
       request.once('close', () => {
@@ -171,7 +171,7 @@
           return;
         }
         connectTimer = setTimeout(() => {
-          request.destroy(new Error('no connection in time'));
+          request.destroy(new Error('connection timed out'));
         }, call.connectTimeoutMs);
         socket.once('connect', () => {
           sent = true;
--- a/packages/runtime/src/node-ingress.ts
+++ b/packages/runtime/src/node-ingress.ts
@@ -1,4 +1,4 @@
-/** The ingress of the shipped daemons, on the HTTP server of Node.js. */
+/** HTTP ingress based on the HTTP server of Node.js. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import type { Socket } from 'node:net';
 import {
@@ -13,18 +13,18 @@
 import { BufferedResponseStream } from './buffered-response-stream.js';
 import { parseAddress, type Address } from './transport.js';
 
-/** Answers one request; must answer or abort the exchange in the end. */
+/** Handles one request; must eventually respond to the exchange or abort it. */
 export type ExchangeHandler = (exchange: IncomingExchange) => Promise<void>;
 
-/** Pause between two checks of connections for exceeded time limits, in milliseconds. */
+/** Interval between checks of connections for exceeded timeouts, in milliseconds. */
 const LIMIT_CHECK_INTERVAL_MS = 500;
-/** Largest head that the server can be told to take, in bytes; the limit in force is checked beside it. */
+/** Upper bound of the configurable head size; Node.js fixes its own limit at start, so the configured limit is checked separately. */
 const MAX_HEAD_BYTES = 256 * 1024;
-/** Bytes of a head around each name and value, and around the request line. */
+/** Bytes of separators and line ends for each header, and for the request line including the HTTP version. */
 const HEADER_LINE_OVERHEAD_BYTES = 4;
 const REQUEST_LINE_OVERHEAD_BYTES = 14;
 const STATUS_HEADERS_TOO_LARGE = 431;
-/** A client that does not take its answer for this long is cut off, in milliseconds. */
+/** Maximum time a client may block a write before its connection is closed, in milliseconds. */
 const WRITE_STALL_TIMEOUT_MS = 15_000;
 
 class NodeResponseStream implements ResponseStream {
@@ -52,7 +52,7 @@
     this.response.end();
   }
 
-  /** Without chunks a plain close would end the answer as complete: only a reset tells. */
+  /** Without chunked encoding, a normal close would mark the response as complete, so the connection is reset. */
   abort(): void {
     const { response } = this;
     if (!response.chunkedEncoding) response.socket?.resetAndDestroy();
@@ -98,14 +98,14 @@
       });
       this.request.on('error', reject);
       this.request.on('close', () => {
-        reject(new Error('the client broke off its request'));
+        reject(new Error('the client closed the connection before the end of its request'));
       });
     });
   }
 
   respond(head: ResponseHead, body: Uint8Array): void {
     if (this.response.headersSent || this.response.destroyed) return;
-    // A request that was not read to its end cannot be followed by another one on its connection.
+    // The connection cannot be reused when the request body was not read to its end.
     const isRequestUnread = !this.request.complete;
     const headers = [...head.headers, 'Content-Length', String(body.byteLength)];
     this.writeHead(head.status, headers, isRequestUnread);
@@ -125,7 +125,7 @@
     this.request.destroy();
   }
 
-  /** A client of HTTP/1.0 takes no chunks: without a length, its answer ends as whole with the connection, whatever ended that. */
+  /** Whether the client can receive chunks; HTTP/1.0 clients take the end of the connection for the end of the response. */
   private get supportsChunkedEncoding(): boolean {
     return this.request.httpVersionMajor > 1 || this.request.httpVersionMinor > 0;
   }
@@ -148,7 +148,7 @@
   }
 }
 
-/** Accepts requests over TCP. */
+/** Accepts HTTP requests and passes them to a handler. */
 export class NodeIngress implements Ingress {
   private readonly server: Server;
   private readonly activeRequestsBySocket = new Map<Socket, number>();
@@ -178,7 +178,7 @@
     });
   }
 
-  /** Starts listening on `ip:port`. */
+  /** Starts listening on `ip:port`. @throws Error when the address cannot be bound. */
   static async listen(
     address: Address,
     limits: IngressLimits,
@@ -193,7 +193,7 @@
     return ingress;
   }
 
-  /** Port in use; differs from the one asked for when that was 0. */
+  /** Bound port; differs from the requested port when that was 0. */
   get port(): number {
     const bound = this.server.address();
     return typeof bound === 'object' && bound !== null ? bound.port : 0;
@@ -258,7 +258,7 @@
   return headers.some((name, index) => index % 2 === 0 && name.toLowerCase() === 'content-length');
 }
 
-/** Size of a request's head as it came. */
+/** Returns the size of the received request head in bytes. */
 function headSizeBytes(request: IncomingMessage): number {
   const requestLineBytes =
     (request.method?.length ?? 0) + (request.url?.length ?? 0) + REQUEST_LINE_OVERHEAD_BYTES;
--- a/packages/runtime/src/retry.ts
+++ b/packages/runtime/src/retry.ts
@@ -1,16 +1,16 @@
-/** Retry policy: exponential back-off with jitter, and budgets instead of counts. */
+/** Retry policy: exponential back-off with jitter, and retry budgets. */
 import type { Clock } from './clock.js';
 import type { Random } from './random.js';
 
 /** Options of {@link backoffDelay}. */
 export interface BackoffOptions {
-  /** First delay in milliseconds. */
+  /** Upper bound of the first delay in milliseconds. */
   readonly initialMs: number;
-  /** Largest delay in milliseconds. */
+  /** Maximum delay in milliseconds. */
   readonly maximumMs: number;
 }
 
-/** Delay before attempt number `attempt` (0 for the first retry): full jitter below an exponential ceiling. */
+/** Returns the delay in milliseconds before retry `attempt`, counted from 0: random between half of an exponential ceiling and that ceiling. */
 export function backoffDelay(options: BackoffOptions, attempt: number, random: Random): number {
   const ceiling = Math.min(options.maximumMs, options.initialMs * 2 ** Math.min(attempt, 30));
   return random.between(ceiling / 2, ceiling);
@@ -18,15 +18,15 @@
 
 /** Options of {@link RetryBudget}. */
 export interface RetryBudgetOptions {
-  /** Retries allowed for each first attempt, for example 0.1. */
+  /** Retries allowed for each first attempt, for example 0.1 for one in ten. */
   readonly ratio: number;
-  /** Retries allowed per second whatever the load, so that small loads may retry at all. */
+  /** Retries allowed per second independent of the load, so that retries are possible under low load. */
   readonly minimumPerSecond: number;
-  /** Largest number of saved-up retries. */
+  /** Capacity of the token bucket, in retries. */
   readonly maximumSaved: number;
 }
 
-/** A token bucket that first attempts fill and retries drain: retries stay a fixed share of the load. */
+/** Token bucket filled by first attempts and drained by retries; limits retries to a fixed share of the load. */
 export class RetryBudget {
   private tokens: number;
   private lastRefill: number;
@@ -39,12 +39,12 @@
     this.lastRefill = clock.monotonic();
   }
 
-  /** Records a first attempt. */
+  /** Adds the share of a first attempt to the budget. */
   recordAttempt(): void {
     this.tokens = Math.min(this.options.maximumSaved, this.tokens + this.options.ratio);
   }
 
-  /** Takes one retry from the budget; false when it is spent. */
+  /** Consumes one retry; returns false when the budget is exhausted. */
   tryRetry(): boolean {
     this.refill();
     if (this.tokens < 1) return false;
--- a/packages/runtime/src/simulated-clock.ts
+++ b/packages/runtime/src/simulated-clock.ts
@@ -1,4 +1,4 @@
-/** The virtual clock of a simulation and the processes that live on it. */
+/** Discrete-event scheduler with a virtual clock, and the simulated processes that use it. */
 import type { CancelTimer, Clock } from './clock.js';
 import { SuspensionMeter } from './suspension-meter.js';
 
@@ -11,32 +11,31 @@
 
 const FNV_OFFSET = 0x811c9dc5;
 const FNV_PRIME = 0x01000193;
-/** Rounding of virtual time in the clock of a process, in milliseconds. */
+/** Tolerance for rounding errors between virtual time and the clock of a process, in milliseconds. */
 const TIMER_ROUNDING_MS = 0.001;
 const WALL_CLOCK_START_MS = 1_800_000_000_000;
 const MICROSECONDS_PER_MS = 1000;
 
-/** Lets every pending microtask run. */
+/** Resolves after all pending microtasks have run. */
 function drainMicrotasks(): Promise<void> {
   return new Promise((resolve) => {
     setImmediate(resolve);
   });
 }
 
-/** One line of a simulation's trace. */
+/** One line of a simulation trace. */
 export interface TraceEntry {
   readonly atMs: number;
   readonly text: string;
 }
 
 /**
- * Runs events in order of virtual time. Between two events all microtasks are drained,
- * so a run depends on nothing but its inputs.
+ * Runs events in order of virtual time. Microtasks are drained between events, so that a run is deterministic.
  */
 export class SimulatedWorld {
-  /** Virtual milliseconds since the start. */
+  /** Virtual time since the start, in milliseconds. */
   now = 0;
-  /** Lines written by {@link record}; kept only when `keepTrace` is set. */
+  /** Lines written by {@link record}; empty unless `keepTrace` is set. */
   readonly trace: TraceEntry[] = [];
   private readonly heap: ScheduledEvent[] = [];
   private sequence = 0;
@@ -44,17 +43,17 @@
 
   constructor(private readonly keepTrace = false) {}
 
-  /** Number of events run or waiting so far. */
+  /** Number of events scheduled since the start. */
   get eventCount(): number {
     return this.sequence;
   }
 
-  /** Digest of everything that has happened; equal for equal runs. */
+  /** Hash of all recorded lines and event times; identical runs have the same digest. */
   get digest(): string {
     return (this.hash >>> 0).toString(16).padStart(8, '0');
   }
 
-  /** Runs `run` after `delayMs` of virtual time. */
+  /** Schedules `run` after `delayMs` of virtual time; negative delays count as 0. */
   schedule(delayMs: number, run: () => void): CancelTimer {
     const event: ScheduledEvent = {
       atMs: this.now + Math.max(0, delayMs),
@@ -75,7 +74,7 @@
     if (this.keepTrace) this.trace.push({ atMs: this.now, text });
   }
 
-  /** Runs events until virtual time `untilMs`, or until `stop` says so. */
+  /** Runs events until virtual time `untilMs`, or until `stop` returns true. */
   async run(untilMs: number, stop: () => boolean = () => false): Promise<void> {
     for (;;) {
       await drainMicrotasks();
@@ -134,25 +133,25 @@
   readonly name: string;
   readonly zone: string;
   readonly region: string;
-  /** Rate of the process's monotonic clock against virtual time. @default 1 */
+  /** Rate of the monotonic clock of the process relative to virtual time. @default 1 */
   readonly clockRate?: number;
 }
 
-/** One process of a simulation: its own drifting clock, and the power to be paused and killed. */
+/** A simulated process with its own drifting clock; can be paused, suspended and killed. */
 export class SimulatedProcess implements Clock {
   readonly name: string;
   readonly zone: string;
   readonly region: string;
-  /** False once killed; a killed process runs nothing any more. */
+  /** False after {@link kill}; a killed process runs no further callbacks. */
   alive = true;
   private readonly clockRate: number;
   private readonly startedAt: number;
   private readonly meter: SuspensionMeter;
   private pausedUntil = 0;
-  /** Virtual time for which the machine has been suspended, and until when it is. */
+  /** Total suspended virtual time, including the rest of a current suspension, and the end of the last suspension. */
   private suspendedMs = 0;
   private suspendedUntil = 0;
-  /** How far the time of day has been set beside virtual time. */
+  /** Offset of the wall clock from virtual time. */
   private wallOffsetMs = 0;
   private readonly killListeners = new Set<() => void>();
 
@@ -171,7 +170,7 @@
     );
   }
 
-  /** Whether the process is stopped in its tracks now. */
+  /** Whether the process is paused at the current virtual time. */
   get paused(): boolean {
     return this.pausedUntil > this.world.now;
   }
@@ -195,7 +194,7 @@
     const fire = (): void => {
       if (cancelled) return;
       const leftMs = (dueAt - this.monotonic()) / this.clockRate;
-      // A timer goes by the steady clock, which stood still while the machine was suspended.
+      // Timers follow the monotonic clock, which does not advance during a suspension.
       if (leftMs > TIMER_ROUNDING_MS) this.world.schedule(leftMs, due);
       else callback();
     };
@@ -208,7 +207,7 @@
     };
   }
 
-  /** Runs `callback` inside the process: now, after its pause, or never when it has been killed. */
+  /** Runs `callback` in the process: immediately, after a current pause, or never when the process was killed. */
   deliver(callback: () => void): void {
     if (!this.alive) return;
     if (!this.paused) {
@@ -220,12 +219,12 @@
     });
   }
 
-  /** Freezes the process; its timers and messages wait. */
+  /** Pauses the process; its timers and messages are delivered afterwards. */
   pause(durationMs: number): void {
     this.pausedUntil = Math.max(this.pausedUntil, this.world.now + durationMs);
   }
 
-  /** Suspends the machine: as a pause, and the steady clock does not count that time. The time of day does. */
+  /** Suspends the machine: pauses the process and stops its monotonic clock, while the wall clock advances. */
   suspend(durationMs: number): void {
     const from = Math.max(this.world.now, this.suspendedUntil);
     const until = Math.max(from, this.world.now + durationMs);
@@ -234,12 +233,12 @@
     this.pause(durationMs);
   }
 
-  /** Sets the time of day, forward or back. */
+  /** Moves the wall clock by `byMs`, which may be negative. */
   stepWall(byMs: number): void {
     this.wallOffsetMs += byMs;
   }
 
-  /** Ends the process at once. */
+  /** Kills the process immediately. */
   kill(): void {
     if (!this.alive) return;
     this.alive = false;
@@ -247,7 +246,7 @@
     this.killListeners.clear();
   }
 
-  /** Calls `listener` when the process is killed. */
+  /** Calls `listener` when the process is killed; returns a function that removes the listener. */
   onKill(listener: () => void): CancelTimer {
     this.killListeners.add(listener);
     return () => {
--- a/packages/runtime/src/simulated-http.ts
+++ b/packages/runtime/src/simulated-http.ts
@@ -1,4 +1,4 @@
-/** HTTP of a simulation, in memory: the same handlers, with latency, cuts and deaths in between. */
+/** In-memory HTTP for simulations, subject to network latency, blocked paths and process crashes. */
 import { AsyncQueue } from './async-queue.js';
 import {
   CONNECT_TIMEOUT_MS,
@@ -14,7 +14,7 @@
 interface ServerEntry {
   readonly process: SimulatedProcess;
   readonly handler: HttpHandler;
-  /** Requests whose answer has not arrived whole, and has not failed either. */
+  /** Number of requests whose response is neither complete nor failed. */
   active: number;
 }
 
@@ -28,13 +28,13 @@
 
 const EMPTY_BODY = new Uint8Array(0);
 
-/** Who serves which origin in one simulation. */
+/** Registry of the HTTP servers of a simulation by origin. */
 export class SimulatedHttpHub {
   private readonly servers = new Map<string, ServerEntry>();
 
   constructor(readonly network: SimulatedNetwork) {}
 
-  /** Serves `handler` at `origin` for as long as `process` lives. */
+  /** Serves `handler` at `origin` until `process` is killed; returns a function that unregisters it. */
   serve(origin: string, process: SimulatedProcess, handler: HttpHandler): () => void {
     const entry: ServerEntry = { process, handler, active: 0 };
     this.servers.set(origin, entry);
@@ -45,12 +45,12 @@
     return remove;
   }
 
-  /** Requests at `origin` whose answer is still on its way. */
+  /** Returns the number of requests at `origin` whose response is not yet complete. */
   activeRequests(origin: string): number {
     return this.servers.get(origin)?.active ?? 0;
   }
 
-  /** The client as seen by one process. */
+  /** Returns the HTTP client of one process. */
   clientOf(process: SimulatedProcess): HttpClient {
     return { send: (call) => this.send(process, call) };
   }
--- a/packages/runtime/src/simulated-network.ts
+++ b/packages/runtime/src/simulated-network.ts
@@ -1,29 +1,29 @@
-/** The network of a simulation: latencies, cuts, and ordered pipes between processes. */
+/** Simulated network: latency, packet loss, blocked paths, and ordered pipes between processes. */
 import type { Random } from './random.js';
 import type { SimulatedProcess, SimulatedWorld } from './simulated-clock.js';
 
-/** Milliseconds one way between two processes. */
+/** Returns the one-way latency between two processes in milliseconds. */
 export type LatencyFunction = (from: SimulatedProcess, to: SimulatedProcess) => number;
 
-/** Whether traffic from one process to another is cut. */
+/** Returns whether traffic from one process to another is blocked. */
 export type CutPredicate = (from: SimulatedProcess, to: SimulatedProcess) => boolean;
 
 /** Options of {@link SimulatedNetwork}. */
 export interface SimulatedNetworkOptions {
   readonly latency: LatencyFunction;
-  /** Share of frames that are lost and sent again by the transport, which delays them. @default 0 */
+  /** Share of frames that are lost and retransmitted, which delays them. @default 0 */
   readonly lossRate?: number;
-  /** Relative spread of each latency. @default 0.2 */
+  /** Maximum random increase of each latency, as a share of it. @default 0.2 */
   readonly jitter?: number;
 }
 
 const DEFAULT_JITTER = 0.2;
 const RETRANSMIT_DELAY_MS = 200;
 const BLOCKED_PATH_RETRY_MS = 100;
-/** A connection with undelivered data breaks after this long. */
+/** Time after which a pipe with undeliverable data is reset. */
 const BLOCKED_PIPE_RESET_MS = 15_000;
 
-/** Latencies, loss and cuts. */
+/** Models latency, loss and blocked paths between processes. */
 export class SimulatedNetwork {
   private readonly cuts = new Set<CutPredicate>();
 
@@ -33,7 +33,7 @@
     private readonly options: SimulatedNetworkOptions,
   ) {}
 
-  /** Cuts traffic for which `predicate` holds; returns the function that heals it. */
+  /** Blocks traffic that matches `predicate`; returns a function that unblocks it. */
   cut(predicate: CutPredicate): () => void {
     this.cuts.add(predicate);
     return () => {
@@ -41,7 +41,7 @@
     };
   }
 
-  /** Whether a message sent now would not arrive. */
+  /** Whether the path between two processes is blocked now. */
   isCut(from: SimulatedProcess, to: SimulatedProcess): boolean {
     for (const predicate of this.cuts) {
       if (predicate(from, to)) return true;
@@ -49,7 +49,7 @@
     return false;
   }
 
-  /** Delay of one message, drawn anew each time. */
+  /** Returns a random delay in milliseconds for one message. */
   delay(from: SimulatedProcess, to: SimulatedProcess): number {
     const jitter = this.options.jitter ?? DEFAULT_JITTER;
     const base = this.options.latency(from, to) * (1 + jitter * this.random.next());
@@ -58,14 +58,14 @@
   }
 }
 
-/** What the receiving end of a pipe is told. */
+/** Callbacks of the receiving end of a pipe. */
 export interface PipeReceiver<T> {
   readonly onItem: (item: T) => void;
-  /** The pipe ended; `broken` when not by the sender's own close. */
+  /** Called when the pipe ends; `broken` is true after a reset and false after {@link SimulatedPipe.close}. */
   readonly onEnd: (broken: boolean) => void;
 }
 
-/** One direction of a connection: items arrive in order, late while the path is cut, until it breaks. */
+/** One direction of a connection. Delivers items in order, delays them while the path is blocked, and resets after a timeout. */
 export class SimulatedPipe<T> {
   private lastArrival = 0;
   private readonly queue: { readonly item: T | undefined; readonly readyAt: number }[] = [];
@@ -80,17 +80,17 @@
     private readonly receiver: PipeReceiver<T>,
   ) {}
 
-  /** Sends an item; nothing happens once the pipe has ended or the sender is dead. */
+  /** Sends an item; ignored after the pipe has ended or the sender was killed. */
   send(item: T): void {
     if (this.from.alive) this.enqueue(item);
   }
 
-  /** Ends the pipe after the items already sent. */
+  /** Ends the pipe after the items already sent have been delivered. */
   close(): void {
     this.enqueue(undefined);
   }
 
-  /** Breaks the pipe: items under way are lost, the receiver is told. */
+  /** Resets the pipe: undelivered items are lost and the receiver is notified. */
   reset(): void {
     if (this.ended) return;
     this.ended = true;
--- a/packages/runtime/src/simulated-transport.ts
+++ b/packages/runtime/src/simulated-transport.ts
@@ -1,4 +1,4 @@
-/** The transport of a simulation, in memory. */
+/** In-memory transport for simulations. */
 import { AsyncQueue } from './async-queue.js';
 import type { SimulatedProcess } from './simulated-clock.js';
 import { SimulatedPipe, type PipeReceiver, type SimulatedNetwork } from './simulated-network.js';
@@ -11,19 +11,19 @@
 
 const EPHEMERAL_PORT_START = 40_000;
 
-/** Who listens where in one simulation. */
+/** Registry of the listeners of a simulation by address. */
 export class SimulatedTransportHub {
   readonly listeners = new Map<Address, ListenerEntry>();
   private nextPort = EPHEMERAL_PORT_START;
 
   constructor(readonly network: SimulatedNetwork) {}
 
-  /** The transport as seen by one process. */
+  /** Returns the transport of one process. */
   transportOf(process: SimulatedProcess): Transport {
     return new SimulatedTransport(this, process);
   }
 
-  /** A port nobody else uses. */
+  /** Returns an unused port. */
   allocatePort(): number {
     this.nextPort += 1;
     return this.nextPort;
@@ -48,7 +48,7 @@
     this.frames.close();
   }
 
-  /** Whether this side has closed the connection, or was told that it is over. */
+  /** Whether this side has closed the connection or was notified of its end. */
   get isClosed(): boolean {
     return this.closed;
   }
@@ -144,8 +144,8 @@
 }
 
 /**
- * The receiving side of a pipe. When the pipe breaks, only the sender knows: to the receiver the line is silent, until
- * it sends something itself and is told that nobody listens.
+ * Returns the callbacks of the receiving side of a pipe. When the pipe is reset, only the sender is notified, as in TCP: the
+ * receiver learns of it when it sends on its own and the other side has closed.
  */
 function receiverOf(receiver: SimulatedConnection, sender: SimulatedConnection): PipeReceiver<Uint8Array> {
   return {
@@ -160,7 +160,7 @@
   };
 }
 
-/** When `process` dies, the other side notices after a moment. */
+/** Closes the other side of the connection shortly after `process` is killed. */
 function closeOnKill(
   network: SimulatedNetwork,
   process: SimulatedProcess,
--- a/packages/runtime/src/sliding-window.ts
+++ b/packages/runtime/src/sliding-window.ts
@@ -1,7 +1,7 @@
-/** Counts events in a window of time that ends now. */
+/** Sliding-window event counter. */
 import type { Clock } from './clock.js';
 
-/** Events of the last `windowMs` milliseconds. */
+/** Counts events of the last `windowMs` milliseconds. */
 export class SlidingWindow {
   private readonly times: number[] = [];
 
@@ -10,19 +10,19 @@
     private readonly clock: Clock,
   ) {}
 
-  /** Counts an event that happens now. */
+  /** Records an event at the current time. */
   add(): void {
     this.times.push(this.clock.monotonic());
   }
 
-  /** Events in the window, those at its very beginning included. */
+  /** Returns the number of events in the window, including events exactly `windowMs` old. */
   count(): number {
     const since = this.clock.monotonic() - this.windowMs;
     while (this.times.length > 0 && (this.times[0] ?? 0) < since) this.times.shift();
     return this.times.length;
   }
 
-  /** Milliseconds until another event keeps the count within `limit`, which is at least 1. */
+  /** Returns the milliseconds to wait until one more event does not exceed `limit` events per window; `limit` is at least 1. */
   waitMs(limit: number): number {
     if (this.count() < limit) return 0;
     const now = this.clock.monotonic();
--- a/packages/runtime/src/streaming-http.ts
+++ b/packages/runtime/src/streaming-http.ts
@@ -1,72 +1,72 @@
 /**
- * HTTP for passing requests through: headers as they came, bodies as they arrive. Beside {@link HttpHandler},
- * which sees whole requests with normalised headers.
+ * HTTP interfaces of the proxy: headers are forwarded unchanged and bodies are streamed. For complete requests with
+ * normalised headers see {@link HttpHandler}.
  */
 
-/** Header names and values in turn, in the order and spelling received. */
+/** Alternating header names and values, in the order and spelling received. */
 export type RawHeaders = readonly string[];
 
-/** Head of an answer. */
+/** Status and headers of a response. */
 export interface ResponseHead {
   readonly status: number;
   readonly headers: RawHeaders;
 }
 
-/** A request that a client has sent and that must be answered once. */
+/** A client request, which must be answered or aborted exactly once. */
 export interface IncomingExchange {
   readonly method: string;
-  /** Request target, unchanged. */
+  /** Request target as received. */
   readonly target: string;
-  /** Headers by lower-case name; of repeated ones the first, unless the standard joins them. */
+  /** Headers by lower-case name; of repeated headers the first value, unless HTTP allows joining them. */
   readonly headers: Readonly<Record<string, string | undefined>>;
   readonly rawHeaders: RawHeaders;
-  /** Aborts when the client has gone before its answer was complete. */
+  /** Aborts when the client disconnects before its response is complete. */
   readonly signal: AbortSignal;
-  /** Collects the body. @throws BodyTooLargeError beyond `maximumBytes`; Error when the client breaks off. */
+  /** Reads the complete body. @throws BodyTooLargeError above `maximumBytes`; Error when the client disconnects. */
   readBody(maximumBytes: number): Promise<Uint8Array>;
-  /** Sends a whole answer. */
+  /** Sends a complete response. */
   respond(head: ResponseHead, body: Uint8Array): void;
-  /** Begins an answer whose body follows by {@link ResponseStream}. */
+  /** Begins a response whose body is written to the returned {@link ResponseStream}. */
   beginStream(head: ResponseHead): ResponseStream;
-  /** Ends the connection without a complete answer. */
+  /** Closes the connection without a complete response. */
   abort(): void;
 }
 
-/** Body of an answer in progress. */
+/** Body of a response in progress. */
 export interface ResponseStream {
-  /** Resolves when the client's side can take more; nothing is to be waited for where it can at once. */
+  /** Writes a chunk. Returns a promise that resolves when more can be written, or undefined when that is already possible. */
   write(chunk: Uint8Array): Promise<void> | undefined;
-  /** Ends the answer as complete. */
+  /** Completes the response. */
   end(): void;
-  /** Ends the connection so that the answer cannot be taken for complete. */
+  /** Closes the connection in a way that marks the response as incomplete. */
   abort(): void;
 }
 
-/** Limits of an ingress; may be changed while it runs. */
+/** Limits of an ingress; can be changed at run time. */
 export interface IngressLimits {
-  /** Largest head of a request in bytes. */
+  /** Maximum size of a request head in bytes. */
   readonly maximumHeaderBytes: number;
-  /** Milliseconds a client may take for the head of a request. */
+  /** Milliseconds within which a client must send the head of a request. */
   readonly headerTimeoutMs: number;
-  /** Milliseconds a connection may rest between requests. */
+  /** Milliseconds for which a connection may be idle between requests. */
   readonly idleTimeoutMs: number;
 }
 
-/** Accepts requests on one address. */
+/** Server that accepts requests on one address. */
 export interface Ingress {
-  /** Applies new limits to connections and requests from now on. */
+  /** Applies new limits to subsequent connections and requests. */
   setLimits(limits: IngressLimits): void;
-  /** From now on answers ask clients to use another connection. */
+  /** Adds `Connection: close` to subsequent responses, so that clients open new connections. */
   startDraining(): void;
-  /** Number of requests that are not yet answered. */
+  /** Number of requests whose response is not yet complete. */
   readonly inProgress: number;
-  /** Stops accepting and ends connections that carry no request. */
+  /** Stops accepting connections and closes idle ones. */
   closeIdle(): void;
-  /** Ends everything. */
+  /** Closes the server and all its connections. */
   close(): Promise<void>;
 }
 
-/** The body is larger than allowed. */
+/** The request body exceeds the size limit. */
 export class BodyTooLargeError extends Error {
   override readonly name = 'BodyTooLargeError';
 }
@@ -77,38 +77,38 @@
   readonly address: string;
   readonly method: string;
   readonly target: string;
-  /** All headers to send but those of the connection; the length is added. */
+  /** Headers to send, without connection headers and content length, which are added. */
   readonly headers: RawHeaders;
   readonly body: Uint8Array;
-  /** Ends the call, and the connection with it. */
+  /** Aborts the call and closes its connection. */
   readonly signal: AbortSignal;
-  /** Milliseconds to wait for a new connection. */
+  /** Time-out for opening a new connection, in milliseconds. */
   readonly connectTimeoutMs: number;
 }
 
-/** Answer of a back end; the body is read as it arrives and throws when it breaks off. */
+/** Response of a back end; the body is streamed and throws when it is truncated. */
 export interface BackendAnswer {
   readonly status: number;
   readonly headers: Readonly<Record<string, string | undefined>>;
   readonly rawHeaders: RawHeaders;
-  /** The body has no length of its own: it ends when the back end closes the connection, which a process that ends does as well. */
+  /** Whether the end of the body is marked only by the end of the connection, which a crash of the back end causes as well. */
   readonly endsWithConnection: boolean;
   readonly body: AsyncIterable<Uint8Array>;
-  /** Ends the connection; the body then throws if it is not complete. */
+  /** Closes the connection; reading an incomplete body then throws. */
   discard(): void;
 }
 
-/** Sends requests to back ends over kept connections. */
+/** Sends requests to back ends over pooled connections. */
 export interface BackendClient {
   /**
-   * Resolves with the head of the answer.
+   * Resolves when the response head has arrived; the body may still be streaming.
    *
    * @throws HttpNotSentError when no byte of the request can have reached the back end.
-   * @throws Error for any other failure: the request may have been received.
+   * @throws Error for any other failure; the request may have been received.
    */
   send(call: BackendCall): Promise<BackendAnswer>;
-  /** Ends the kept connections to an address. */
+  /** Closes the idle connections to an address and discards its pool. */
   forget(address: string): void;
-  /** New connections made so far. */
+  /** Number of connections opened since the start. */
   readonly connectionsOpened: number;
 }
--- a/packages/runtime/src/suspension-meter.ts
+++ b/packages/runtime/src/suspension-meter.ts
@@ -1,20 +1,19 @@
 /**
- * Time that has passed, that of a suspended machine included. The steady clock stands still while a machine is suspended; the
- * time of day goes on. So a time of day that has run ahead of the steady clock may mean a suspension, and is taken for one.
- * A time of day that is set forward looks the same: too much is counted then, never too little. Blind only where the
- * time of day is set back within the very suspension.
+ * Measures elapsed time including machine suspensions, during which the monotonic clock stops and the wall clock advances.
+ * Counts a jump of the wall clock ahead of the monotonic clock as a suspension. Setting the wall clock forward therefore counts
+ * too much time; a suspension is missed only when the wall clock is set back during it.
  *
- * The boot clock, which counts suspensions exactly, is not to be had in Node.js without a native module: `os.uptime()`
- * reads a file of the system, which does not follow the other clocks where a platform keeps time for its machines.
+ * Node.js offers no boot-time clock without a native module, and `os.uptime()` is inconsistent with the other clocks on
+ * platforms that virtualise time.
  */
 
 /**
- * Advance of the time of day over the steady clock between two readings that counts as a suspension, in milliseconds. Corrections of
- * the time of day stay far below it (0.5 ms a second); suspensions last for seconds, and what lapses keeps margins of 300 ms or more.
+ * Advance of the wall clock over the monotonic clock between two readings that counts as a suspension, in milliseconds. Must
+ * exceed gradual clock corrections and stay below the safety margins of leases.
  */
 const MIN_SUSPENSION_JUMP_MS = 100;
 
-/** Meter of one machine. Both readings in milliseconds. */
+/** Tracks the suspensions of one machine from its monotonic and wall clock, both in milliseconds. */
 export class SuspensionMeter {
   private lastWallOffsetMs: number;
   private suspendedMs = 0;
@@ -26,7 +25,7 @@
     this.lastWallOffsetMs = wall() - monotonic();
   }
 
-  /** Milliseconds since the start of the steady clock, suspensions included; never goes back. */
+  /** Returns the milliseconds since the start of the monotonic clock including suspensions; never decreases. */
   elapsed(): number {
     const monotonicMs = this.monotonic();
     const wallOffsetMs = this.wall() - monotonicMs;
--- a/packages/runtime/src/task-group.ts
+++ b/packages/runtime/src/task-group.ts
@@ -1,11 +1,11 @@
-/** Long-running tasks with one owner: started together, stopped together, failures reported. */
+/** Group of background tasks that are stopped together and whose failures are reported. */
 import { setMaxListeners } from 'node:events';
 import { sleep, type Clock } from './clock.js';
 
-/** Called with what a task threw. */
+/** Called with the name of a failed task and the error that it threw. */
 export type TaskFailureHandler = (name: string, error: unknown) => void;
 
-/** Runs tasks until stopped. A task is an async function that watches its signal. */
+/** Runs tasks until stopped. A task is an async function that returns when its signal aborts. */
 export class TaskGroup {
   private readonly controller = new AbortController();
   private readonly running = new Set<Promise<void>>();
@@ -14,16 +14,16 @@
     private readonly clock: Clock,
     private readonly onFailure: TaskFailureHandler,
   ) {
-    // Every sleeping task listens for the stop.
+    // Each sleeping task adds a listener, which would exceed the default limit.
     setMaxListeners(0, this.controller.signal);
   }
 
-  /** Aborts when the group stops. */
+  /** Aborts when the group is stopped. */
   get signal(): AbortSignal {
     return this.controller.signal;
   }
 
-  /** Starts a task. */
+  /** Starts a task; its failure is reported unless the group was stopped. */
   spawn(name: string, task: (signal: AbortSignal) => Promise<void>): void {
     const promise = task(this.signal)
       .catch((error: unknown) => {
@@ -33,7 +33,7 @@
     this.running.add(promise);
   }
 
-  /** Runs `step` over and over with `pauseMs()` between the end of one and the start of the next. */
+  /** Runs `step` repeatedly, with a pause of `pauseMs()` after each run. A failed run is reported and the loop continues. */
   loop(name: string, pauseMs: () => number, step: (signal: AbortSignal) => Promise<void>): void {
     this.spawn(name, async (signal) => {
       while (!signal.aborted) {
@@ -47,12 +47,12 @@
     });
   }
 
-  /** Asks all tasks to end, without waiting. */
+  /** Signals all tasks to stop without waiting for them. */
   abort(): void {
     this.controller.abort();
   }
 
-  /** Asks all tasks to end and waits for them. */
+  /** Signals all tasks to stop and waits until they have finished. */
   async stop(): Promise<void> {
     this.controller.abort();
     await Promise.all(this.running);
--- a/packages/runtime/src/tcp-transport.ts
+++ b/packages/runtime/src/tcp-transport.ts
@@ -1,4 +1,4 @@
-/** The transport over TCP or TLS. A frame is a 4-byte big-endian length and that many bytes. */
+/** Transport over TCP or TLS. Each frame is prefixed by its length as a 4-byte big-endian integer. */
 import { createServer, connect as connectTcp, type AddressInfo, type Server, type Socket } from 'node:net';
 import { connect as connectTls, createServer as createTlsServer } from 'node:tls';
 import { AsyncQueue } from './async-queue.js';
@@ -6,7 +6,7 @@
 import { parseAddress, type Address, type Connection, type Listener, type Transport } from './transport.js';
 
 const LENGTH_BYTES = 4;
-/** Largest frame accepted from a peer, in bytes. */
+/** Maximum size of a frame accepted from a peer; a larger one closes the connection. */
 export const MAXIMUM_FRAME_BYTES = 16 * 1024 * 1024;
 
 class TcpConnection implements Connection {
@@ -62,9 +62,9 @@
   }
 }
 
-/** Transport of the shipped daemons. */
+/** Transport over TCP, or over mutual TLS when keys are given. */
 export class TcpTransport implements Transport {
-  /** @param tls Keys for mutual TLS; plain TCP when absent. */
+  /** @param tls Certificate and key for mutual TLS; plain TCP when absent. */
   constructor(private readonly tls?: TlsSource) {}
 
   listen(address: Address, accept: (connection: Connection) => void): Promise<Listener> {
--- a/packages/runtime/src/tls-refresh.ts
+++ b/packages/runtime/src/tls-refresh.ts
@@ -1,21 +1,21 @@
-/** Keys for TLS that are read again while the server runs, so that certificates can be replaced without a restart. */
+/** Periodic reload of TLS certificates and keys, so that they can be replaced without a restart. */
 import { readFileSync } from 'node:fs';
 import type { SecureContextOptions } from 'node:tls';
 
-/** The keys as they are now. */
+/** Returns the current certificate and key. */
 export type TlsSource = () => SecureContextOptions;
 
-/** Files with PEM-encoded keys. */
+/** Paths of PEM-encoded certificate and key files. */
 export interface TlsFiles {
   readonly certificate: string;
   readonly key: string;
-  /** Authority that signs the other side's certificates. */
+  /** Certificate authority that signs the certificates of peers. */
   readonly authority?: string;
 }
 
 const REFRESH_INTERVAL_MS = 5000;
 
-/** Reads keys from files on each call. */
+/** Returns a source that reads the files on each call. @throws Error from that source when a file cannot be read. */
 export function tlsFromFiles(files: TlsFiles): TlsSource {
   return () => ({
     cert: readFileSync(files.certificate),
@@ -24,13 +24,13 @@
   });
 }
 
-/** Gives a server new keys every few seconds; keys that cannot be read leave the present ones. Returns the stop. */
+/** Reloads the certificate and key of a server periodically; keeps the current ones when loading fails. Returns a function that stops the reload. */
 export function refreshTls(server: object, source: TlsSource): () => void {
   const timer = setInterval(() => {
     try {
       (server as { setSecureContext(options: SecureContextOptions): void }).setSecureContext(source());
     } catch {
-      // The files are being replaced right now; the next round reads them.
+      // The files may be in the middle of a replacement; the next reload tries again.
     }
   }, REFRESH_INTERVAL_MS);
   timer.unref();
--- a/packages/runtime/src/transport.ts
+++ b/packages/runtime/src/transport.ts
@@ -1,33 +1,33 @@
-/** Framed, ordered, connection-based messages between daemons, over TCP or in memory. */
+/** Interfaces for ordered, connection-based message frames between daemons, implemented over TCP and in simulation. */
 
 /** Address of a listener, as `ip:port`. */
 export type Address = string;
 
-/** One open connection. Frames arrive whole and in order while it lasts. */
+/** An open connection. Frames arrive complete and in order. */
 export interface Connection {
-  /** Address of the other side; for accepted connections, of the socket rather than of the listener. */
+  /** Remote address; for accepted connections the address of the socket, not of the peer listener. */
   readonly remote: Address;
-  /** Frames from the other side; ends when the connection does. */
+  /** Received frames; the iteration ends with the connection. */
   readonly frames: AsyncIterable<Uint8Array>;
-  /** Sends one frame; dropped when the connection has ended. */
+  /** Sends one frame; dropped when the connection is closed. */
   send(frame: Uint8Array): void;
-  /** Ends the connection; frames already sent may still arrive. */
+  /** Closes the connection; frames already sent may still arrive. */
   close(): void;
 }
 
-/** A listening address. */
+/** An address that accepts connections. */
 export interface Listener {
-  /** Address that others connect to. */
+  /** Address that peers connect to. */
   readonly address: Address;
-  /** Stops accepting and ends the accepted connections. */
+  /** Stops accepting connections and closes the accepted ones. */
   close(): Promise<void>;
 }
 
-/** Makes connections and accepts them. */
+/** Opens and accepts connections. */
 export interface Transport {
-  /** Accepts connections on `address`; port 0 takes a free one. */
+  /** Accepts connections on `address`; port 0 selects a free port. */
   listen(address: Address, accept: (connection: Connection) => void): Promise<Listener>;
-  /** Opens a connection; rejects when the other side cannot be reached within `timeoutMs`. */
+  /** Opens a connection; rejects when the address cannot be reached within `timeoutMs`. */
   connect(address: Address, timeoutMs: number): Promise<Connection>;
 }
 
@@ -37,7 +37,7 @@
   readonly port: number;
 }
 
-/** Splits `ip:port`; IPv6 addresses stand in brackets. Throws on text of another shape. */
+/** Parses `ip:port`, with IPv6 addresses in brackets. @throws Error when the text has another format. */
 export function parseAddress(address: Address): HostAndPort {
   const separator = address.lastIndexOf(':');
   const host = address.slice(0, separator).replace(/^\[|\]$/g, '');
--- a/packages/runtime/src/undici-client.ts
+++ b/packages/runtime/src/undici-client.ts
@@ -1,4 +1,4 @@
-/** The HTTP client of the shipped daemons, over undici. */
+/** HTTP client based on undici. */
 import { Agent, errors, type Dispatcher } from 'undici';
 import {
   CONNECT_TIMEOUT_MS,
@@ -11,16 +11,16 @@
 
 /** Options of {@link UndiciHttpClient}. */
 export interface UndiciHttpClientOptions {
-  /** Connections per origin. @default 128 */
+  /** Maximum number of connections per origin. @default 128 */
   readonly connections?: number;
-  /** Milliseconds to wait for a connection. @default 500 */
+  /** Time-out for opening a connection, in milliseconds. @default 500 */
   readonly connectTimeoutMs?: number;
 }
 
 const DEFAULT_CONNECTIONS = 128;
 const NOT_SENT_CODES = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'UND_ERR_CONNECT_TIMEOUT']);
 
-/** Keeps connections open and reuses them. */
+/** Sends requests over pooled connections. */
 export class UndiciHttpClient implements HttpClient {
   private readonly agent: Agent;
 
@@ -56,7 +56,7 @@
         body: call.body ?? null,
         signal: timeout.signal,
       });
-      // Aborting destroys the body stream, which then reports the failure to whoever reads it.
+      // Aborting destroys the body stream; its error event must be handled even when the body is not being read.
       response.body.on('error', () => undefined);
       return { status: response.statusCode, headers: flatten(response.headers), body: response.body };
     } catch (error) {
@@ -66,7 +66,7 @@
     }
   }
 
-  /** Closes idle connections and ends the others. */
+  /** Closes all connections and aborts requests in progress. */
   async close(): Promise<void> {
     await this.agent.destroy();
   }
--- a/packages/runtime/src/wakeup.ts
+++ b/packages/runtime/src/wakeup.ts
@@ -1,18 +1,18 @@
-/** A pause that another task can cut short. */
+/** Interruptible wait. */
 import type { Clock } from './clock.js';
 
-/** One task waits; any other wakes it. A wake-up while nobody waits ends the next wait at once. */
+/** Lets one task wait until another wakes it. A wake-up without a waiting task completes the next wait immediately. */
 export class Wakeup {
   private pending = false;
   private finish: (() => void) | undefined;
 
-  /** Ends the present wait, or the next one. */
+  /** Completes the current wait, or the next one when no task is waiting. */
   wake(): void {
     if (this.finish === undefined) this.pending = true;
     else this.finish();
   }
 
-  /** Resolves after `limitMs`, on a wake-up, or when `signal` aborts. */
+  /** Resolves after `limitMs` milliseconds, on a wake-up, or when `signal` aborts. */
   wait(clock: Clock, limitMs: number, signal: AbortSignal): Promise<void> {
     if (this.pending || signal.aborted) {
       this.pending = false;
