--- a/packages/observability/test/call-failures.test.ts
+++ b/packages/observability/test/call-failures.test.ts
@@ -3,7 +3,7 @@
 import { CallFailures, type EventDetails } from '../src/index.js';
 
 describe('CallFailures', () => {
-  it('counts every failure, and writes a line a second for each kind of call', async () => {
+  it('counts every failure and logs at most one line per second for each kind of call', async () => {
     const world = new SimulatedWorld();
     const clock = new SimulatedProcess(world, { name: 'd', zone: 'z', region: 'r' });
     const lines: EventDetails[] = [];
--- a/packages/observability/test/observability.test.ts
+++ b/packages/observability/test/observability.test.ts
@@ -8,7 +8,7 @@
 }
 
 describe('BoundedLog', () => {
-  it('writes lines of each class within its budget, and tells how many were left out', async () => {
+  it('limits the lines of each class and reports the number of dropped lines', async () => {
     const world = new SimulatedWorld();
     const written: string[] = [];
     const log = new BoundedLog({
@@ -32,7 +32,7 @@
     expect(log.dropped.routine).to.equal(45);
   });
 
-  it('holds a bounded number of bytes when nobody reads, and never waits', async () => {
+  it('drops lines without blocking when the buffer for an unread sink is full', async () => {
     const world = new SimulatedWorld();
     let taken = 0;
     const log = new BoundedLog({
@@ -54,7 +54,7 @@
 });
 
 describe('log events', () => {
-  it('stand in docs/LOGS.md as they stand in the code', () => {
+  it('match the generated page docs/LOGS.md', () => {
     const page = new URL('../../../../docs/LOGS.md', import.meta.url);
     expect(readFileSync(page, 'utf8')).to.equal(renderLogEvents());
   });
@@ -83,7 +83,7 @@
     }
   });
 
-  it('bounds the series of a family', () => {
+  it('limits the number of series per metric', () => {
     const registry = new MetricRegistry();
     const counter = registry.counter('c_total', 'C.');
     for (let count = 0; count < 1000; count += 1) counter.add({ label: String(count) });
--- a/packages/runtime/test/http.test.ts
+++ b/packages/runtime/test/http.test.ts
@@ -41,7 +41,7 @@
   Promise.resolve(jsonResponse(200, { method: request.method, size: request.body.byteLength }));
 
 describe('HTTP over express and undici', () => {
-  it('carries bodies and refuses those over the limit', async () => {
+  it('transfers bodies and rejects those over the limit', async () => {
     await withServer(echo, async (server, http) => {
       const origin = `http://${server.address}`;
       const small = await http.send({ method: 'POST', origin, path: '/', body: new Uint8Array(1000) });
@@ -52,7 +52,7 @@
     });
   });
 
-  it('tells the handler when the client goes away, and the client when a stream is cut off', async () => {
+  it('notifies the handler when the client disconnects, and the client when a stream is truncated', async () => {
     let gone = false;
     const handler: HttpHandler = (request) => {
       request.signal.addEventListener('abort', () => {
@@ -82,7 +82,7 @@
     });
   });
 
-  it('says that nothing was sent when nobody listens', async () => {
+  it('fails with HttpNotSentError when the connection is refused', async () => {
     const http = new UndiciHttpClient();
     const sending = http.send({ method: 'GET', origin: 'http://127.0.0.1:1', path: '/' });
     expect(await sending.catch((error: unknown) => error)).to.be.instanceOf(HttpNotSentError);
@@ -114,7 +114,7 @@
     await server.close();
   });
 
-  it('ends connections whose headers do not come', async () => {
+  it('closes connections whose headers are not received in time', async () => {
     await withServer(echo, async (server) => {
       const { host, port } = parseAddress(server.address);
       const answer = await new Promise<string>((resolve) => {
--- a/packages/runtime/test/node-backend-client.test.ts
+++ b/packages/runtime/test/node-backend-client.test.ts
@@ -3,7 +3,7 @@
 import { expect } from 'chai';
 import { HttpNotSentError, NodeBackendClient, type BackendAnswer } from '../src/index.js';
 
-/** A back end that answers with raw bytes. */
+/** TCP server that responds with raw bytes, including malformed responses. */
 class RawBackend {
   readonly sockets: Socket[] = [];
   private readonly server: Server;
@@ -64,13 +64,13 @@
     backend.close();
   });
 
-  it('takes an answer without a length that ends with its connection for complete', async () => {
+  it('accepts a response without a length as complete when its connection ends normally', async () => {
     backend = new RawBackend((socket) => socket.end('HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nwhole'));
     const answer = await sendRequest(new NodeBackendClient(), await backend.listen());
     expect(await textOf(answer)).to.equal('whole');
   });
 
-  it('tells whether a body ends with its connection, which one that never comes does not', async () => {
+  it('reports whether the end of the body is the end of the connection, except for responses without a body', async () => {
     const heads = [
       '200 OK\r\n',
       '200 OK\r\nContent-Length: 0\r\n',
@@ -93,7 +93,7 @@
     backend.close();
   });
 
-  it('sees that an answer without a length was reset, also when the reset comes together with the data', async () => {
+  it('fails a response without a length when its connection is reset, even if the reset arrives with the data', async () => {
     backend = new RawBackend((socket) => {
       socket.write('HTTP/1.1 200 OK\r\nConnection: close\r\n\r\npart');
       socket.resetAndDestroy();
@@ -105,13 +105,13 @@
     expect(broken).to.be.instanceOf(Error);
   });
 
-  it('sees that an answer with a length broke off', async () => {
+  it('fails a response that is shorter than its length', async () => {
     backend = new RawBackend((socket) => socket.end('HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\npart'));
     const answer = await sendRequest(new NodeBackendClient(), await backend.listen());
     expect(await failureOf(textOf(answer))).to.be.instanceOf(Error);
   });
 
-  it('keeps connections, and never uses one again on which bytes came unasked', async () => {
+  it('reuses connections, except one that received data while idle', async () => {
     backend = new RawBackend((socket, _request, count) => {
       socket.write('HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok');
       if (count === 2) setImmediate(() => socket.write('HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray'));
@@ -126,7 +126,7 @@
     expect(client.connectionsOpened).to.equal(2);
   });
 
-  it('says that a request was not sent when no connection could be made', async () => {
+  it('fails with HttpNotSentError when the connection is refused', async () => {
     backend = new RawBackend(() => undefined);
     const address = await backend.listen();
     backend.close();
--- a/packages/runtime/test/node-ingress.test.ts
+++ b/packages/runtime/test/node-ingress.test.ts
@@ -8,7 +8,7 @@
   idleTimeoutMs: 1000,
 };
 
-/** Sends a request line of the given version; resolves with what came, and how the connection ended. */
+/** Sends a request of the given HTTP version; resolves with the received text and how the connection ended. */
 function sendRequest(
   port: number,
   version: string,
@@ -27,7 +27,7 @@
   });
 }
 
-/** Whether a client without chunks takes it for a whole answer: as long as its head says, or up to the close where it says nothing. */
+/** Whether a client without chunked encoding considers the response complete: by its length, or without one by the end of the connection. */
 function isWhole(text: string): boolean {
   const [head = '', ...rest] = text.split('\r\n\r\n');
   const length = /^content-length: (\d+)$/im.exec(head)?.[1];
@@ -35,11 +35,11 @@
 }
 
 describe('NodeIngress', () => {
-  it('lets no answer that is cut look complete, also to a client that takes no chunks', async () => {
+  it('marks an aborted response as incomplete, also for a client without chunked encoding', async () => {
     const ingress = await NodeIngress.listen('127.0.0.1:0', LIMITS, async (exchange) => {
       const stream = exchange.beginStream({ status: 200, headers: [] });
       await stream.write(Buffer.from('half'));
-      // Time for the client to read it: a reset drops what is still on its way.
+      // Lets the client read the data first, as a reset discards undelivered data.
       setTimeout(() => {
         stream.abort();
       }, 50);
@@ -48,18 +48,15 @@
       const chunked = await sendRequest(ingress.port, '1.1');
       expect(chunked.text).to.match(/half/);
       expect(chunked.text).to.not.match(/\r\n0\r\n/);
-      // Nothing came that could be taken for an answer, and no plain close either.
+      // Neither a response nor a normal end of the connection, which would mark it as complete.
       expect(await sendRequest(ingress.port, '1.0')).to.deep.equal({ text: '', end: 'reset' });
     } finally {
       await ingress.close();
     }
   });
 
-  /*
-   * Seen by reading: a client of HTTP/1.0 takes no chunks, so that its answer ends with the connection. A daemon that is killed cannot reset it, and
-   * the kernel closes it plainly: half a stream passed for a whole one. Such an answer is given a length now, and so only when it is whole.
-   */
-  it('lets no answer look complete to a client that takes no chunks when the process is gone', async () => {
+  // Without a length, a partial response would look complete after a crash, as the kernel closes the connection normally.
+  it('marks a partial response as incomplete for a client without chunked encoding when the process is killed', async () => {
     let begun: () => void = () => undefined;
     const hasBegun = new Promise<void>((resolve) => (begun = resolve));
     const ingress = await NodeIngress.listen('127.0.0.1:0', LIMITS, async (exchange) => {
@@ -70,12 +67,12 @@
     const asked = sendRequest(ingress.port, '1.0');
     await hasBegun;
     await new Promise((resolve) => setTimeout(resolve, 50));
-    // What the kernel does with the connections of a process that is killed.
+    // The kernel closes the connections of a killed process in the same way.
     await ingress.close();
     expect(isWhole((await asked).text)).to.equal(false);
   });
 
-  it('gives a client that takes no chunks the whole of a stream, with its length', async () => {
+  it('sends a stream with a content length to a client without chunked encoding', async () => {
     const ingress = await NodeIngress.listen('127.0.0.1:0', LIMITS, async (exchange) => {
       const stream = exchange.beginStream({ status: 200, headers: ['Content-Type', 'text/event-stream'] });
       for (const event of ['id: 0\n\n', 'id: 1\n\n']) await stream.write(Buffer.from(event));
@@ -90,7 +87,7 @@
     }
   });
 
-  it('cuts off a client that takes no chunks where its answer is larger than is kept for it', async () => {
+  it('resets the connection of a client without chunked encoding when the response exceeds the buffer limit', async () => {
     const ingress = await NodeIngress.listen('127.0.0.1:0', LIMITS, async (exchange) => {
       const stream = exchange.beginStream({ status: 200, headers: [] });
       for (let index = 0; index < 5; index += 1)
--- a/packages/runtime/test/primitives.test.ts
+++ b/packages/runtime/test/primitives.test.ts
@@ -17,8 +17,8 @@
   return new SimulatedProcess(world, { name: 'p', zone: 'z', region: 'r', clockRate });
 }
 
-describe('random source', () => {
-  it('repeats itself for a seed and keeps within bounds', () => {
+describe('Random', () => {
+  it('returns equal sequences for equal seeds and values within bounds', () => {
     const first = new Random(7);
     const second = new Random(7);
     for (let draw = 0; draw < 1000; draw += 1) {
@@ -32,8 +32,8 @@
   });
 });
 
-describe('async queue', () => {
-  it('gives values in order, then its end or its failure', async () => {
+describe('AsyncQueue', () => {
+  it('yields values in order, then throws the error it was closed with', async () => {
     const queue = new AsyncQueue<number>();
     queue.push(1);
     const seen: number[] = [];
@@ -49,7 +49,7 @@
 });
 
 describe('retry policy', () => {
-  it('keeps retries a share of the load', () => {
+  it('limits retries to a share of the load', () => {
     const world = new SimulatedWorld();
     const budget = new RetryBudget({ ratio: 0.1, minimumPerSecond: 0, maximumSaved: 5 }, newProcess(world));
     let retries = 0;
@@ -60,7 +60,7 @@
     expect(retries).to.be.within(95, 106);
   });
 
-  it('backs off exponentially up to a maximum', () => {
+  it('increases delays exponentially up to a maximum', () => {
     const random = new Random(1);
     const options = { initialMs: 10, maximumMs: 100 };
     expect(backoffDelay(options, 0, random)).to.be.within(5, 10);
@@ -68,8 +68,8 @@
   });
 });
 
-describe('simulated processes', () => {
-  it('keep their own time, wait while paused and run nothing once killed', async () => {
+describe('SimulatedProcess', () => {
+  it('follows its own clock rate, delays timers while paused and runs no timers once killed', async () => {
     const world = new SimulatedWorld();
     const fast = newProcess(world, 2);
     const log: string[] = [];
@@ -85,7 +85,7 @@
     expect(fast.monotonic()).to.equal(20_000);
   });
 
-  it('settle promises within limits and wake up on call', async () => {
+  it('supports time-outs of promises and interruptible waits', async () => {
     const world = new SimulatedWorld();
     const process = newProcess(world);
     const never = settleWithin(process, 100, new Promise(() => undefined));
@@ -110,7 +110,7 @@
 });
 
 describe('SlidingWindow', () => {
-  it('counts what happened in the window, and says when there is room again', async () => {
+  it('counts events in the window and returns the wait until another event is allowed', async () => {
     const world = new SimulatedWorld();
     const window = new SlidingWindow(1000, newProcess(world));
     const begun: number[] = [];
@@ -130,7 +130,7 @@
 });
 
 describe('leastBy', () => {
-  it('gives the first of the cheapest, and nothing of nothing', () => {
+  it('returns the first item with the lowest cost, and undefined for no items', () => {
     const items = ['bb', 'a', 'c'];
     expect(leastBy(items, (item) => item.length)).to.equal('a');
     expect(leastBy([], () => 0)).to.equal(undefined);
--- a/packages/runtime/test/transport.test.ts
+++ b/packages/runtime/test/transport.test.ts
@@ -17,7 +17,7 @@
   return 'ended';
 }
 
-/** Opens a connection, sends one frame and returns what comes back. */
+/** Opens a connection, sends one frame and returns the response. */
 async function echo(server: TcpTransport, client: TcpTransport, text: string): Promise<string> {
   const listener = await server.listen('127.0.0.1:0', (connection) => {
     void firstFrame(connection).then((received) => {
@@ -33,23 +33,23 @@
   }
 }
 
-describe('TCP transport', () => {
-  it('carries frames', async () => {
+describe('TcpTransport', () => {
+  it('transfers frames', async () => {
     expect(await echo(new TcpTransport(), new TcpTransport(), 'hello')).to.equal('echo hello');
   });
 
-  it('carries frames under mutual TLS', async () => {
+  it('transfers frames over mutual TLS', async () => {
     const keys = keysOf('daemon');
     expect(await echo(new TcpTransport(keys), new TcpTransport(keys), 'hello')).to.equal('echo hello');
   });
 
-  it('refuses a peer whose certificate no common authority has signed', async () => {
+  it('rejects a peer whose certificate was signed by another authority', async () => {
     const stranger = new TcpTransport(keysOf('stranger'));
     const outcome = await echo(new TcpTransport(keysOf('daemon')), stranger, 'hello').catch(() => 'refused');
     expect(outcome).to.be.oneOf(['refused', 'ended']);
   });
 
-  it('reads addresses', () => {
+  it('parses addresses', () => {
     expect(parseAddress('10.0.0.1:80')).to.deep.equal({ host: '10.0.0.1', port: 80 });
     expect(parseAddress('[::1]:80')).to.deep.equal({ host: '::1', port: 80 });
     expect(() => parseAddress('nowhere')).to.throw();
