--- a/packages/runtime/test/http.test.ts
+++ b/packages/runtime/test/http.test.ts
@@ -117,7 +117,7 @@
   it('closes connections whose headers are not received in time', async () => {
     await withServer(echo, async (server) => {
       const { host, port } = parseAddress(server.address);
-      const answer = await new Promise<string>((resolve) => {
+      const response = await new Promise<string>((resolve) => {
         let received = '';
         const socket = connect(port, host, () => socket.write('GET / HTTP/1.1\r\nhost: x\r\nslow:'));
         socket.on('data', (chunk) => (received += chunk.toString()));
@@ -125,7 +125,7 @@
           resolve(received);
         });
       });
-      expect(answer).to.contain('408');
+      expect(response).to.contain('408');
     });
   });
 });
--- a/packages/runtime/test/node-backend-client.test.ts
+++ b/packages/runtime/test/node-backend-client.test.ts
@@ -43,9 +43,9 @@
   });
 }
 
-async function textOf(answer: BackendAnswer): Promise<string> {
+async function textOf(response: BackendAnswer): Promise<string> {
   const chunks: Uint8Array[] = [];
-  for await (const chunk of answer.body) chunks.push(chunk);
+  for await (const chunk of response.body) chunks.push(chunk);
   return Buffer.concat(chunks).toString();
 }
 
@@ -66,8 +66,8 @@
 
   it('accepts a response without a length as complete when its connection ends normally', async () => {
     backend = new RawBackend((socket) => socket.end('HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nwhole'));
-    const answer = await sendRequest(new NodeBackendClient(), await backend.listen());
-    expect(await textOf(answer)).to.equal('whole');
+    const response = await sendRequest(new NodeBackendClient(), await backend.listen());
+    expect(await textOf(response)).to.equal('whole');
   });
 
   it('reports whether the end of the body is the end of the connection, except for responses without a body', async () => {
@@ -82,14 +82,14 @@
     });
     const address = await backend.listen();
     const client = new NodeBackendClient();
-    const told: boolean[] = [];
+    const results: boolean[] = [];
     for (const head of heads) {
-      const answer = await sendRequest(client, address);
-      await textOf(answer);
-      expect(head).to.contain(String(answer.status));
-      told.push(answer.endsWithConnection);
+      const response = await sendRequest(client, address);
+      await textOf(response);
+      expect(head).to.contain(String(response.status));
+      results.push(response.endsWithConnection);
     }
-    expect(told).to.deep.equal([true, false, false, false]);
+    expect(results).to.deep.equal([true, false, false, false]);
     backend.close();
   });
 
@@ -100,15 +100,15 @@
     });
     const address = await backend.listen();
     const client = new NodeBackendClient();
-    const answered = sendRequest(client, address);
-    const broken = await failureOf(answered.then(textOf));
-    expect(broken).to.be.instanceOf(Error);
+    const pendingResponse = sendRequest(client, address);
+    const failure = await failureOf(pendingResponse.then(textOf));
+    expect(failure).to.be.instanceOf(Error);
   });
 
   it('fails a response that is shorter than its length', async () => {
     backend = new RawBackend((socket) => socket.end('HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\npart'));
-    const answer = await sendRequest(new NodeBackendClient(), await backend.listen());
-    expect(await failureOf(textOf(answer))).to.be.instanceOf(Error);
+    const response = await sendRequest(new NodeBackendClient(), await backend.listen());
+    expect(await failureOf(textOf(response))).to.be.instanceOf(Error);
   });
 
   it('reuses connections, except one that received data while idle', async () => {
--- a/packages/runtime/test/suspension-meter.test.ts
+++ b/packages/runtime/test/suspension-meter.test.ts
@@ -2,39 +2,39 @@
 import { SuspensionMeter, SystemClock } from '../src/index.js';
 
 describe('SuspensionMeter', () => {
-  let steadyMs: number;
+  let monotonicMs: number;
   let wallMs: number;
   let meter: SuspensionMeter;
 
   beforeEach(() => {
-    steadyMs = 10;
+    monotonicMs = 10;
     wallMs = 5000;
     meter = new SuspensionMeter(
-      () => steadyMs,
+      () => monotonicMs,
       () => wallMs,
     );
   });
 
-  function pass(steady: number, wall: number): number {
-    steadyMs += steady;
-    wallMs += wall;
+  function advance(monotonicByMs: number, wallByMs: number): number {
+    monotonicMs += monotonicByMs;
+    wallMs += wallByMs;
     return meter.elapsed();
   }
 
   it('counts the time missed by the monotonic clock once', () => {
-    expect(pass(1000, 1000)).to.equal(1010);
-    expect(pass(5, 4005)).to.equal(5015);
-    expect(pass(1000, 1000)).to.equal(6015);
+    expect(advance(1000, 1000)).to.equal(1010);
+    expect(advance(5, 4005)).to.equal(5015);
+    expect(advance(1000, 1000)).to.equal(6015);
   });
 
   it('counts a wall clock set forward as a suspension, and never decreases when it is set back', () => {
-    expect(pass(100, 2100)).to.equal(2110);
-    expect(pass(100, -1900)).to.equal(2210);
-    expect(pass(100, 3100)).to.equal(5310);
+    expect(advance(100, 2100)).to.equal(2110);
+    expect(advance(100, -1900)).to.equal(2210);
+    expect(advance(100, 3100)).to.equal(5310);
   });
 
   it('ignores gradual corrections of the wall clock', () => {
-    for (let second = 0; second < 1000; second += 1) pass(1000, 1000.5);
+    for (let second = 0; second < 1000; second += 1) advance(1000, 1000.5);
     expect(meter.elapsed()).to.equal(1_000_010);
   });
 
--- a/packages/runtime/test/transport.test.ts
+++ b/packages/runtime/test/transport.test.ts
@@ -3,8 +3,8 @@
 import { TcpTransport, parseAddress, tlsFromFiles, type Connection, type TlsSource } from '../src/index.js';
 
 function keysOf(name: string): TlsSource {
-  const file = (ending: string): string =>
-    fileURLToPath(new URL(`../../test/fixtures/${ending}`, import.meta.url));
+  const file = (fileName: string): string =>
+    fileURLToPath(new URL(`../../test/fixtures/${fileName}`, import.meta.url));
   return tlsFromFiles({
     certificate: file(`${name}.pem`),
     key: file(`${name}.key`),
