--- a/packages/runtime/src/express-server.ts
+++ b/packages/runtime/src/express-server.ts
@@ -9,30 +9,30 @@
 
 /** Options of {@link serveHttp}. */
 export interface ServeHttpOptions {
-  /** Address to listen on; port 0 takes a free one. */
+  /** Address to listen on; port 0 selects a free port. */
   readonly address: Address;
   readonly handler: HttpHandler;
-  /** Largest request body in bytes; a larger one gets the answer of `onTooLarge`. @default 1 MiB */
+  /** Maximum size of a request body in bytes; a larger one is answered with `onTooLarge`. @default 1 MiB */
   readonly maximumBodyBytes?: number;
-  /** Milliseconds a client may take for its headers. @default 10000 */
+  /** Milliseconds within which a client must send its headers. @default 10000 */
   readonly headersTimeoutMs?: number;
-  /** Milliseconds a client may take for the whole request. @default 30000 */
+  /** Milliseconds within which a client must send the whole request. @default 30000 */
   readonly requestTimeoutMs?: number;
-  /** Keys for HTTPS, read again when they change; plain HTTP when absent. */
+  /** Certificate and key for HTTPS, reloaded periodically; plain HTTP when absent. */
   readonly tls?: TlsSource;
-  /** Answer for a body over the limit. */
+  /** Returns the response to a request whose body is too large; the connection is closed without a response when absent. */
   readonly onTooLarge?: () => HttpResponse;
 }
 
 /** A running HTTP server. */
 export interface HttpServer {
-  /** Address it listens on. */
+  /** Address that the server is bound to. */
   readonly address: Address;
-  /** Requests being answered now. */
+  /** Number of requests in progress. */
   readonly activeRequests: () => number;
-  /** Stops accepting connections; those in progress go on. */
+  /** Stops accepting connections; requests in progress continue. */
   stopAccepting(): void;
-  /** Ends everything. */
+  /** Closes the server and all its connections. */
   close(): Promise<void>;
 }
 
@@ -44,7 +44,7 @@
 
 class BodyTooLargeError extends Error {}
 
-/** Starts a server. */
+/** Starts a server. @throws Error when the address cannot be bound. */
 export async function serveHttp(options: ServeHttpOptions): Promise<HttpServer> {
   let active = 0;
   const application = express();
@@ -55,7 +55,7 @@
     response.once('close', () => {
       active -= 1;
     });
-    void answer(request, response, options);
+    void handleRequest(request, response, options);
   });
   const limits = {
     headersTimeout: options.headersTimeoutMs ?? DEFAULT_HEADERS_TIMEOUT_MS,
@@ -92,14 +92,14 @@
   };
 }
 
-async function answer(
+async function handleRequest(
   request: IncomingMessage,
   response: ServerResponse,
   options: ServeHttpOptions,
 ): Promise<void> {
-  const gone = new AbortController();
+  const disconnected = new AbortController();
   response.once('close', () => {
-    if (!response.writableFinished) gone.abort();
+    if (!response.writableFinished) disconnected.abort();
   });
   try {
     const body = await readRequestBody(request, options.maximumBodyBytes ?? DEFAULT_MAXIMUM_BODY_BYTES);
@@ -108,7 +108,7 @@
       path: request.url ?? '/',
       headers: requestHeaders(request),
       body,
-      signal: gone.signal,
+      signal: disconnected.signal,
     });
     await sendResponse(response, result);
   } catch (error) {
@@ -132,12 +132,12 @@
   response.flushHeaders();
   for await (const chunk of body) {
     if (response.destroyed) return;
-    if (!response.write(chunk)) await drained(response);
+    if (!response.write(chunk)) await waitForDrain(response);
   }
   response.end();
 }
 
-function drained(response: ServerResponse): Promise<void> {
+function waitForDrain(response: ServerResponse): Promise<void> {
   return new Promise((resolve) => {
     const finish = (): void => {
       response.off('drain', finish);
--- a/packages/runtime/src/index.ts
+++ b/packages/runtime/src/index.ts
@@ -1,4 +1,4 @@
-/** Seams to the outside: time, randomness, transport and HTTP, each for real and in simulation. */
+/** Clock, randomness, transport and HTTP interfaces with production and simulated implementations. */
 export * from './async-queue.js';
 export * from './background-service.js';
 export * from './clock.js';
@@ -7,7 +7,7 @@
 export * from './http.js';
 export * from './least-by.js';
 export * from './node-backend-client.js';
-export * from './collected-response-stream.js';
+export * from './buffered-response-stream.js';
 export * from './node-ingress.js';
 export * from './random.js';
 export * from './retry.js';
--- a/packages/runtime/src/node-ingress.ts
+++ b/packages/runtime/src/node-ingress.ts
@@ -1,4 +1,4 @@
-/** The ingress of the shipped daemons, on the HTTP server of Node.js. */
+/** HTTP ingress based on the HTTP server of Node.js. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import type { Socket } from 'node:net';
 import {
@@ -10,21 +10,21 @@
   type ResponseHead,
   type ResponseStream,
 } from './streaming-http.js';
-import { CollectedResponseStream } from './collected-response-stream.js';
+import { BufferedResponseStream } from './buffered-response-stream.js';
 import { parseAddress, type Address } from './transport.js';
 
-/** Answers one request; must answer or abort the exchange in the end. */
+/** Handles one request; must eventually respond to the exchange or abort it. */
 export type ExchangeHandler = (exchange: IncomingExchange) => Promise<void>;
 
-/** Pause between two checks of connections for exceeded time limits, in milliseconds. */
+/** Interval between checks of connections for exceeded timeouts, in milliseconds. */
 const LIMIT_CHECK_INTERVAL_MS = 500;
-/** Largest head that the server can be told to take, in bytes; the limit in force is checked beside it. */
-const LARGEST_HEAD_BYTES = 256 * 1024;
-/** Bytes of a head around each name and value, and around the request line. */
-const HEADER_LINE_BYTES = 4;
-const REQUEST_LINE_BYTES = 14;
-const HEAD_TOO_LARGE = 431;
-/** A client that does not take its answer for this long is cut off, in milliseconds. */
+/** Upper bound of the configurable head size; Node.js fixes its own limit at start, so the configured limit is checked separately. */
+const MAX_HEAD_BYTES = 256 * 1024;
+/** Bytes of separators and line ends for each header, and for the request line including the HTTP version. */
+const HEADER_LINE_OVERHEAD_BYTES = 4;
+const REQUEST_LINE_OVERHEAD_BYTES = 14;
+const STATUS_HEADERS_TOO_LARGE = 431;
+/** Maximum time a client may block a write before its connection is closed, in milliseconds. */
 const WRITE_STALL_TIMEOUT_MS = 15_000;
 
 class NodeResponseStream implements ResponseStream {
@@ -52,7 +52,7 @@
     this.response.end();
   }
 
-  /** Without chunks a plain close would end the answer as complete: only a reset tells. */
+  /** Without chunked encoding, a normal close would mark the response as complete, so the connection is reset. */
   abort(): void {
     const { response } = this;
     if (!response.chunkedEncoding) response.socket?.resetAndDestroy();
@@ -98,23 +98,23 @@
       });
       this.request.on('error', reject);
       this.request.on('close', () => {
-        reject(new Error('the client broke off its request'));
+        reject(new Error('the client closed the connection before the end of its request'));
       });
     });
   }
 
   respond(head: ResponseHead, body: Uint8Array): void {
     if (this.response.headersSent || this.response.destroyed) return;
-    // A request that was not read to its end cannot be followed by another one on its connection.
-    const unread = !this.request.complete;
+    // The connection cannot be reused when the request body was not read to its end.
+    const isRequestUnread = !this.request.complete;
     const headers = [...head.headers, 'Content-Length', String(body.byteLength)];
-    this.writeHead(head.status, headers, unread);
-    if (unread) this.response.once('finish', () => this.request.destroy());
+    this.writeHead(head.status, headers, isRequestUnread);
+    if (isRequestUnread) this.response.once('finish', () => this.request.destroy());
     this.response.end(body);
   }
 
   beginStream(head: ResponseHead): ResponseStream {
-    if (!this.takesChunks && !hasLength(head)) return this.collect(head);
+    if (!this.supportsChunkedEncoding && !hasLength(head)) return this.beginBufferedStream(head);
     this.writeHead(head.status, [...head.headers], false);
     this.response.flushHeaders();
     return new NodeResponseStream(this.response);
@@ -125,13 +125,13 @@
     this.request.destroy();
   }
 
-  /** A client of HTTP/1.0 takes no chunks: without a length, its answer ends as whole with the connection, whatever ended that. */
-  private get takesChunks(): boolean {
+  /** Whether the client can receive chunks; HTTP/1.0 clients take the end of the connection for the end of the response. */
+  private get supportsChunkedEncoding(): boolean {
     return this.request.httpVersionMajor > 1 || this.request.httpVersionMinor > 0;
   }
 
-  private collect(head: ResponseHead): ResponseStream {
-    return new CollectedResponseStream(
+  private beginBufferedStream(head: ResponseHead): ResponseStream {
+    return new BufferedResponseStream(
       (body) => {
         this.respond(head, body);
       },
@@ -142,24 +142,24 @@
     );
   }
 
-  private writeHead(status: number, headers: string[], closing: boolean): void {
-    if (closing || this.isDraining()) headers.push('Connection', 'close');
+  private writeHead(status: number, headers: string[], closeConnection: boolean): void {
+    if (closeConnection || this.isDraining()) headers.push('Connection', 'close');
     this.response.writeHead(status, headers);
   }
 }
 
-/** Accepts requests over TCP. */
+/** Accepts HTTP requests and passes them to a handler. */
 export class NodeIngress implements Ingress {
   private readonly server: Server;
-  private readonly busy = new Map<Socket, number>();
+  private readonly activeRequestsBySocket = new Map<Socket, number>();
   private readonly sockets = new Set<Socket>();
-  private draining = false;
-  private unanswered = 0;
+  private isDraining = false;
+  private activeRequests = 0;
   private maximumHeaderBytes: number;
 
   private constructor(limits: IngressLimits, handler: ExchangeHandler) {
     this.server = createServer({
-      maxHeaderSize: LARGEST_HEAD_BYTES,
+      maxHeaderSize: MAX_HEAD_BYTES,
       connectionsCheckingInterval: LIMIT_CHECK_INTERVAL_MS,
       requireHostHeader: true,
       noDelay: true,
@@ -170,15 +170,15 @@
       this.sockets.add(socket);
       socket.on('close', () => {
         this.sockets.delete(socket);
-        this.busy.delete(socket);
+        this.activeRequestsBySocket.delete(socket);
       });
     });
     this.server.on('request', (request: IncomingMessage, response: ServerResponse) => {
-      this.accept(request, response, handler);
+      this.handleRequest(request, response, handler);
     });
   }
 
-  /** Starts listening on `ip:port`. */
+  /** Starts listening on `ip:port`. @throws Error when the address cannot be bound. */
   static async listen(
     address: Address,
     limits: IngressLimits,
@@ -193,14 +193,14 @@
     return ingress;
   }
 
-  /** Port in use; differs from the one asked for when that was 0. */
+  /** Bound port; differs from the requested port when that was 0. */
   get port(): number {
     const bound = this.server.address();
     return typeof bound === 'object' && bound !== null ? bound.port : 0;
   }
 
   get inProgress(): number {
-    return this.unanswered;
+    return this.activeRequests;
   }
 
   setLimits(limits: IngressLimits): void {
@@ -211,14 +211,14 @@
   }
 
   startDraining(): void {
-    this.draining = true;
+    this.isDraining = true;
   }
 
   closeIdle(): void {
-    this.draining = true;
+    this.isDraining = true;
     this.server.close(() => undefined);
     for (const socket of this.sockets) {
-      if (!this.busy.has(socket)) socket.end();
+      if (!this.activeRequestsBySocket.has(socket)) socket.end();
     }
   }
 
@@ -231,26 +231,26 @@
     });
   }
 
-  private accept(request: IncomingMessage, response: ServerResponse, handler: ExchangeHandler): void {
+  private handleRequest(request: IncomingMessage, response: ServerResponse, handler: ExchangeHandler): void {
     const { socket } = request;
-    this.unanswered += 1;
-    this.busy.set(socket, (this.busy.get(socket) ?? 0) + 1);
+    this.activeRequests += 1;
+    this.activeRequestsBySocket.set(socket, (this.activeRequestsBySocket.get(socket) ?? 0) + 1);
     response.once('close', () => {
-      this.unanswered -= 1;
-      this.release(socket);
+      this.activeRequests -= 1;
+      this.releaseSocket(socket);
     });
-    if (headBytes(request) > this.maximumHeaderBytes) {
-      response.writeHead(HEAD_TOO_LARGE, { Connection: 'close' }).end();
+    if (headSizeBytes(request) > this.maximumHeaderBytes) {
+      response.writeHead(STATUS_HEADERS_TOO_LARGE, { Connection: 'close' }).end();
       return;
     }
-    const exchange = new NodeExchange(request, response, () => this.draining);
+    const exchange = new NodeExchange(request, response, () => this.isDraining);
     void handler(exchange);
   }
 
-  private release(socket: Socket): void {
-    const left = (this.busy.get(socket) ?? 1) - 1;
-    if (left > 0) this.busy.set(socket, left);
-    else this.busy.delete(socket);
+  private releaseSocket(socket: Socket): void {
+    const remaining = (this.activeRequestsBySocket.get(socket) ?? 1) - 1;
+    if (remaining > 0) this.activeRequestsBySocket.set(socket, remaining);
+    else this.activeRequestsBySocket.delete(socket);
   }
 }
 
@@ -258,9 +258,13 @@
   return headers.some((name, index) => index % 2 === 0 && name.toLowerCase() === 'content-length');
 }
 
-/** Size of a request's head as it came. */
-function headBytes(request: IncomingMessage): number {
-  const line = (request.method?.length ?? 0) + (request.url?.length ?? 0) + REQUEST_LINE_BYTES;
-  const lines = request.rawHeaders.length / 2;
-  return request.rawHeaders.reduce((sum, text) => sum + text.length, line + lines * HEADER_LINE_BYTES);
+/** Returns the size of the received request head in bytes. */
+function headSizeBytes(request: IncomingMessage): number {
+  const requestLineBytes =
+    (request.method?.length ?? 0) + (request.url?.length ?? 0) + REQUEST_LINE_OVERHEAD_BYTES;
+  const headerCount = request.rawHeaders.length / 2;
+  return request.rawHeaders.reduce(
+    (sum, text) => sum + text.length,
+    requestLineBytes + headerCount * HEADER_LINE_OVERHEAD_BYTES,
+  );
 }
--- a/packages/runtime/src/simulated-transport.ts
+++ b/packages/runtime/src/simulated-transport.ts
@@ -1,4 +1,4 @@
-/** The transport of a simulation, in memory. */
+/** In-memory transport for simulations. */
 import { AsyncQueue } from './async-queue.js';
 import type { SimulatedProcess } from './simulated-clock.js';
 import { SimulatedPipe, type PipeReceiver, type SimulatedNetwork } from './simulated-network.js';
@@ -11,20 +11,20 @@
 
 const EPHEMERAL_PORT_START = 40_000;
 
-/** Who listens where in one simulation. */
+/** Registry of the listeners of a simulation by address. */
 export class SimulatedTransportHub {
   readonly listeners = new Map<Address, ListenerEntry>();
   private nextPort = EPHEMERAL_PORT_START;
 
   constructor(readonly network: SimulatedNetwork) {}
 
-  /** The transport as seen by one process. */
+  /** Returns the transport of one process. */
   transportOf(process: SimulatedProcess): Transport {
     return new SimulatedTransport(this, process);
   }
 
-  /** A port nobody else uses. */
-  takePort(): number {
+  /** Returns an unused port. */
+  allocatePort(): number {
     this.nextPort += 1;
     return this.nextPort;
   }
@@ -48,12 +48,12 @@
     this.frames.close();
   }
 
-  /** Whether this side has closed the connection, or was told that it is over. */
-  get isOver(): boolean {
+  /** Whether this side has closed the connection or was notified of its end. */
+  get isClosed(): boolean {
     return this.closed;
   }
 
-  ended(): void {
+  markClosed(): void {
     this.closed = true;
     this.frames.close();
   }
@@ -66,7 +66,9 @@
   ) {}
 
   listen(address: Address, accept: (connection: Connection) => void): Promise<Listener> {
-    const bound = address.endsWith(':0') ? `${address.slice(0, -1)}${String(this.hub.takePort())}` : address;
+    const bound = address.endsWith(':0')
+      ? `${address.slice(0, -1)}${String(this.hub.allocatePort())}`
+      : address;
     const entry: ListenerEntry = { process: this.process, accept };
     this.hub.listeners.set(bound, entry);
     const remove = (): void => {
@@ -116,47 +118,57 @@
     const network = this.hub.network;
     const from = this.process;
     const to = entry.process;
-    const near = new SimulatedConnection(address);
-    const far = new SimulatedConnection(from.name);
-    near.outgoing = new SimulatedPipe(network, from, to, receiverOf(far, near));
-    far.outgoing = new SimulatedPipe(network, to, from, receiverOf(near, far));
-    breakWhenKilled(network, from, far);
-    breakWhenKilled(network, to, near);
+    const clientConnection = new SimulatedConnection(address);
+    const serverConnection = new SimulatedConnection(from.name);
+    clientConnection.outgoing = new SimulatedPipe(
+      network,
+      from,
+      to,
+      receiverOf(serverConnection, clientConnection),
+    );
+    serverConnection.outgoing = new SimulatedPipe(
+      network,
+      to,
+      from,
+      receiverOf(clientConnection, serverConnection),
+    );
+    closeOnKill(network, from, serverConnection);
+    closeOnKill(network, to, clientConnection);
     to.deliver(() => {
-      entry.accept(far);
+      entry.accept(serverConnection);
     });
     from.deliver(() => {
-      resolve(near);
+      resolve(clientConnection);
     });
   }
 }
 
 /**
- * The receiving side of a pipe. When the pipe breaks, only the sender knows: to the receiver the line is silent, until
- * it sends something itself and is told that nobody listens.
+ * Returns the callbacks of the receiving side of a pipe. When the pipe is reset, only the sender is notified, as in TCP: the
+ * receiver learns of it when it sends on its own and the other side has closed.
  */
 function receiverOf(receiver: SimulatedConnection, sender: SimulatedConnection): PipeReceiver<Uint8Array> {
   return {
     onItem: (frame) => {
-      if (receiver.isOver) sender.ended();
+      if (receiver.isClosed) sender.markClosed();
       else receiver.frames.push(frame);
     },
     onEnd: (broken) => {
-      if (broken) sender.ended();
-      else receiver.ended();
+      if (broken) sender.markClosed();
+      else receiver.markClosed();
     },
   };
 }
 
-/** When `process` dies, the other side notices after a moment. */
-function breakWhenKilled(
+/** Closes the other side of the connection shortly after `process` is killed. */
+function closeOnKill(
   network: SimulatedNetwork,
   process: SimulatedProcess,
   otherSide: SimulatedConnection,
 ): void {
   process.onKill(() => {
     network.world.schedule(1, () => {
-      otherSide.ended();
+      otherSide.markClosed();
     });
   });
 }
