--- a/packages/configuration/src/allotments.ts
+++ b/packages/configuration/src/allotments.ts
@@ -21,16 +21,16 @@
     modelId,
     zones.map((zone) => ({ id: zone })),
   );
-  const counts = new Map<string, number>(ranked.map((zone) => [zone.id, 0]));
-  let left = model.replicas.maximum;
-  for (let round = 0; round < model.replicas.maximumPerZone && left > 0; round += 1) {
+  const replicasByZone = new Map<string, number>(ranked.map((zone) => [zone.id, 0]));
+  let remaining = model.replicas.maximum;
+  for (let round = 0; round < model.replicas.maximumPerZone && remaining > 0; round += 1) {
     for (const zone of ranked) {
-      if (left === 0) break;
-      counts.set(zone.id, (counts.get(zone.id) ?? 0) + 1);
-      left -= 1;
+      if (remaining === 0) break;
+      replicasByZone.set(zone.id, (replicasByZone.get(zone.id) ?? 0) + 1);
+      remaining -= 1;
     }
   }
   return ranked
-    .map((zone) => ({ zone: zone.id, replicas: counts.get(zone.id) ?? 0 }))
+    .map((zone) => ({ zone: zone.id, replicas: replicasByZone.get(zone.id) ?? 0 }))
     .filter((allotment) => allotment.replicas > 0);
 }
--- a/packages/configuration/src/catalog.ts
+++ b/packages/configuration/src/catalog.ts
@@ -49,7 +49,7 @@
 
 /** An index over the configuration store, made anew when a higher revision is in force. */
 export class Catalog {
-  private builtAt = -1;
+  private builtRevision = -1;
   private tenants = new Map<string, CatalogTenant>();
   private models = new Map<string, CatalogModel>();
   private principals = new Map<string, Principal>();
@@ -107,8 +107,8 @@
   }
 
   private refresh(): void {
-    if (this.builtAt === this.store.revision) return;
-    this.builtAt = this.store.revision;
+    if (this.builtRevision === this.store.revision) return;
+    this.builtRevision = this.store.revision;
     this.tenants = new Map();
     this.models = new Map();
     this.principals = new Map();
--- a/packages/configuration/src/configuration-relay.ts
+++ b/packages/configuration/src/configuration-relay.ts
@@ -36,20 +36,20 @@
 }
 
 const TREE_FAN_OUT = 8;
-const BOOTSTRAP_PAUSE_MS = 1000;
+const BOOTSTRAP_INTERVAL_MS = 1000;
 /** A member reads the platform without the lease only after waiting this long for each one ranked before it. */
 const BOOTSTRAP_RANK_DELAY_MS = 3000;
 /** Members that read in turns while nobody holds the lease, and the length of a turn. */
-const STAND_INS = 3;
-const STAND_IN_TURN_MS = 10_000;
+const FALLBACK_READER_COUNT = 3;
+const FALLBACK_SLOT_MS = 10_000;
 /** Time for which a zone must have had no relay before another member reads the platform. */
-const STAND_IN_PATIENCE_MS = 4000;
+const FALLBACK_DELAY_MS = 4000;
 const WATCH_RETRY_MS = 1000;
 /** Shorter than the safety margin between the holder's and the voters' end of a lease. */
 const MINIMUM_WAIT_MS = 10;
 /** A watch is renewed after this long, in case it died silently. */
-const WATCH_RENEWAL_MS = 30_000;
-const FRESHNESS_PEERS = 8;
+const MAX_WATCH_DURATION_MS = 30_000;
+const MAX_FRESHNESS_PEERS = 8;
 
 /** Keeps one daemon's configuration store up to date. */
 export class ConfigurationRelay extends BackgroundService {
@@ -59,7 +59,7 @@
   private repairing = false;
   private fresh = false;
   /** Since when this daemon, in its turn, has found the zone without a relay. */
-  private unheldSince: number | undefined;
+  private leaseUnheldSince: number | undefined;
 
   constructor(private readonly options: ConfigurationRelayOptions) {
     super(options.clock, options.onTaskFailure);
@@ -91,7 +91,7 @@
     });
     this.tasks.loop(
       'configuration.bootstrap',
-      () => BOOTSTRAP_PAUSE_MS,
+      () => BOOTSTRAP_INTERVAL_MS,
       () => this.bootstrap(),
     );
   }
@@ -112,22 +112,22 @@
   /** One watch, ended when the lease is lost, after its longest duration, or by the platform. */
   private async watchWhileHeld(lease: Lease, signal: AbortSignal): Promise<void> {
     const { clock } = this.options;
-    const stop = new AbortController();
-    const endsAt = clock.monotonic() + WATCH_RENEWAL_MS;
-    const over = Promise.race([this.watch(stop.signal), lease.whenEnded]);
+    const watchAbort = new AbortController();
+    const endsAt = clock.monotonic() + MAX_WATCH_DURATION_MS;
+    const watchOrLeaseEnded = Promise.race([this.watch(watchAbort.signal), lease.whenEnded]);
     while (lease.isValid && !signal.aborted && clock.monotonic() < endsAt) {
-      const limitMs = Math.max(MINIMUM_WAIT_MS, Math.min(lease.remainingMs, endsAt - clock.monotonic()));
-      const result = await settleWithin(clock, limitMs, over);
+      const waitMs = Math.max(MINIMUM_WAIT_MS, Math.min(lease.remainingMs, endsAt - clock.monotonic()));
+      const result = await settleWithin(clock, waitMs, watchOrLeaseEnded);
       if (!result.timedOut) break;
     }
-    stop.abort();
+    watchAbort.abort();
   }
 
   private async watch(signal: AbortSignal): Promise<void> {
     const { store, platform, clock } = this.options;
     try {
       for await (const object of platform.watch(store.revision, signal)) {
-        this.takeIn([object], object.revision, store.revision);
+        this.applyAndPush([object], object.revision, store.revision);
       }
     } catch (error) {
       if (isKind(error, 'revision_conflict')) await this.readPlatform().catch(() => undefined);
@@ -139,10 +139,10 @@
     this.counters.platformReads += 1;
     const list = await this.options.platform.list();
     this.fresh = true;
-    this.takeIn(list.items, list.revision, 0);
+    this.applyAndPush(list.items, list.revision, 0);
   }
 
-  private takeIn(objects: readonly PlatformObject[], revision: number, baseRevision: number): void {
+  private applyAndPush(objects: readonly PlatformObject[], revision: number, baseRevision: number): void {
     const entries = objects.map(({ key, revision: changedAt, value }) => ({
       key,
       revision: changedAt,
@@ -187,10 +187,10 @@
     const applied = store.apply(request.update);
     // A whole update was read from the platform after this daemon had joined.
     if (applied && request.update.baseRevision === 0) this.fresh = true;
-    if (!applied && request.update.revision > store.revision) void this.pullFromAnyone();
+    if (!applied && request.update.revision > store.revision) void this.pullFromRandomPeer();
   }
 
-  private async pullFromAnyone(): Promise<void> {
+  private async pullFromRandomPeer(): Promise<void> {
     const peer = this.options.random.pick(this.zonePeers());
     if (peer !== undefined) await this.pullFrom(peer.address);
   }
@@ -201,8 +201,8 @@
     this.counters.pulls += 1;
     try {
       const { peers, store } = this.options;
-      const answer = await peers.call(address, pullConfigurationMethod, { revision: store.revision });
-      if (answer.update !== undefined) store.apply(answer.update);
+      const response = await peers.call(address, pullConfigurationMethod, { revision: store.revision });
+      if (response.update !== undefined) store.apply(response.update);
     } catch {
       // Another peer will be ahead at the next probe.
     } finally {
@@ -212,21 +212,21 @@
 
   /** Reads the platform without the lease when there is no other way to learn of changes. */
   private async bootstrap(): Promise<void> {
-    if (!this.fresh) await this.becomeFresh();
-    else if (this.isStandInTurn()) await this.standIn();
-    else this.unheldSince = undefined;
+    if (!this.fresh) await this.checkFreshness();
+    else if (this.isFallbackReader()) await this.readAsFallback();
+    else this.leaseUnheldSince = undefined;
   }
 
   /** Reads the platform when the zone has had no relay for a while. */
-  private async standIn(): Promise<void> {
+  private async readAsFallback(): Promise<void> {
     const now = this.options.clock.monotonic();
     if (await this.options.isLeaseHeld()) {
-      this.unheldSince = undefined;
+      this.leaseUnheldSince = undefined;
       return;
     }
-    this.unheldSince ??= now;
-    if (now - this.unheldSince < STAND_IN_PATIENCE_MS) return;
-    this.unheldSince = now;
+    this.leaseUnheldSince ??= now;
+    if (now - this.leaseUnheldSince < FALLBACK_DELAY_MS) return;
+    this.leaseUnheldSince = now;
     await this.readPlatform();
   }
 
@@ -236,9 +236,9 @@
   }
 
   /** Compares with the zone's peers; in a zone where nobody knows anything, reads the platform in turn. */
-  private async becomeFresh(): Promise<void> {
-    const peers = this.zonePeers().slice(0, FRESHNESS_PEERS);
-    const revisions = await this.askRevisions(peers);
+  private async checkFreshness(): Promise<void> {
+    const peers = this.zonePeers().slice(0, MAX_FRESHNESS_PEERS);
+    const revisions = await this.fetchPeerRevisions(peers);
     const confirming = revisions.filter(
       (revision) => revision > 0 && revision <= this.options.store.revision,
     ).length;
@@ -247,25 +247,25 @@
       this.fresh = true;
       return;
     }
-    if (this.isBootstrapTurn()) await this.readPlatform();
+    if (this.isBootstrapReadDue()) await this.readPlatform();
   }
 
-  private async askRevisions(peers: readonly MemberRecord[]): Promise<number[]> {
+  private async fetchPeerRevisions(peers: readonly MemberRecord[]): Promise<number[]> {
     const { store } = this.options;
-    const answers = await Promise.all(
+    const responses = await Promise.all(
       peers.map((peer) =>
         this.options.peers
           .call(peer.address, pullConfigurationMethod, { revision: store.revision })
           .catch(() => undefined),
       ),
     );
-    for (const answer of answers) {
+    for (const answer of responses) {
       if (answer?.update !== undefined) store.apply(answer.update);
     }
-    return answers.flatMap((answer) => (answer === undefined ? [] : [answer.revision]));
+    return responses.flatMap((answer) => (answer === undefined ? [] : [answer.revision]));
   }
 
-  private isBootstrapTurn(): boolean {
+  private isBootstrapReadDue(): boolean {
     const { membership, clock } = this.options;
     const members = this.zonePeers().map((member) => member.id);
     const names = new Set([...members, ...this.options.listedDaemons(), membership.local.id]);
@@ -274,18 +274,18 @@
       [...names].map((id) => ({ id })),
     );
     const rank = ranked.findIndex((candidate) => candidate.id === membership.local.id);
-    return clock.monotonic() - this.startedAt >= BOOTSTRAP_PAUSE_MS + rank * BOOTSTRAP_RANK_DELAY_MS;
+    return clock.monotonic() - this.startedAt >= BOOTSTRAP_INTERVAL_MS + rank * BOOTSTRAP_RANK_DELAY_MS;
   }
 
   /** While nobody holds the lease, the first few members of the zone take turns, in case one cannot reach the platform. */
-  private isStandInTurn(): boolean {
+  private isFallbackReader(): boolean {
     const { membership, clock } = this.options;
-    const standIns = this.rankedZone().slice(0, STAND_INS);
-    const turn = Math.floor(clock.wall() / STAND_IN_TURN_MS) % standIns.length;
-    return standIns[turn]?.id === membership.local.id;
+    const fallbackReaders = this.rankZoneMembers().slice(0, FALLBACK_READER_COUNT);
+    const slot = Math.floor(clock.wall() / FALLBACK_SLOT_MS) % fallbackReaders.length;
+    return fallbackReaders[slot]?.id === membership.local.id;
   }
 
-  private rankedZone(): MemberRecord[] {
+  private rankZoneMembers(): MemberRecord[] {
     const { membership } = this.options;
     const zone = membership.present().filter((member) => member.zone === membership.local.zone);
     return rankByRendezvous('bootstrap', zone);
--- a/packages/configuration/src/configuration-store.ts
+++ b/packages/configuration/src/configuration-store.ts
@@ -9,7 +9,7 @@
 }
 
 /** Number of past changes kept, from which updates for others are made. */
-const HISTORY_LENGTH = 512;
+const MAX_HISTORY_ENTRIES = 512;
 
 /** Holds all platform objects at one revision and applies only higher ones. */
 export class ConfigurationStore {
@@ -49,9 +49,9 @@
   /** Applies an update. Returns false, changing nothing, unless it leads from here to a higher revision. */
   apply(update: ConfigurationUpdate): boolean {
     if (update.revision <= this.currentRevision) return false;
-    const whole = update.baseRevision === 0;
-    if (!whole && update.baseRevision > this.currentRevision) return false;
-    const changed = whole ? this.replaceAll(update) : this.applyChanges(update);
+    const isSnapshot = update.baseRevision === 0;
+    if (!isSnapshot && update.baseRevision > this.currentRevision) return false;
+    const changed = isSnapshot ? this.replaceAll(update) : this.applyChanges(update);
     this.currentRevision = update.revision;
     void this.events.emit('applied', { revision: update.revision, keys: changed });
     return true;
@@ -79,9 +79,9 @@
   private applyChanges(update: ConfigurationUpdate): string[] {
     const changed: string[] = [];
     for (const entry of update.entries) {
-      const known = this.entries.get(entry.key);
+      const stored = this.entries.get(entry.key);
       if (entry.revision <= this.currentRevision) continue;
-      if (known !== undefined && known.revision >= entry.revision) continue;
+      if (stored !== undefined && stored.revision >= entry.revision) continue;
       if (entry.value === null) this.entries.delete(entry.key);
       else this.entries.set(entry.key, entry);
       this.history.push(entry);
@@ -92,7 +92,7 @@
   }
 
   private trimHistory(): void {
-    while (this.history.length > HISTORY_LENGTH) {
+    while (this.history.length > MAX_HISTORY_ENTRIES) {
       this.historyBase = this.history.shift()?.revision ?? this.historyBase;
     }
   }
--- a/packages/configuration/src/voter-sets.ts
+++ b/packages/configuration/src/voter-sets.ts
@@ -41,7 +41,7 @@
   /** Number of voters wanted. @default 3 */
   readonly size?: number;
   /** Milliseconds for which a voter must be unfit before it is replaced. @default 4000 */
-  readonly patienceMs?: number;
+  readonly replacementDelayMs?: number;
   /** Whether voters should be in as many zones as possible. @default false */
   readonly spreadOverZones?: boolean;
   /** Called after new voters were named. */
@@ -49,15 +49,15 @@
   readonly onTaskFailure?: (name: string, error: unknown) => void;
 }
 
-const DEFAULT_SIZE = 3;
-const DEFAULT_PATIENCE_MS = 4000;
+const DEFAULT_VOTER_COUNT = 3;
+const DEFAULT_REPLACEMENT_DELAY_MS = 4000;
 /** Time for the first members to find each other before voters are named. */
-const CREATION_PATIENCE_MS = 1500;
+const CREATION_DELAY_MS = 1500;
 const CHECK_INTERVAL_MS = 1000;
 
 /** Replaces failed voters by compare-and-set in the platform. One member of the electorate acts at a time. */
 export class VoterSetKeeper extends BackgroundService {
-  private unfitSince: number | undefined;
+  private replacementDueSince: number | undefined;
 
   constructor(private readonly options: VoterSetKeeperOptions) {
     super(options.clock, options.onTaskFailure);
@@ -74,22 +74,24 @@
 
   private async check(): Promise<void> {
     if (this.options.store.revision === 0 || !this.isResponsible()) {
-      this.unfitSince = undefined;
+      this.replacementDueSince = undefined;
       return;
     }
     const sets = readVoterSets(this.options.store, this.options.group);
-    const wanted = this.wantedVoters(sets?.current);
-    if (wanted === undefined) {
-      this.unfitSince = undefined;
+    const replacement = this.selectReplacement(sets?.current);
+    if (replacement === undefined) {
+      this.replacementDueSince = undefined;
       return;
     }
     const now = this.options.clock.monotonic();
-    this.unfitSince ??= now;
-    const patienceMs =
-      sets === undefined ? CREATION_PATIENCE_MS : (this.options.patienceMs ?? DEFAULT_PATIENCE_MS);
-    if (now - this.unfitSince < patienceMs) return;
-    this.unfitSince = undefined;
-    await this.replace(sets?.current, wanted);
+    this.replacementDueSince ??= now;
+    const delayMs =
+      sets === undefined
+        ? CREATION_DELAY_MS
+        : (this.options.replacementDelayMs ?? DEFAULT_REPLACEMENT_DELAY_MS);
+    if (now - this.replacementDueSince < delayMs) return;
+    this.replacementDueSince = undefined;
+    await this.replace(sets?.current, replacement);
   }
 
   /** The first of the electorate acts; another takes its place when it fails. */
@@ -99,23 +101,26 @@
   }
 
   /** The voters there should be, or undefined when the present ones will do. */
-  private wantedVoters(current: VoterSet | undefined): readonly Voter[] | undefined {
+  private selectReplacement(current: VoterSet | undefined): readonly Voter[] | undefined {
     const electorate = this.options.electorate();
-    const size = Math.min(this.options.size ?? DEFAULT_SIZE, electorate.length);
+    const size = Math.min(this.options.size ?? DEFAULT_VOTER_COUNT, electorate.length);
     const byId = new Map(electorate.map((member) => [member.id, member]));
-    const fit = (current?.voters ?? []).filter((voter) => byId.get(voter.id)?.instance === voter.instance);
-    const allFit = fit.length === (current?.voters.length ?? 0);
-    if (allFit && fit.length >= size) return undefined;
-    const fitIds = new Set(fit.map((voter) => voter.id));
-    const spare = rankByRendezvous(this.options.group, electorate).filter((member) => !fitIds.has(member.id));
-    const zonesTaken = fit.flatMap((voter) => byId.get(voter.id)?.zone ?? []);
-    const ordered = this.options.spreadOverZones === true ? newZonesFirst(spare, zonesTaken) : spare;
-    const added = ordered.slice(0, Math.max(0, size - fit.length)).map(({ id, address, instance }) => ({
+    const valid = (current?.voters ?? []).filter((voter) => byId.get(voter.id)?.instance === voter.instance);
+    const areAllValid = valid.length === (current?.voters.length ?? 0);
+    if (areAllValid && valid.length >= size) return undefined;
+    const validIds = new Set(valid.map((voter) => voter.id));
+    const candidates = rankByRendezvous(this.options.group, electorate).filter(
+      (member) => !validIds.has(member.id),
+    );
+    const coveredZones = valid.flatMap((voter) => byId.get(voter.id)?.zone ?? []);
+    const ordered =
+      this.options.spreadOverZones === true ? orderUncoveredZonesFirst(candidates, coveredZones) : candidates;
+    const added = ordered.slice(0, Math.max(0, size - valid.length)).map(({ id, address, instance }) => ({
       id,
       address,
       instance,
     }));
-    return [...fit, ...added];
+    return [...valid, ...added];
   }
 
   private async replace(current: VoterSet | undefined, voters: readonly Voter[]): Promise<void> {
@@ -134,14 +139,17 @@
 }
 
 /** Members whose zone has no voter yet, one a zone, before all others. */
-function newZonesFirst(members: readonly MemberRecord[], zonesTaken: readonly string[]): MemberRecord[] {
-  const taken = new Set(zonesTaken);
+function orderUncoveredZonesFirst(
+  members: readonly MemberRecord[],
+  coveredZones: readonly string[],
+): MemberRecord[] {
+  const covered = new Set(coveredZones);
   const first: MemberRecord[] = [];
   const rest: MemberRecord[] = [];
   for (const member of members) {
-    if (taken.has(member.zone)) rest.push(member);
+    if (covered.has(member.zone)) rest.push(member);
     else first.push(member);
-    taken.add(member.zone);
+    covered.add(member.zone);
   }
   return [...first, ...rest];
 }
