--- a/packages/configuration/src/allotments.ts
+++ b/packages/configuration/src/allotments.ts
@@ -1,16 +1,16 @@
-/** How a model's replica limit is split over zones, so that each zone can decide alone. */
+/** Splits the replica limit of a model over zones, so that each zone can decide independently. */
 import { rankByRendezvous } from '@woodbarrow/coordination';
 import type { ModelParameters } from './template-schema.js';
 
-/** Replicas that one zone may load. */
+/** Maximum number of replicas of a model that one zone may load. */
 export interface ZoneAllotment {
   readonly zone: string;
   readonly replicas: number;
 }
 
 /**
- * Splits a model's maximum over zones in rendezvous order, round by round, within the limit per zone. Raising or
- * lowering the maximum only adds to or takes from the end of that order: no replica moves between zones.
+ * Splits a model's replica maximum over zones, round-robin in rendezvous hash order, within the limit per zone.
+ * Changing the maximum only adds or removes replicas at the end of that order, so no replica moves between zones.
  */
 export function splitOverZones(
   modelId: string,
--- a/packages/configuration/src/catalog.ts
+++ b/packages/configuration/src/catalog.ts
@@ -1,4 +1,4 @@
-/** The configuration as the rest of the product reads it: tenants, their models, and who may do what. */
+/** Read model of the configuration: tenants, their models and the principals behind access tokens. */
 import { splitOverZones, type ZoneAllotment } from './allotments.js';
 import type { ConfigurationStore } from './configuration-store.js';
 import {
@@ -12,7 +12,7 @@
   type TemplateParameters,
 } from './template-schema.js';
 
-/** A model of one tenant, with what its template says of it. */
+/** A model of one tenant, with its parameters from the tenant's template. */
 export interface CatalogModel {
   /** `<tenant>/<name>`. */
   readonly id: string;
@@ -23,10 +23,10 @@
   readonly allotments: readonly ZoneAllotment[];
 }
 
-/** A name that callers may ask for: a model, or an adapter on one. */
+/** What a name used by callers refers to: a model, or an adapter of a model. */
 export interface CatalogTarget {
   readonly model: CatalogModel;
-  /** Absent when the name is the model's own. */
+  /** Absent if the name refers to the base model. */
   readonly adapter?: AdapterParameters;
 }
 
@@ -35,19 +35,19 @@
   readonly name: string;
   readonly partner: string;
   readonly parameters: TemplateParameters;
-  /** By the name that callers use. */
+  /** Targets by the name that callers use. */
   readonly targets: ReadonlyMap<string, CatalogTarget>;
 }
 
-/** Who a token stands for. */
+/** Identity and role that a token authenticates. */
 export interface Principal {
   readonly partner: string;
-  /** Absent for a partner's own operators, who may act on all its tenants. */
+  /** Absent for operators of the partner, who may act on all its tenants. */
   readonly tenant?: string;
   readonly role: 'caller' | 'operator';
 }
 
-/** An index over the configuration store, made anew when a higher revision is in force. */
+/** Index over the configuration store, rebuilt on the first access after the revision of the store changes. */
 export class Catalog {
   private builtRevision = -1;
   private tenants = new Map<string, CatalogTenant>();
@@ -56,7 +56,7 @@
   private zoneNames: readonly string[] = [];
   private partners = 0;
   private currentDeployment: Deployment | undefined;
-  /** Parsed templates by key and revision, so that an unrelated change costs nothing. */
+  /** Parsed templates by key, reused while the revision of the template is unchanged. */
   private readonly templates = new Map<
     string,
     { revision: number; parameters: TemplateParameters; partner: string }
@@ -64,43 +64,43 @@
 
   constructor(private readonly store: ConfigurationStore) {}
 
-  /** A tenant by name. */
+  /** Returns a tenant by name, or undefined if it or its template is missing or invalid. */
   tenant(name: string): CatalogTenant | undefined {
     this.refresh();
     return this.tenants.get(name);
   }
 
-  /** A model by id. */
+  /** Returns a model by id, or undefined if it does not exist. */
   model(id: string): CatalogModel | undefined {
     this.refresh();
     return this.models.get(id);
   }
 
-  /** All models by id. */
+  /** Returns all models by id. */
   modelsById(): ReadonlyMap<string, CatalogModel> {
     this.refresh();
     return this.models;
   }
 
-  /** Number of partners that share the deployment. */
+  /** Returns the number of partners that share the deployment. */
   partnerCount(): number {
     this.refresh();
     return this.partners;
   }
 
-  /** Names of the deployment's zones. */
+  /** Returns the names of the deployment's zones; empty until configured. */
   zones(): readonly string[] {
     this.refresh();
     return this.zoneNames;
   }
 
-  /** The deployment's zones and weight store limits; undefined until configured. */
+  /** Returns the deployment's zones and weight store limits, or undefined until configured. */
   deployment(): Deployment | undefined {
     this.refresh();
     return this.currentDeployment;
   }
 
-  /** Who a token with this SHA-256 digest stands for. */
+  /** Returns the principal of the token with this SHA-256 digest (lower-case hexadecimal), or undefined. */
   principal(sha256: string): Principal | undefined {
     this.refresh();
     return this.principals.get(sha256);
--- a/packages/configuration/src/configuration-relay.ts
+++ b/packages/configuration/src/configuration-relay.ts
@@ -1,7 +1,7 @@
 /**
- * Brings the platform's objects to every daemon. Few read the platform: the holder of each zone's relay lease, and
- * while a zone has no voters yet, the first of its members. All others are pushed to along a tree and repair
- * what they missed by comparing revisions with any peer.
+ * Distributes the platform's objects to all daemons. Only a few daemons read the platform: the holder of each zone's relay
+ * lease, or the first-ranked members of a zone whose lease has no holder. All others receive updates along a push tree and
+ * pull missed updates from any peer with a higher revision.
  */
 import { isKind } from '@woodbarrow/errors';
 import { rankByRendezvous, type Lease, type LeaseCandidate } from '@woodbarrow/coordination';
@@ -26,39 +26,39 @@
   readonly peers: PeerNetwork;
   readonly clock: Clock;
   readonly random: Random;
-  /** Lease that lets one daemon of the zone read the platform. */
+  /** Candidate for the relay lease, whose holder reads the platform for the zone. */
   readonly lease: LeaseCandidate;
-  /** Names of the zone's daemons as the platform's machine list has them; members may not all be known yet. */
+  /** Returns the names of the zone's daemons from the platform's machine list, including those that membership has not discovered yet. */
   readonly listedDaemons: () => readonly string[];
-  /** Whether some daemon of the zone holds that lease now, as its voters say. */
+  /** Returns whether any daemon of the zone currently holds the relay lease according to its voters. */
   readonly isLeaseHeld: () => Promise<boolean>;
   readonly onTaskFailure?: (name: string, error: unknown) => void;
 }
 
 const TREE_FAN_OUT = 8;
 const BOOTSTRAP_INTERVAL_MS = 1000;
-/** A member reads the platform without the lease only after waiting this long for each one ranked before it. */
+/** Delay per better-ranked member before a member reads the platform without the lease. */
 const BOOTSTRAP_RANK_DELAY_MS = 3000;
-/** Members that read in turns while nobody holds the lease, and the length of a turn. */
+/** Number of members that read the platform in rotating time slots while no daemon holds the lease. */
 const FALLBACK_READER_COUNT = 3;
 const FALLBACK_SLOT_MS = 10_000;
-/** Time for which a zone must have had no relay before another member reads the platform. */
+/** Time for which the lease must have no holder before a fallback reader reads the platform. */
 const FALLBACK_DELAY_MS = 4000;
 const WATCH_RETRY_MS = 1000;
-/** Shorter than the safety margin between the holder's and the voters' end of a lease. */
+/** Must be shorter than the safety margin between the lease expiry at the holder and at the voters. */
 const MINIMUM_WAIT_MS = 10;
-/** A watch is renewed after this long, in case it died silently. */
+/** A watch is restarted after this time, in case its connection failed without an error. */
 const MAX_WATCH_DURATION_MS = 30_000;
 const MAX_FRESHNESS_PEERS = 8;
 
 /** Keeps one daemon's configuration store up to date. */
 export class ConfigurationRelay extends BackgroundService {
-  /** Counters of the relay's work. */
+  /** Operation counts since the relay was created. */
   readonly counters = { pushesSent: 0, pulls: 0, platformReads: 0 };
   private readonly startedAt: number;
   private repairing = false;
   private fresh = false;
-  /** Since when this daemon, in its turn, has found the zone without a relay. */
+  /** Monotonic time since which this daemon, in its slot, has found the lease without a holder. */
   private leaseUnheldSince: number | undefined;
 
   constructor(private readonly options: ConfigurationRelayOptions) {
@@ -66,12 +66,12 @@
     this.startedAt = options.clock.monotonic();
   }
 
-  /** Whether this daemon may serve: it holds a revision as new as a majority of its zone, or the platform's. */
+  /** Whether this daemon may serve: its configuration came from the platform or is as new as that of a majority of its zone. */
   get isFresh(): boolean {
     return this.fresh;
   }
 
-  /** Starts receiving and repairing; reads the platform when it is this daemon's turn. */
+  /** Starts to receive and pull updates, and to read the platform when this daemon holds the lease or is a fallback reader. */
   start(): void {
     const { peers, membership, store, lease } = this.options;
     peers.handle(pushConfigurationMethod, (request) => {
@@ -96,7 +96,7 @@
     );
   }
 
-  /** While holding the lease: read everything once, then watch. */
+  /** Reads all objects once and then watches for changes while the lease is held. */
   private async relay(lease: Lease, signal: AbortSignal): Promise<void> {
     while (lease.isValid && !signal.aborted) {
       try {
@@ -109,7 +109,7 @@
     while (lease.isValid && !signal.aborted) await this.watchWhileHeld(lease, signal);
   }
 
-  /** One watch, ended when the lease is lost, after its longest duration, or by the platform. */
+  /** Runs one watch until the lease is lost, the maximum duration has passed, or the platform closes it. */
   private async watchWhileHeld(lease: Lease, signal: AbortSignal): Promise<void> {
     const { clock } = this.options;
     const watchAbort = new AbortController();
@@ -165,7 +165,7 @@
       .filter((member) => member.zone === membership.local.zone && member.id !== membership.local.id);
   }
 
-  /** Sends an update to up to eight receivers, each of which passes it on to its share of the others. */
+  /** Sends an update to up to {@link TREE_FAN_OUT} receivers, each of which forwards it to its share of the others. */
   private push(update: ConfigurationUpdate, receivers: readonly { readonly address: string }[]): void {
     const children = receivers.slice(0, TREE_FAN_OUT);
     const rest = receivers.slice(TREE_FAN_OUT).map((receiver) => receiver.address);
@@ -185,7 +185,7 @@
       request.forwardTo.map((address) => ({ address })),
     );
     const applied = store.apply(request.update);
-    // A whole update was read from the platform after this daemon had joined.
+    // A snapshot was read from the platform after this daemon had joined.
     if (applied && request.update.baseRevision === 0) this.fresh = true;
     if (!applied && request.update.revision > store.revision) void this.pullFromRandomPeer();
   }
@@ -204,20 +204,20 @@
       const response = await peers.call(address, pullConfigurationMethod, { revision: store.revision });
       if (response.update !== undefined) store.apply(response.update);
     } catch {
-      // Another peer will be ahead at the next probe.
+      // The next probe that reports a higher revision triggers another attempt.
     } finally {
       this.repairing = false;
     }
   }
 
-  /** Reads the platform without the lease when there is no other way to learn of changes. */
+  /** Establishes freshness after startup, and later reads the platform as fallback while no daemon holds the lease. */
   private async bootstrap(): Promise<void> {
     if (!this.fresh) await this.checkFreshness();
     else if (this.isFallbackReader()) await this.readAsFallback();
     else this.leaseUnheldSince = undefined;
   }
 
-  /** Reads the platform when the zone has had no relay for a while. */
+  /** Reads the platform if the lease has had no holder for {@link FALLBACK_DELAY_MS}. */
   private async readAsFallback(): Promise<void> {
     const now = this.options.clock.monotonic();
     if (await this.options.isLeaseHeld()) {
@@ -230,19 +230,19 @@
     await this.readPlatform();
   }
 
-  /** Reads the platform after this daemon named voters in a zone without a relay, who could not learn of it otherwise. */
+  /** Reads the platform if no daemon holds the lease. Called after this daemon wrote a voter set, which the new voters could not receive otherwise. */
   async readIfUnheld(): Promise<void> {
     if (!(await this.options.isLeaseHeld())) await this.readPlatform();
   }
 
-  /** Compares with the zone's peers; in a zone where nobody knows anything, reads the platform in turn. */
+  /** Compares revisions with peers of the zone; if they cannot confirm freshness, reads the platform once its delay by rank has passed. */
   private async checkFreshness(): Promise<void> {
     const peers = this.zonePeers().slice(0, MAX_FRESHNESS_PEERS);
     const revisions = await this.fetchPeerRevisions(peers);
     const confirming = revisions.filter(
       (revision) => revision > 0 && revision <= this.options.store.revision,
     ).length;
-    // With this daemon itself, the confirming peers are a majority.
+    // Together with this daemon, the confirming peers form a majority.
     if (confirming > 0 && confirming * 2 >= peers.length) {
       this.fresh = true;
       return;
@@ -277,7 +277,7 @@
     return clock.monotonic() - this.startedAt >= BOOTSTRAP_INTERVAL_MS + rank * BOOTSTRAP_RANK_DELAY_MS;
   }
 
-  /** While nobody holds the lease, the first few members of the zone take turns, in case one cannot reach the platform. */
+  /** Whether the current slot is assigned to this daemon. Slots rotate over several members in case one cannot reach the platform. */
   private isFallbackReader(): boolean {
     const { membership, clock } = this.options;
     const fallbackReaders = this.rankZoneMembers().slice(0, FALLBACK_READER_COUNT);
--- a/packages/configuration/src/configuration-store.ts
+++ b/packages/configuration/src/configuration-store.ts
@@ -1,52 +1,52 @@
-/** The configuration in force on this daemon. Its revision never goes back. */
+/** The current configuration of this daemon. Its revision never decreases. */
 import Emittery from 'emittery';
 import type { ConfigurationEntry, ConfigurationUpdate } from '@woodbarrow/protocol';
 
 /** Events of {@link ConfigurationStore}. */
 export interface ConfigurationEvents {
-  /** A higher revision is in force. */
+  /** A higher revision was applied; `keys` names the changed objects. */
   applied: { readonly revision: number; readonly keys: readonly string[] };
 }
 
-/** Number of past changes kept, from which updates for others are made. */
+/** Maximum number of past changes retained to build incremental updates for peers. */
 const MAX_HISTORY_ENTRIES = 512;
 
-/** Holds all platform objects at one revision and applies only higher ones. */
+/** Stores all platform objects at one revision and applies only updates to higher revisions. */
 export class ConfigurationStore {
   readonly events = new Emittery<ConfigurationEvents>();
   private readonly entries = new Map<string, ConfigurationEntry>();
-  /** Past changes in order of revision. */
+  /** Past changes in ascending order of revision. */
   private readonly history: ConfigurationEntry[] = [];
-  /** Lowest base revision for which the history has every change. */
+  /** Lowest base revision after which the history contains every change. */
   private historyBase = 0;
   private currentRevision = 0;
 
-  /** Revision in force; 0 before the first. */
+  /** Current revision; 0 before the first update. */
   get revision(): number {
     return this.currentRevision;
   }
 
-  /** Number of objects. */
+  /** Number of stored objects. */
   get size(): number {
     return this.entries.size;
   }
 
-  /** The value of an object, or undefined. */
+  /** Returns the value of an object, or undefined if it does not exist. */
   get(key: string): object | undefined {
     return this.entries.get(key)?.value ?? undefined;
   }
 
-  /** Revision of an object's last change, or 0. */
+  /** Returns the revision of an object's last change, or 0 if it does not exist. */
   revisionOf(key: string): number {
     return this.entries.get(key)?.revision ?? 0;
   }
 
-  /** Objects whose key begins with `prefix`. */
+  /** Returns the objects whose key starts with `prefix`. */
   withPrefix(prefix: string): ConfigurationEntry[] {
     return [...this.entries.values()].filter((entry) => entry.key.startsWith(prefix));
   }
 
-  /** Applies an update. Returns false, changing nothing, unless it leads from here to a higher revision. */
+  /** Applies an update. Returns false and changes nothing if its revision is not higher or its base revision is ahead of this store. */
   apply(update: ConfigurationUpdate): boolean {
     if (update.revision <= this.currentRevision) return false;
     const isSnapshot = update.baseRevision === 0;
@@ -57,7 +57,7 @@
     return true;
   }
 
-  /** What leads from `revision` to the one in force, or undefined when the asker is as new. */
+  /** Returns the update from `revision` to the current revision, or undefined if there is nothing newer. */
   updateSince(revision: number): ConfigurationUpdate | undefined {
     if (revision >= this.currentRevision) return undefined;
     if (revision < this.historyBase || revision === 0) {
--- a/packages/configuration/src/index.ts
+++ b/packages/configuration/src/index.ts
@@ -1,4 +1,4 @@
-/** Configuration: schema of templates and tenants, propagation, and the index over what is in force. */
+/** Configuration: schema of templates and tenants, distribution to daemons, and the catalog of the current content. */
 export * from './allotments.js';
 export * from './catalog.js';
 export * from './configuration-relay.js';
--- a/packages/configuration/src/template-schema.ts
+++ b/packages/configuration/src/template-schema.ts
@@ -12,7 +12,7 @@
 export const adapterSchema = z.strictObject({
   name,
   version: z.string().default('1'),
-  /** Accelerator memory in GiB, on top of the base model's. */
+  /** Accelerator memory in GiB, in addition to that of the base model. */
   memoryGib: z.number().nonnegative().default(0.1),
 });
 
@@ -21,9 +21,9 @@
   version: z.string().default('1'),
   /** Accelerator memory of one replica, in GiB. */
   memoryGib: z.number().positive(),
-  /** Requests that one replica runs at once. */
+  /** Maximum number of requests that one replica runs concurrently. */
   concurrency: z.number().int().positive().max(4096).default(8),
-  /** Seconds a load takes from each tier. */
+  /** Load time in seconds from each storage tier. */
   loadSeconds: z
     .strictObject({
       host: z.number().positive().default(2),
@@ -33,18 +33,18 @@
     .prefault({}),
   replicas: z
     .strictObject({
-      /** Replicas kept loaded whatever the traffic. */
+      /** Replicas that stay loaded regardless of traffic. */
       minimum: z.number().int().nonnegative().default(0),
-      /** Most replicas over all zones. */
+      /** Maximum number of replicas over all zones. */
       maximum: z.number().int().positive().default(1),
-      /** Most replicas in one zone. */
+      /** Maximum number of replicas in one zone. */
       maximumPerZone: z.number().int().positive().default(4),
     })
     .prefault({}),
   adapters: z.array(adapterSchema).default([]),
-  /** Hours of the day (UTC) in which one replica stays loaded; an empty list means none. */
+  /** Times of day (UTC) during which one replica stays loaded. */
   keepWarm: z.array(z.strictObject({ from: timeOfDay, to: timeOfDay })).default([]),
-  /** Bounds in seconds on how long an idle replica stays loaded. */
+  /** Bounds on how long an idle replica stays loaded. */
   keepAlive: z
     .strictObject({
       minimumSeconds: z.number().nonnegative().default(10),
@@ -55,24 +55,24 @@
 
 export const priorityClassSchema = z.strictObject({
   name,
-  /** Lower numbers go first. */
+  /** Lower numbers are served first. */
   priority: z.number().int().min(0).max(100),
-  /** Wait allowed when the request states none, in seconds. */
+  /** Maximum wait in seconds for requests that do not specify one. */
   defaultWaitSeconds: z.number().positive().default(30),
-  /** Longest wait a request may ask for, in seconds. */
+  /** Longest wait in seconds that a request may specify. */
   maximumWaitSeconds: z.number().positive().default(300),
-  /** Deferrable requests load no replica until half their wait has passed. */
+  /** Deferrable requests trigger no load until half of their allowed wait has passed. */
   deferrable: z.boolean().default(false),
 });
 
 export const limitsSchema = z.strictObject({
-  /** Requests of the tenant in progress or waiting at one daemon. */
+  /** Maximum number of requests of the tenant in progress or waiting at one daemon. */
   concurrentRequests: z.number().int().positive().default(512),
-  /** Requests waiting for one model. */
+  /** Maximum number of requests waiting for one model. */
   queuedRequests: z.number().int().positive().default(1000),
-  /** Time that an answer which is not streamed may take to be made, in seconds. */
+  /** Maximum time in seconds to produce a response that is not streamed. */
   runSeconds: z.number().positive().default(600),
-  /** Body size in bytes. */
+  /** Maximum size of the request body, in bytes. */
   bodyBytes: z.number().int().positive().default(262_144),
 });
 
@@ -92,14 +92,14 @@
           deferrable: false,
         },
       ]),
-    /** Class of requests that name none. */
+    /** Priority class of requests that specify none. */
     defaultClass: name.default('standard'),
     limits: limitsSchema.prefault({}),
-    /** Models whose requests are never repeatable, whatever the caller says. */
+    /** Models whose requests are never treated as repeatable, regardless of what the caller states. */
     nonRepeatableModels: z.array(name).default([]),
-    /** Seconds for which an idempotency key is remembered. */
+    /** Retention time of idempotency keys, in seconds. */
     keyLifetimeSeconds: z.number().positive().max(86_400).default(600),
-    /** Weight of cold-start time against idle accelerator hours: 1 cares for cold starts only. */
+    /** Weight of cold-start time relative to idle accelerator time; 1 considers cold starts only. */
     coldStartWeight: z.number().min(0).max(1).default(0.5),
   })
   .superRefine((parameters, context) => {
@@ -147,31 +147,31 @@
   role: z.enum(['caller', 'operator']),
 });
 
-/** A template: parameters under a name, owned by a partner. */
+/** A named set of parameters, owned by a partner. */
 export const templateSchema = z.strictObject({
   partner: name,
   parameters: templateParametersSchema,
 });
 
-/** A tenant: made from a template of the same partner. */
+/** A tenant, which takes its parameters from a template of the same partner. */
 export const tenantSchema = z.strictObject({
   partner: name,
   template: name,
   tokens: z.array(tokenSchema).default([]),
 });
 
-/** A partner: its operators' tokens. */
+/** A partner and the tokens of its operators. */
 export const partnerSchema = z.strictObject({ tokens: z.array(tokenSchema).default([]) });
 
-/** The deployment: its zones, which replica limits are split over. */
+/** The deployment: its zones, over which replica limits are split, and the limits of the weight store. */
 export const deploymentSchema = z.strictObject({
   zones: z.array(z.strictObject({ name, region: name })).min(1),
-  /** What the weight store bears over all zones. */
+  /** Capacity of the weight store, shared by all zones. */
   weightStore: z
     .strictObject({
-      /** Loads under way at once. */
+      /** Maximum number of concurrent loads. */
       concurrentLoads: z.number().int().positive().default(6),
-      /** Loads begun in a second. */
+      /** Maximum number of loads started per second. */
       loadsPerSecond: z.number().positive().default(3),
     })
     .prefault({}),
@@ -183,7 +183,7 @@
 export type TemplateParameters = z.infer<typeof templateParametersSchema>;
 export type Deployment = z.infer<typeof deploymentSchema>;
 
-/** Kinds of configuration objects, by the first part of their key. */
+/** Schemas of the configuration objects, by kind. The kind is the first part of an object's key. */
 export const OBJECT_SCHEMAS = {
   templates: templateSchema,
   tenants: tenantSchema,
@@ -191,10 +191,10 @@
   deployment: deploymentSchema,
 } as const;
 
-/** A kind of configuration object. */
+/** Kind of a configuration object. */
 export type ObjectKind = keyof typeof OBJECT_SCHEMAS;
 
-/** Key of an object in the platform. */
+/** Returns the platform key of an object. */
 export function objectKey(kind: ObjectKind, objectName: string): string {
   return `${kind}/${objectName}`;
 }
--- a/packages/configuration/src/voter-sets.ts
+++ b/packages/configuration/src/voter-sets.ts
@@ -1,4 +1,4 @@
-/** Voter sets as platform objects, and their replacement when voters fail. */
+/** Stores voter sets as platform objects and replaces voters that fail. */
 import { rankByRendezvous, type VoterSets } from '@woodbarrow/coordination';
 import type { Membership } from '@woodbarrow/membership';
 import type { PlatformClient } from '@woodbarrow/object-store';
@@ -15,12 +15,12 @@
 
 const voterSetsSchema = z.object({ current: voterSetSchema, previous: voterSetSchema.optional() });
 
-/** Platform key of a group's voter sets. */
+/** Returns the platform key of a group's voter sets. */
 export function voterSetKey(group: string): string {
   return `voters/${group}`;
 }
 
-/** Voter sets of a group as configured now. */
+/** Returns the configured voter sets of a group, or undefined if they are missing or invalid. */
 export function readVoterSets(store: ConfigurationStore, group: string): VoterSets | undefined {
   const parsed = voterSetsSchema.safeParse(store.get(voterSetKey(group)));
   if (!parsed.success) return undefined;
@@ -36,26 +36,26 @@
   readonly platform: PlatformClient;
   readonly clock: Clock;
   readonly random: Random;
-  /** Members that may vote. */
+  /** Returns the members that are eligible as voters. */
   readonly electorate: () => readonly MemberRecord[];
-  /** Number of voters wanted. @default 3 */
+  /** Number of voters. @default 3 */
   readonly size?: number;
-  /** Milliseconds for which a voter must be unfit before it is replaced. @default 4000 */
+  /** Milliseconds for which a voter must be invalid before it is replaced. @default 4000 */
   readonly replacementDelayMs?: number;
-  /** Whether voters should be in as many zones as possible. @default false */
+  /** Whether to distribute the voters over as many zones as possible. @default false */
   readonly spreadOverZones?: boolean;
-  /** Called after new voters were named. */
+  /** Called after a new voter set was written. */
   readonly onReplaced?: () => Promise<void>;
   readonly onTaskFailure?: (name: string, error: unknown) => void;
 }
 
 const DEFAULT_VOTER_COUNT = 3;
 const DEFAULT_REPLACEMENT_DELAY_MS = 4000;
-/** Time for the first members to find each other before voters are named. */
+/** Delay before the first voter set is created, so that the first members can discover each other. */
 const CREATION_DELAY_MS = 1500;
 const CHECK_INTERVAL_MS = 1000;
 
-/** Replaces failed voters by compare-and-set in the platform. One member of the electorate acts at a time. */
+/** Replaces failed voters by compare-and-set in the platform. Only the first-ranked eligible member does so at a time. */
 export class VoterSetKeeper extends BackgroundService {
   private replacementDueSince: number | undefined;
 
@@ -63,7 +63,7 @@
     super(options.clock, options.onTaskFailure);
   }
 
-  /** Starts checking. */
+  /** Starts the periodic check of the voter set. */
   start(): void {
     this.tasks.loop(
       `voters.${this.options.group}`,
@@ -94,13 +94,13 @@
     await this.replace(sets?.current, replacement);
   }
 
-  /** The first of the electorate acts; another takes its place when it fails. */
+  /** Whether this daemon is the first-ranked eligible member. When that member fails, the next one becomes responsible. */
   private isResponsible(): boolean {
     const ranked = rankByRendezvous(this.options.group, this.options.electorate());
     return ranked[0]?.id === this.options.membership.local.id;
   }
 
-  /** The voters there should be, or undefined when the present ones will do. */
+  /** Returns the voters of the next set, or undefined if the current set needs no change. */
   private selectReplacement(current: VoterSet | undefined): readonly Voter[] | undefined {
     const electorate = this.options.electorate();
     const size = Math.min(this.options.size ?? DEFAULT_VOTER_COUNT, electorate.length);
@@ -138,7 +138,7 @@
   }
 }
 
-/** Members whose zone has no voter yet, one a zone, before all others. */
+/** Orders one member of each zone without a voter before all other members. */
 function orderUncoveredZonesFirst(
   members: readonly MemberRecord[],
   coveredZones: readonly string[],
--- a/packages/configuration/test/configuration.test.ts
+++ b/packages/configuration/test/configuration.test.ts
@@ -16,7 +16,7 @@
 const ZONES = ['a', 'b', 'c', 'd', 'e'];
 
 describe('configuration store', () => {
-  it('never goes back, whatever updates come in whatever order', () => {
+  it('never decreases its revision for any sequence of updates', () => {
     const update = fc.record({
       baseRevision: fc.nat(20),
       revision: fc.integer({ min: 1, max: 25 }),
@@ -43,7 +43,7 @@
     );
   });
 
-  it('brings a store that is behind up to date by changes, and one far behind by everything', () => {
+  it('updates a lagging store by incremental changes and an empty store by a snapshot', () => {
     const source = new ConfigurationStore();
     source.apply({ baseRevision: 0, revision: 5, entries: [{ key: 'a', revision: 3, value: { n: 1 } }] });
     const follower = new ConfigurationStore();
@@ -62,8 +62,8 @@
   });
 });
 
-describe('allotments', () => {
-  it('add up to the maximum, within the limit of each zone', () => {
+describe('replica allotments', () => {
+  it('sum to the replica maximum within the limit per zone', () => {
     fc.assert(
       fc.property(fc.integer({ min: 1, max: 30 }), fc.integer({ min: 1, max: 8 }), (maximum, perZone) => {
         const allotments = splitOverZones('t/m', modelWith(maximum, perZone), ZONES);
@@ -75,7 +75,7 @@
     );
   });
 
-  it('only shrink or only grow when the maximum changes, so that no replica moves between zones', () => {
+  it('do not shrink in any zone when the maximum grows, so that no replica moves between zones', () => {
     for (let maximum = 1; maximum < 15; maximum += 1) {
       const before = new Map(
         splitOverZones('t/m', modelWith(maximum, 3), ZONES).map((entry) => [entry.zone, entry.replicas]),
@@ -88,7 +88,7 @@
 });
 
 describe('templates', () => {
-  it('name everything that is wrong', () => {
+  it('report all invalid fields together', () => {
     const parsed = templateParametersSchema.safeParse({
       models: [
         { name: 'one', memoryGib: 10, replicas: { minimum: 3, maximum: 1 } },
@@ -101,7 +101,7 @@
     expect(text).to.contain('memoryGib').and.to.contain('surplus');
   });
 
-  it('are found by tenant; a tenant of another partner does not get them', () => {
+  it('apply to tenants of the same partner and not to tenants of another partner', () => {
     const store = new ConfigurationStore();
     const parameters = { models: [{ name: 'one', memoryGib: 10, adapters: [{ name: 'tuned' }] }] };
     const entries = [
--- a/packages/protocol/src/backend-messages.ts
+++ b/packages/protocol/src/backend-messages.ts
@@ -1,31 +1,31 @@
-/** Messages about what back ends say of themselves in their answers. */
+/** Messages that share what back ends advertise in their responses. */
 import { definePeerMethod } from './method.js';
 
-/** What is known of a back end's rate limit, and how old that is. */
+/** A back end's observed rate limit and the age of that observation. */
 export interface RateLimitReport {
-  /** Over all daemons together; absent where the back end names none any more. */
+  /** Limit for all daemons together; absent if the back end no longer advertises one. */
   readonly requestsPerSecond?: number;
-  /** Milliseconds since the answer that said so. */
+  /** Milliseconds since the response that advertised this limit. */
   readonly heardAgoMs: number;
 }
 
-/** A change in what a back end says of its rate limit. */
+/** A change of the rate limit that a back end advertises. */
 export interface RateLimitNews {
   readonly kind: 'rate_limit';
   readonly backEndId: string;
   readonly rateLimit: RateLimitReport;
 }
 
-/** A back end has said that it leaves. */
+/** A back end has announced that it is shutting down. */
 export interface LeavingNews {
   readonly kind: 'leaving';
   readonly backEndId: string;
 }
 
-/** What a back end said to one daemon. */
+/** A notice from a back end, as received by one daemon. */
 export type BackendNews = RateLimitNews | LeavingNews;
 
-/** News from a daemon that heard it to all others. */
+/** Forwards back end notices from the daemon that received them to other daemons. */
 export interface BackendNewsMessage {
   readonly from: string;
   readonly news: readonly BackendNews[];
--- a/packages/protocol/src/configuration-messages.ts
+++ b/packages/protocol/src/configuration-messages.ts
@@ -1,8 +1,8 @@
-/** Messages of the configuration package. */
+/** Messages that distribute the platform configuration between daemons. */
 import type { Acknowledgement } from './membership-messages.js';
 import { definePeerMethod } from './method.js';
 
-/** One object of the platform as it travels between daemons. A null value is a deletion. */
+/** One platform object as sent between daemons. A null value marks a deletion. */
 export interface ConfigurationEntry {
   readonly key: string;
   /** Platform revision of the object's last change. */
@@ -10,30 +10,30 @@
   readonly value: object | null;
 }
 
-/** Changes that lead from one revision to another, or the whole content. */
+/** The changes between two revisions, or a full snapshot. */
 export interface ConfigurationUpdate {
-  /** Revision the receiver must hold; 0 means that the update is whole. */
+  /** Minimum revision that the receiver must have applied; 0 marks a full snapshot. */
   readonly baseRevision: number;
   readonly revision: number;
   readonly entries: readonly ConfigurationEntry[];
 }
 
-/** An update on its way down the tree. */
+/** An update forwarded down the distribution tree. */
 export interface PushRequest {
   readonly update: ConfigurationUpdate;
-  /** Addresses that the receiver passes the update on to. */
+  /** Peer addresses to which the receiver forwards the update. */
   readonly forwardTo: readonly string[];
 }
 
 export interface PullRequest {
-  /** Revision the asker holds. */
+  /** Revision that the caller has applied. */
   readonly revision: number;
 }
 
 export interface PullResponse {
-  /** Absent when the asker is as new as the answerer. */
+  /** Absent when the caller is not behind the responder. */
   readonly update?: ConfigurationUpdate;
-  /** Revision of an answerer that may serve; 0 from one that does not know yet whether it is up to date. */
+  /** Revision of the responder; 0 while it has not yet confirmed that it is up to date. */
   readonly revision: number;
 }
 
--- a/packages/protocol/src/coordination-messages.ts
+++ b/packages/protocol/src/coordination-messages.ts
@@ -2,21 +2,21 @@
 import type { Acknowledgement } from './membership-messages.js';
 import { definePeerMethod } from './method.js';
 
-/** One voter: a single run of one daemon. */
+/** One voter: a single run of a daemon process. */
 export interface Voter {
   readonly id: string;
   readonly address: string;
   readonly instance: number;
 }
 
-/** The voters of a group in one epoch, as named by the platform. */
+/** The voters of a group in one epoch, as recorded in the platform. */
 export interface VoterSet {
   readonly group: string;
   readonly epoch: number;
   readonly voters: readonly Voter[];
 }
 
-/** One replicated record. A null value is a deletion. */
+/** One replicated record. A null value marks a deletion. */
 export interface LeaseRecord {
   readonly key: string;
   readonly term: number;
@@ -24,7 +24,7 @@
   readonly value: object | null;
 }
 
-/** Identifies a voter's seat: a message for an earlier run or epoch is refused. */
+/** Identifies a voter in one epoch; a voter refuses messages for an earlier run or epoch. */
 export interface Seat {
   readonly group: string;
   readonly epoch: number;
@@ -33,7 +33,7 @@
 
 export interface AcquireRequest {
   readonly seat: Seat;
-  /** Sent when the voter does not know the epoch yet. */
+  /** Included when the voter has not received this epoch yet. */
   readonly set?: VoterSet;
   readonly holder: string;
   readonly holderAddress: string;
@@ -43,18 +43,18 @@
   readonly renewal: boolean;
 }
 
-/** Why a voter did or did not grant. */
+/** A voter's decision on a lease request, with the reason for a refusal. */
 export type VoteOutcome = 'granted' | 'held' | 'old_term' | 'unknown_epoch' | 'old_epoch' | 'not_a_voter';
 
 export interface AcquireResponse {
   readonly outcome: VoteOutcome;
   /** Highest term granted in this epoch. */
   readonly term: number;
-  /** Holder of that term's lease, when it has not lapsed. */
+  /** Holder of that term's lease; absent once it has expired. */
   readonly holder?: string;
   readonly holderAddress?: string;
   readonly remainingMs: number;
-  /** All records, with a first grant only. */
+  /** All replicated records; included only in the first grant of a term. */
   readonly records?: readonly LeaseRecord[];
 }
 
@@ -73,7 +73,7 @@
   readonly term: number;
 }
 
-/** Ends an epoch at a voter, for the one that follows. */
+/** Closes an epoch at a voter before the next epoch starts. */
 export interface SealRequest {
   readonly seat: Seat;
 }
@@ -102,29 +102,29 @@
   'lease.describe',
 );
 
-/** Asks for the right to run the work named by a key. */
+/** Requests the exclusive right to run the work identified by an idempotency key. */
 export interface ClaimRequest {
   readonly key: string;
-  /** Identifies the attempt; the same claimant may ask again. */
+  /** Identifies the attempt; the same claimant may repeat its request. */
   readonly claimant: string;
-  /** Digest of the work, to catch a key used for something else. */
+  /** Digest of the work, to detect a key reused for different work. */
   readonly fingerprint: string;
-  /** Milliseconds for which the key must be remembered. */
+  /** Retention time of the key, in milliseconds. */
   readonly lifetimeMs: number;
-  /** Age of the key in milliseconds as stated by the caller; absent when not stated. */
+  /** Age of the key in milliseconds, if the caller stated it. */
   readonly ageMs?: number;
 }
 
-/** `unknown`: the ledger cannot tell whether the key was used before. */
+/** Result of a claim. `unknown` means that the ledger cannot determine whether the key was used before. */
 export type ClaimOutcome = 'granted' | 'running' | 'finished' | 'unknown' | 'mismatch';
 
 export interface ClaimResponse {
   readonly outcome: ClaimOutcome;
-  /** With `finished`, the stored answer while it is kept. */
+  /** With `finished`, the stored response while it is retained. */
   readonly answer?: Uint8Array;
 }
 
-/** Ends a claim: finished with an answer, or released because the work certainly did not run. */
+/** Ends a claim: `finished` with a response, or `released` if the work is certain not to have run. */
 export interface SettleClaimRequest {
   readonly key: string;
   readonly claimant: string;
--- a/packages/protocol/src/crash-messages.ts
+++ b/packages/protocol/src/crash-messages.ts
@@ -1,25 +1,25 @@
-/** What daemons tell each other of processes of back ends that ended while they ran a request. */
+/** Messages that share crash records: back end processes that exited while they ran a request. */
 
-/** One process that ended while it ran, or may have run, a content; the names are short because there may be many. */
+/** Crash of one process that was, or may have been, running a request. Field names are short because there may be many entries. */
 export interface CrashMarkEntry {
-  /** Digest of the request's content. */
+  /** Digest of the request's content, which identifies repeated requests. */
   readonly c: string;
-  /** The process: id of the back end, which each start of it changes. */
+  /** Id of the back end process; it changes with each start. */
   readonly p: string;
-  /** Milliseconds since the request was sent to it. */
+  /** Milliseconds since the request was sent to the process. */
   readonly b: number;
-  /** Milliseconds since the process was seen to have ended. */
+  /** Milliseconds since the exit of the process was observed. */
   readonly e: number;
-  /** Set once a later run of the same content ended well: the mark then counts no more. */
+  /** Set once a later run of the same content succeeded, which invalidates this entry. */
   readonly x?: true;
-  /** Set where the process ended while it ran the content apart from all others that had ended several. */
+  /** Set if the crash happened in a trial, in which the content ran separately from other contents with several crashes. */
   readonly t?: true;
 }
 
-/** The marks that a daemon knows. */
+/** The crash records that a daemon has. */
 export interface CrashMarkReport {
-  /** Digest of all of them; 0 when there are none. */
+  /** Digest of all records; 0 when there are none. */
   readonly digest: number;
-  /** All of them; absent where the receiver is known to have the same. */
+  /** All records; absent if the receiver is known to have the same ones. */
   readonly marks?: readonly CrashMarkEntry[];
 }
--- a/packages/protocol/src/envelope.ts
+++ b/packages/protocol/src/envelope.ts
@@ -1,4 +1,4 @@
-/** Bytes of the internal protocol: one BSON document a frame. */
+/** Codec of the internal protocol: each frame is one BSON document. */
 import { deserialize, serialize, type Document } from 'bson';
 
 /** Version of the internal protocol; daemons of different versions refuse each other's connections. */
@@ -12,7 +12,7 @@
   readonly deployment: string;
 }
 
-/** A call. */
+/** A call to a method of the peer. */
 export interface RequestEnvelope {
   readonly type: 'request';
   /** Unique on the connection. */
@@ -21,28 +21,28 @@
   readonly body: object;
 }
 
-/** The answer to a call. */
+/** The response to a successful call. */
 export interface ResponseEnvelope {
   readonly type: 'response';
   readonly id: number;
   readonly body: object;
 }
 
-/** A call that failed. */
+/** The response to a failed call. */
 export interface FailureEnvelope {
   readonly type: 'failure';
   readonly id: number;
-  /** An error kind. */
+  /** Error kind, as defined by the errors package. */
   readonly kind: string;
   readonly message: string;
 }
 
-/** Any frame. */
+/** Any message that a frame can carry. */
 export type Envelope = HelloEnvelope | RequestEnvelope | ResponseEnvelope | FailureEnvelope;
 
 const TYPE_CODES = { hello: 0, request: 1, response: 2, failure: 3 } as const;
 
-/** The frame was not a valid envelope. */
+/** Thrown when a frame is not a valid envelope. */
 export class MalformedFrameError extends Error {
   override readonly name = 'MalformedFrameError';
 }
@@ -52,7 +52,7 @@
   return serialize(toDocument(envelope), { ignoreUndefined: true });
 }
 
-/** Decodes a frame. @throws MalformedFrameError */
+/** Decodes a frame. @throws MalformedFrameError if the frame is not a valid envelope */
 export function decodeEnvelope(frame: Uint8Array): Envelope {
   let document: Document;
   try {
--- a/packages/protocol/src/exchange-messages.ts
+++ b/packages/protocol/src/exchange-messages.ts
@@ -1,75 +1,75 @@
-/** Messages by which daemons tell each other their load, their claims and what they have read of the store. */
+/** Messages by which daemons share their load, zone claims and progress in reading the store. */
 import { definePeerMethod } from './method.js';
 import type { BackendNews } from './backend-messages.js';
 import type { CrashMarkReport } from './crash-messages.js';
 import type { ResidencyChange, ZoneClaim } from './residency-messages.js';
 
-/** Work on one target of one back end; the names are short because there are many. */
+/** Load of one target on one back end. Field names are short because there are many entries. */
 export interface LoadEntry {
-  /** Back end. */
+  /** Back end id. */
   readonly b: string;
   /** Target, `model` or `model/adapter`; empty for back ends without models, and in summaries. */
   readonly t: string;
-  /** Requests under way. */
+  /** Requests in progress. */
   readonly r: number;
-  /** Prompt tokens not yet read. */
+  /** Prompt tokens not yet processed. */
   readonly u: number;
-  /** Tokens held. */
+  /** Tokens held in memory by the requests in progress. */
   readonly h: number;
-  /** Milliseconds until the last of the requests is expected to have ended. */
+  /** Milliseconds until the last request in progress is expected to finish. */
   readonly e: number;
 }
 
-/** Recent requests for a model. */
+/** Recent demand for a model. */
 export interface DemandEntry {
-  /** Model. */
+  /** Model name. */
   readonly m: string;
-  /** Their number, older ones counting less. */
+  /** Number of recent requests, weighted by recency. */
   readonly w: number;
 }
 
-/** A zone and the daemon that coordinates it. */
+/** A zone claim with the daemon that made it. */
 export interface RelayedClaim extends ZoneClaim {
   readonly holder: string;
   /** Peer address of the holder. */
   readonly address: string;
 }
 
-/** How far a daemon has come with records of the store. */
+/** Position up to which a daemon has read records of the store. */
 export interface RecordPosition {
-  /** Era of the store in which the revision counts; absent from daemons that know no eras. */
+  /** Era of the store to which the revision belongs; absent from daemons without support for eras. */
   readonly era?: number;
-  /** Revision of the newest record seen; 0 before the first listing. */
+  /** Highest revision received; 0 before the first listing. */
   readonly revision: number;
-  /** Highest version that the records carry themselves; absent where they carry none. */
+  /** Highest version number inside the records; absent if the records have none. */
   readonly version?: number;
 }
 
-/** How far the sender has followed the records of one kind. */
+/** Position up to which the sender has read the records of one kind. */
 export interface SourcePosition extends RecordPosition {
   /** Kind of the records. */
   readonly source: string;
-  /** Digest of the names of all records. */
+  /** Digest of the names of all records of this kind. */
   readonly names: number;
 }
 
-/** State of the part of the deployment that the sender speaks for. */
+/** State of the part of the deployment that a daemon reports on. */
 export interface StateReport {
   readonly loads: readonly LoadEntry[];
   readonly demand: readonly DemandEntry[];
   readonly claims: readonly RelayedClaim[];
 }
 
-/** What a daemon tells a relay. */
+/** Report of a daemon to a relay. */
 export interface StateReportMessage {
   readonly from: string;
-  /** Whether the sender is a relay, and speaks for the daemons attached to it. */
+  /** Whether the sender is a relay that also reports for the daemons attached to it. */
   readonly isRelay: boolean;
   readonly state: StateReport;
   readonly positions: readonly SourcePosition[];
-  /** Whether the sender cannot follow the store itself at present. */
+  /** Whether the sender currently cannot read the store itself and needs records from the relay. */
   readonly needsRecords: boolean;
-  /** Absent from daemons that know no such marks. */
+  /** Absent from daemons without support for crash records. */
   readonly crashMarks?: CrashMarkReport;
 }
 
@@ -80,7 +80,7 @@
   readonly value: unknown;
 }
 
-/** One record as sent: its value, or the compressed JSON text of a large one. */
+/** One record as sent: its value, or for large records the compressed JSON text of the value. */
 export interface SentRecord {
   readonly name: string;
   readonly revision: number;
@@ -89,50 +89,51 @@
   readonly packed?: Uint8Array;
 }
 
-/** What a daemon lacks of the records of one kind. */
+/** Records of one kind that the receiver lacks. */
 export interface RecordUpdate {
   readonly source: string;
-  /** Era of the store in which all revisions of the update count; absent from daemons that know no eras. */
+  /** Era of the store to which all revisions of the update belong; absent from daemons without support for eras. */
   readonly era?: number;
-  /** Revision up to which the sender knows every change. */
+  /** Revision up to which the sender has received every change. */
   readonly revision: number;
   readonly records: readonly RecordEntry[];
-  /** Names of all records there are; absent where the receiver has just these. */
+  /** Names of all existing records; absent if the receiver already has exactly these. */
   readonly names?: readonly string[];
 }
 
-/** An update as sent. */
+/** A {@link RecordUpdate} as sent, with large records compressed. */
 export interface SentUpdate extends Omit<RecordUpdate, 'records'> {
   readonly records: readonly SentRecord[];
 }
 
-/** Answer to a report. */
+/** Response to a report. */
 export interface StateReportAnswer {
-  /** State of the part of the deployment that the answering relay speaks for. */
+  /** State of the part of the deployment that the responding relay reports on. */
   readonly state: StateReport;
-  /** Whether the answering daemon is a relay, and does not follow the store. */
+  /** Whether the responder is a relay. */
   readonly isRelay: boolean;
+  /** Whether the responder currently cannot read the store itself and needs records from the sender. */
   readonly needsRecords: boolean;
-  /** Empty unless asked for. */
+  /** Empty unless the report requested records. */
   readonly updates: readonly SentUpdate[];
   readonly crashMarks?: CrashMarkReport;
 }
 
-/** A daemon's report to the relay of its choice, which answers after a while or when something urgent comes. */
+/** A daemon's report to the relay it is attached to. The relay responds after a delay, or at once if something urgent arrives. */
 export interface AttachMessage extends StateReportMessage {
-  /** Whether loads by target and the demand for models are wanted as well. */
+  /** Whether the response should include loads by target and the demand for models. */
   readonly needsDetail: boolean;
 }
 
-/** What a relay tells a daemon that is attached to it. */
+/** Response of a relay to an attached daemon. */
 export interface AttachAnswer {
-  /** False where the receiver is no relay: nothing else counts. */
+  /** False if the responder is not a relay; all other fields are then to be ignored. */
   readonly isRelay: boolean;
-  /** State of all others. */
+  /** State of the rest of the deployment. */
   readonly state: StateReport;
   readonly updates: readonly SentUpdate[];
   readonly changes: readonly ResidencyChange[];
-  /** What back ends said to other daemons lately; absent where nothing is new. */
+  /** Recent back end notices received by other daemons; absent if there are none. */
   readonly backendNews?: readonly BackendNews[];
   readonly crashMarks?: CrashMarkReport;
 }
--- a/packages/protocol/src/gateway-messages.ts
+++ b/packages/protocol/src/gateway-messages.ts
@@ -1,22 +1,22 @@
-/** Messages between gateways, for jobs that are polled at any daemon and outlive the one that took them. */
+/** Messages between gateways about jobs, which can be polled at any daemon and survive the failure of the daemon that accepted them. */
 import type { Acknowledgement } from './membership-messages.js';
 import { definePeerMethod } from './method.js';
 
 export type JobState = 'queued' | 'finished' | 'failed';
 
-/** A job as its keepers store it. */
+/** A job, as stored by the daemons that replicate it. */
 export interface JobRecord {
-  /** Names the daemons that keep it. */
+  /** Job id; contains the names of the daemons that store the job. */
   readonly id: string;
   readonly tenant: string;
   readonly state: JobState;
-  /** Path and headers of the request, to run it again elsewhere. */
+  /** Path of the request. Path, headers and body are stored so that another daemon can run the job again. */
   readonly path: string;
   readonly headers: Readonly<Record<string, string>>;
   readonly body: Uint8Array;
-  /** Wall time of the submission, in milliseconds since the epoch. */
+  /** Time of submission, in milliseconds since the Unix epoch. */
   readonly submittedAt: number;
-  /** HTTP status of the result, once there is one. */
+  /** HTTP status of the result; absent until the job has one. */
   readonly status?: number;
   readonly result?: Uint8Array;
 }
--- a/packages/protocol/src/grant-messages.ts
+++ b/packages/protocol/src/grant-messages.ts
@@ -1,51 +1,52 @@
-/** Messages by which daemons ask the granters of zones for units of a limit that holds over all daemons. */
+/** Messages by which daemons request units of a shared limit from the quota allocators of the zones. */
 import type { RateLimitReport } from './backend-messages.js';
 import { definePeerMethod } from './method.js';
 
-/** What a granter is asked for. */
+/** A request to a quota allocator for units of a limit. */
 export interface GrantWish {
-  /** Units that the first waiting request lacks. */
+  /** Units still missing for the first waiting request. */
   readonly needed: number;
-  /** Units that all waiting requests lack. */
+  /** Units still missing for all waiting requests. */
   readonly queued: number;
-  /** Units that are expected to be used soon beside these. */
+  /** Further units that are expected to be used soon. */
   readonly ahead: number;
-  /** Whether less than the first request needs is of use: the rest comes from other granters. */
+  /** Whether fewer units than `needed` are acceptable because other allocators can supply the rest. */
   readonly mayBePart: boolean;
-  /** No other granter is asked after this one: its answer says when to come back. */
+  /** Whether this is the last allocator asked; if so, its response sets the time of the next retry. */
   readonly isLast: boolean;
 }
 
-/** Units handed out. */
+/** Response of a quota allocator. */
 export interface GrantAnswer {
+  /** Units granted. */
   readonly granted: number;
-  /** Milliseconds for which they may be used, from when they were asked for. */
+  /** Milliseconds for which the granted units are valid, counted from when they were requested. */
   readonly lifetimeMs: number;
-  /** Units that were there and were not handed out. */
+  /** Units available but not granted. */
   readonly left: number;
-  /** Milliseconds until what was lacking will be there; told by the last granter that is asked. */
+  /** Milliseconds until the missing units become available; set by the last allocator asked. */
   readonly retryAfterMs: number;
 }
 
-/** A wish for units of a tenant's limit. */
+/** A request for units of a tenant's quota. */
 export interface QuotaGrantMessage extends GrantWish {
-  /** Zone whose granter is asked. */
+  /** Zone whose allocator is asked. */
   readonly zone: string;
   readonly tenant: string;
 }
 
 export const quotaGrantMethod = definePeerMethod<QuotaGrantMessage, GrantAnswer>('quota.grant');
 
-/** A wish to send requests to a back end that limits its rate. */
+/** A request for permission to send requests to a back end with a rate limit. */
 export interface RateLimitGrantMessage extends GrantWish {
-  /** Zone of the back end, whose granter is asked. */
+  /** Zone of the back end, whose allocator is asked. */
   readonly zone: string;
   readonly backEndId: string;
-  /** What the asker knows of the limit. */
+  /** The limit as observed by the caller. */
   readonly report: RateLimitReport;
 }
 
-/** Requests that may be sent, and what the granter knows of the limit. */
+/** Number of requests that may be sent, with the limit as observed by the allocator. */
 export interface RateLimitGrantAnswer extends GrantAnswer {
   readonly report: RateLimitReport;
 }
--- a/packages/protocol/src/index.ts
+++ b/packages/protocol/src/index.ts
@@ -1,4 +1,4 @@
-/** The internal protocol: codec, method names and message shapes. */
+/** The internal protocol between daemons: codec, method names and message types. */
 export * from './backend-messages.js';
 export * from './configuration-messages.js';
 export * from './coordination-messages.js';
--- a/packages/protocol/src/membership-messages.ts
+++ b/packages/protocol/src/membership-messages.ts
@@ -1,38 +1,38 @@
-/** Messages of the membership package. */
+/** Messages of the gossip membership protocol. */
 import { definePeerMethod } from './method.js';
 
-/** What is believed of a member. Later states win over earlier ones of the same incarnation. */
+/** Observed state of a member. For the same incarnation, a state later in this list replaces an earlier one. */
 export type MemberStatus = 'alive' | 'leaving' | 'suspect' | 'dead' | 'left';
 
-/** One member as gossiped. */
+/** One member, as spread by gossip. */
 export interface MemberRecord {
   readonly id: string;
   /** Peer address, `ip:port`. */
   readonly address: string;
   readonly zone: string;
   readonly region: string;
-  /** What its machine bears, in hundredths of a core: work for others goes to those that bear most. */
+  /** Capacity of the machine, in hundredths of a core. Members with the highest capacity are preferred for work on behalf of others. */
   readonly capacity: number;
   /** Identifies one run of the process; a later run has a higher number. */
   readonly instance: number;
-  /** Raised by the member itself to refute a suspicion. */
+  /** Counter that the member itself increments to refute a suspicion. */
   readonly refutation: number;
   readonly status: MemberStatus;
 }
 
-/** A probe and its answer both carry news. */
+/** A probe or its response; both carry membership updates. */
 export interface ProbeMessage {
   readonly from: string;
   readonly updates: readonly MemberRecord[];
   /** Digest of the sender's view of live members. */
   readonly digest: number;
-  /** A number of the embedding program, for example the configuration revision in force. */
+  /** A number supplied by the embedding program, for example its current configuration revision. */
   readonly attachment: number;
-  /** Attachments are compared within one era only; absent where the embedding program tells of none. */
+  /** Era of the attachment; attachments are comparable within one era only. Absent if the embedding program supplies none. */
   readonly attachmentEra?: number;
 }
 
-/** Asks a third member to probe. */
+/** Asks another member to probe a third one. */
 export interface IndirectProbeRequest {
   readonly address: string;
   readonly timeoutMs: number;
@@ -42,10 +42,10 @@
   readonly reached: boolean;
 }
 
-/** Exchange of whole views, by buckets that differ. */
+/** Synchronizes the complete member lists by exchanging the buckets that differ. */
 export interface SyncRequest {
   readonly self: MemberRecord;
-  /** One digest a bucket; an empty list asks for everything. */
+  /** One digest per bucket; an empty list requests all members. */
   readonly bucketDigests: readonly number[];
 }
 
@@ -54,7 +54,7 @@
   readonly members: readonly MemberRecord[];
 }
 
-/** News sent outside the probes, for example a planned leave. */
+/** Updates sent outside of probes, for example a planned leave. */
 export interface UpdateMessage {
   readonly updates: readonly MemberRecord[];
 }
--- a/packages/protocol/src/method.ts
+++ b/packages/protocol/src/method.ts
@@ -1,13 +1,13 @@
-/** Typed names of the calls that daemons make to each other. */
+/** Typed method names for calls between daemons. */
 
-/** A call that one daemon makes to another; the type parameters exist at compile time only. */
+/** A method that one daemon calls on another, with its request and response types. */
 export interface PeerMethod<Request, Response> {
   readonly name: string;
-  /** Never set; carries the types. */
+  /** Never set at run time; carries the type parameters. */
   readonly types?: { readonly request: Request; readonly response: Response };
 }
 
-/** Declares a method. Names are `<package>.<verb>` and unique. */
+/** Declares a method. Its name must be unique and has the form `<package>.<verb>`. */
 export function definePeerMethod<Request, Response>(name: string): PeerMethod<Request, Response> {
   return { name };
 }
--- a/packages/protocol/src/placement-messages.ts
+++ b/packages/protocol/src/placement-messages.ts
@@ -2,36 +2,36 @@
 import type { Acknowledgement } from './membership-messages.js';
 import { definePeerMethod } from './method.js';
 
-/** One loaded replica that may take requests. */
+/** One loaded replica that can run requests. */
 export interface ReplicaInfo {
   readonly workerId: string;
-  /** Origin of the engine, for example `http://10.0.0.7:9000`. */
+  /** HTTP origin of the engine, for example `http://10.0.0.7:9000`. */
   readonly origin: string;
   readonly model: string;
   readonly version: string;
   readonly adapters: readonly string[];
-  /** Requests the replica may run at once. */
+  /** Maximum number of requests that the replica runs concurrently. */
   readonly concurrency: number;
-  /** Requests running when last reported; late by the reporting interval. */
+  /** Requests running as of the last report; can be stale by up to one reporting interval. */
   readonly running: number;
-  /** False once the replica is leaving: no new work. */
+  /** False once the replica is being removed and accepts no new requests. */
   readonly accepting: boolean;
 }
 
-/** What is wanted of one model in one zone, as its queue owner sees it. */
+/** Demand for one model in one zone, as observed by its queue owner. */
 export interface ModelDemand {
   readonly model: string;
-  /** Waiting requests by adapter; the empty name is the base model. */
+  /** Waiting requests by adapter; the empty name stands for the base model. */
   readonly waiting: readonly AdapterDemand[];
-  /** Highest priority class that waits; lower numbers go first. */
+  /** Most urgent priority among the waiting requests; lower numbers are served first. */
   readonly topPriority: number;
-  /** Milliseconds until the first deadline among the waiting, or 0 when none waits. */
+  /** Milliseconds until the earliest deadline of a waiting request, or 0 if none waits. */
   readonly firstDeadlineMs: number;
-  /** True when all that waits may be deferred. */
+  /** Whether all waiting requests are deferrable. */
   readonly deferrable: boolean;
-  /** Requests running, as the owner counts its grants. */
+  /** Requests running, counted from the grants of the queue owner. */
   readonly running: number;
-  /** Requests since the last report. */
+  /** Requests received since the last report. */
   readonly arrivals: number;
   /** Workers that refused or failed a request since the last report. */
   readonly suspects: readonly string[];
@@ -47,22 +47,22 @@
   readonly demands: readonly ModelDemand[];
 }
 
-/** The coordinator's answer: replicas of the models asked about. */
+/** Response of the coordinator: the replicas of the reported models. */
 export interface ReportDemandResponse {
   readonly models: readonly ModelReplicas[];
 }
 
-/** The replicas of one model in one zone, and the hope of more. */
+/** The replicas of one model in one zone, and whether more are being loaded. */
 export interface ModelReplicas {
   readonly model: string;
   readonly replicas: readonly ReplicaInfo[];
-  /** True while a load is under way. */
+  /** Whether a replica is being loaded. */
   readonly loading: boolean;
-  /** Why nothing is loading though something waits; absent when something is. */
+  /** Reason why nothing is loading although requests wait; absent while a load is in progress. */
   readonly blockedBy?: 'memory' | 'limit' | 'recovering' | 'no_worker';
 }
 
-/** Pushed by the coordinator when a model's replicas change. */
+/** Sent by the coordinator when the replicas of a model change. */
 export interface ReplicasChangedRequest {
   readonly zone: string;
   readonly fence: number;
@@ -73,7 +73,7 @@
   readonly zone: string;
 }
 
-/** One worker as the coordinator sees it. */
+/** State of one worker, as observed by the coordinator. */
 export interface WorkerStatus {
   readonly workerId: string;
   readonly reached: boolean;
@@ -88,7 +88,7 @@
   readonly state: string;
 }
 
-/** One model's place in a zone. */
+/** Placement of one model in a zone; all counts are replicas. */
 export interface ModelStatus {
   readonly model: string;
   readonly decided: number;
--- a/packages/protocol/src/residency-messages.ts
+++ b/packages/protocol/src/residency-messages.ts
@@ -1,43 +1,44 @@
-/** Messages about models resident on workers, and about load. */
+/** Messages about the models resident on workers, zone claims and lease witnesses. */
 import { definePeerMethod } from './method.js';
 
-/** A wish that a model or adapter be made resident in the receiver's zone. */
+/** Requests that a model or adapter be made resident in a zone that the receiver coordinates. */
 export interface ResidencyDemandMessage {
   /** Zone whose coordinator is asked. */
   readonly zone: string;
   readonly service: string;
   readonly model: string;
   readonly adapter?: string;
-  /** The only version of the adapter that will do; any when absent. */
+  /** Required version of the adapter; any version if absent. */
   readonly adapterVersion?: number;
   /** 0 is the most urgent. */
   readonly priority: number;
-  /** Milliseconds after which it no longer helps. */
+  /** Milliseconds after which residency is no longer useful to the sender. */
   readonly withinMs: number;
-  /** Workers that the sender cannot use now. */
+  /** Workers that the sender currently cannot use. */
   readonly without: readonly string[];
-  /** Milliseconds after which an answer to the request earns less; `withinMs` when absent. */
+  /** Target time in milliseconds, after which a response to the request has less value; `withinMs` if absent. */
   readonly targetMs?: number;
-  /** Wants one more replica beside those there are. */
+  /** Requests one replica in addition to the existing ones. */
   readonly another?: boolean;
-  /** Whether the weight store may be used: not while a worker has a copy that can be loaded in much less time. */
+  /** Whether loading from the weight store is allowed; false while a worker has a copy that loads much faster. */
   readonly mayUseStore: boolean;
-  /** Only asks how long it would take: nothing is loaded, and the answer tells it as `retryAfterMs`. */
+  /** Requests only an estimate: nothing is loaded, and `retryAfterMs` of the response is the expected time. */
   readonly quote?: boolean;
 }
 
-/** Answer to a demand, sent when the target is resident or will not be in time. */
+/** Response to a demand, sent once the target is resident or cannot become resident in time. */
 export interface ResidencyDemandAnswer {
+  /** Whether the target is resident. */
   readonly held: boolean;
-  /** Empty unless held. */
+  /** Back end that has the target; empty unless `held`. */
   readonly backEndId: string;
   readonly retryAfterMs: number;
   readonly reason: string;
-  /** Of a quote: milliseconds for which the load would occupy a worker. */
+  /** For a quote: milliseconds for which the load would occupy a worker. */
   readonly occupiesMs?: number;
 }
 
-/** A target that is, or is no longer, resident on a worker. */
+/** A target that became resident on a worker or is no longer resident there. */
 export interface ResidencyChange {
   readonly backEndId: string;
   readonly model: string;
@@ -46,68 +47,68 @@
   readonly resident: boolean;
 }
 
-/** News from a zone's coordinator to all daemons. */
+/** Residency changes that a zone coordinator announces to all daemons. */
 export interface ResidencyChangedMessage {
-  /** Daemon that announces them. */
+  /** Daemon that announces the changes. */
   readonly from: string;
   readonly changes: readonly ResidencyChange[];
 }
 
-/** A load under way. */
+/** A load in progress. */
 export interface LoadUnderWay {
   readonly model: string;
-  /** Milliseconds until the model is expected to be resident, when it was told. */
+  /** Milliseconds until the model is expected to be resident, as of the time of the report. */
   readonly readyInMs: number;
 }
 
-/** A zone that the sender coordinates. */
+/** Announces that the sender coordinates a zone, with its lease and the loads in progress. */
 export interface ZoneClaim {
   readonly zone: string;
   readonly fence: number;
-  /** Loads from the weight store under way on the zone's workers; all zones share its link. */
+  /** Number of loads from the weight store in progress on the zone's workers; all zones share the link to the store. */
   readonly storeLoads: number;
-  /** Models that the zone's workers load now: no other zone loads them as well. */
+  /** Models that the zone's workers are loading; other zones do not load them at the same time. */
   readonly loading: readonly LoadUnderWay[];
-  /** Revision of the lease's record after the last write of the sender that the store confirmed. */
+  /** Revision of the lease record after the sender's last write that the store confirmed. */
   readonly leaseRevision: number;
-  /** Era of the store in which that revision counts; absent from daemons that know no eras. */
+  /** Era of the store to which that revision belongs; absent from daemons without support for eras. */
   readonly leaseEra?: number;
-  /** Milliseconds since that write began, when the claim was first told. */
+  /** Milliseconds since that write began, as of the time the claim was first reported. */
   readonly confirmedAgoMs: number;
 }
 
-/** Word of a lease's holder to a witness that it still uses the lease. */
+/** Notifies a witness that the holder of a lease still uses it. */
 export interface LeaseContactMessage {
   /** Name of the lease. */
   readonly lease: string;
-  /** Era and revision of its record as the holder knows it; the era is absent from daemons that know none. */
+  /** Era of the lease record as cached by the holder; absent from daemons without support for eras. */
   readonly era?: number;
   readonly revision: number;
 }
 
-/** Answer of a witness to a holder. */
+/** Response of a witness to a lease holder. */
 export interface LeaseContactAnswer {
   readonly accepted: boolean;
-  /** The witness's run: another one than the holder named counts for nothing. */
+  /** Identifies the run of the witness process; the holder ignores a response from any other run than the one it named. */
   readonly instance: number;
 }
 
-/** Wish of a candidate that the holder of a lease be refused. */
+/** A candidate asks a witness to refuse the current holder of a lease from now on. */
 export interface LeaseRefusalMessage {
   readonly lease: string;
-  /** Era and revision of the record that the candidate is about to replace; the era is absent from daemons that know none. */
+  /** Era of the lease record that the candidate is about to replace; absent from daemons without support for eras. */
   readonly era?: number;
   readonly revision: number;
 }
 
-/** Answer of a witness to a candidate. */
+/** Response of a witness to a candidate. */
 export interface LeaseRefusalAnswer {
   readonly agreed: boolean;
   readonly lastContactAgoMs: number;
   readonly instance: number;
 }
 
-/** Word to a daemon that was started again: a zone's lease is still recorded as its own. */
+/** Notifies a restarted daemon that it is still recorded as the holder of a zone's lease. */
 export interface LeaseResumeMessage {
   readonly zone: string;
 }
--- a/packages/protocol/src/routing-messages.ts
+++ b/packages/protocol/src/routing-messages.ts
@@ -4,39 +4,39 @@
 import type { ReplicaInfo } from './placement-messages.js';
 
 /**
- * Registers a waiting request with the model's queue owner, or asks after it again. The owner answers when it
- * grants a replica, or after `holdMs`; a request that is not asked after for a while loses its place.
+ * Registers a waiting request with the model's queue owner, or polls for a request registered before. The owner
+ * responds when it grants a replica, or after `holdMs`; a request that is not polled for some time is dropped.
  */
 export interface EnqueueRequest {
   readonly holdMs: number;
-  /** Requests that the router sent straight to replicas since it last asked. */
+  /** Requests that the router sent directly to replicas since its previous call. */
   readonly directArrivals: number;
-  /** Most requests that may wait for the model. */
+  /** Maximum number of requests that may wait for the model. */
   readonly queueLimit: number;
   readonly requestId: string;
   readonly routerId: string;
   readonly model: string;
   readonly adapter: string;
   readonly priority: number;
-  /** Milliseconds left of the allowed wait. */
+  /** Milliseconds remaining of the allowed wait. */
   readonly remainingMs: number;
   readonly deferrable: boolean;
-  /** Digest of the prompt's beginning, for prefix affinity; 0 when none. */
+  /** Digest of the prompt prefix, for prefix affinity; 0 if there is none. */
   readonly affinity: number;
-  /** Workers that refused this request before. */
+  /** Workers that already refused this request. */
   readonly avoid: readonly string[];
 }
 
 export interface EnqueueResponse {
-  /** Absent while the request still waits. */
+  /** Granted replica; absent while the request waits. */
   readonly replica?: ReplicaInfo;
-  /** All replicas, so that the router can go straight to them while they are not scarce. */
+  /** All replicas, to which the router can send directly unless `scarce` is set. */
   readonly replicas: readonly ReplicaInfo[];
-  /** True while requests wait: routers must ask before each dispatch. */
+  /** Whether requests are waiting, in which case routers must call the owner before each dispatch. */
   readonly scarce: boolean;
-  /** True when the zone's replicas are loaded and far more waits than they can run: another zone may do better. */
+  /** Whether the zone's replicas are loaded and far more requests wait than they can run; another zone may then be faster. */
   readonly saturated: boolean;
-  /** Whether a replica was ready when the request arrived. */
+  /** Whether no replica was ready when the request arrived. */
   readonly waitedForLoad: boolean;
 }
 
@@ -46,12 +46,12 @@
   readonly model: string;
 }
 
-/** Ends a grant. */
+/** Reports the end of a grant to the queue owner. */
 export interface GrantEndedRequest {
   readonly requestId: string;
   readonly model: string;
   readonly workerId: string;
-  /** What the engine did with it. */
+  /** Outcome of the request at the engine. */
   readonly result: 'completed' | 'refused' | 'failed';
 }
 
--- a/packages/protocol/src/store-position.ts
+++ b/packages/protocol/src/store-position.ts
@@ -1,17 +1,17 @@
 /**
- * Positions in the changes of the platform's store. The store numbers its changes by revision; when it is restored from a copy, it numbers anew from
- * an earlier revision and raises its era. Revisions are comparable within one era only.
+ * Positions in the change log of the platform's store. Each change increments the revision. A restore from a backup continues from an
+ * earlier revision and increments the era, so revisions are comparable within one era only.
  */
 
-/** A point in the changes of the store. */
+/** A position in the change log of the store. */
 export interface StorePosition {
-  /** Rises by one each time that the store is restored from a copy; 0 where the store tells of none. */
+  /** Incremented each time the store is restored from a backup; 0 if the store reports no era. */
   readonly era: number;
-  /** Rises with each change within the era. */
+  /** Increases with each change within an era. */
   readonly revision: number;
 }
 
-/** Orders positions: negative where the left one is earlier, 0 where they are the same. */
+/** Compares two positions: negative if `left` is earlier, 0 if they are equal, positive if `left` is later. */
 export function compareStorePositions(left: StorePosition, right: StorePosition): number {
   return left.era === right.era ? left.revision - right.revision : left.era - right.era;
 }
