--- a/packages/configuration/src/configuration-relay.ts
+++ b/packages/configuration/src/configuration-relay.ts
@@ -56,7 +56,7 @@
   /** Operation counts since the relay was created. */
   readonly counters = { pushesSent: 0, pulls: 0, platformReads: 0 };
   private readonly startedAt: number;
-  private repairing = false;
+  private isPulling = false;
   private fresh = false;
   /** Monotonic time since which this daemon, in its slot, has found the lease without a holder. */
   private leaseUnheldSince: number | undefined;
@@ -196,8 +196,8 @@
   }
 
   private async pullFrom(address: string): Promise<void> {
-    if (this.repairing) return;
-    this.repairing = true;
+    if (this.isPulling) return;
+    this.isPulling = true;
     this.counters.pulls += 1;
     try {
       const { peers, store } = this.options;
@@ -206,7 +206,7 @@
     } catch {
       // The next probe that reports a higher revision triggers another attempt.
     } finally {
-      this.repairing = false;
+      this.isPulling = false;
     }
   }
 
@@ -259,10 +259,10 @@
           .catch(() => undefined),
       ),
     );
-    for (const answer of responses) {
-      if (answer?.update !== undefined) store.apply(answer.update);
+    for (const response of responses) {
+      if (response?.update !== undefined) store.apply(response.update);
     }
-    return responses.flatMap((answer) => (answer === undefined ? [] : [answer.revision]));
+    return responses.flatMap((response) => (response === undefined ? [] : [response.revision]));
   }
 
   private isBootstrapReadDue(): boolean {
