--- a/packages/configuration/src/configuration-relay.ts
+++ b/packages/configuration/src/configuration-relay.ts
@@ -49,6 +49,7 @@
 const MINIMUM_WAIT_MS = 10;
 /** A watch is restarted after this time, in case its connection failed without an error. */
 const MAX_WATCH_DURATION_MS = 30_000;
+/** Maximum number of peers asked for their revision to confirm freshness. */
 const MAX_FRESHNESS_PEERS = 8;
 
 /** Keeps one daemon's configuration store up to date. */
@@ -230,12 +231,18 @@
     await this.readPlatform();
   }
 
-  /** Reads the platform if no daemon holds the lease. Called after this daemon wrote a voter set, which the new voters could not receive otherwise. */
+  /**
+   * Reads the platform if no daemon holds the lease. Called after this daemon wrote a voter set, which the new voters
+   * would not receive otherwise.
+   */
   async readIfUnheld(): Promise<void> {
     if (!(await this.options.isLeaseHeld())) await this.readPlatform();
   }
 
-  /** Compares revisions with peers of the zone; if they cannot confirm freshness, reads the platform once its delay by rank has passed. */
+  /**
+   * Compares revisions with peers of the zone. If they cannot confirm freshness, reads the platform once the delay for
+   * this daemon's rank has passed.
+   */
   private async checkFreshness(): Promise<void> {
     const peers = this.zonePeers().slice(0, MAX_FRESHNESS_PEERS);
     const revisions = await this.fetchPeerRevisions(peers);
--- a/packages/configuration/test/configuration.test.ts
+++ b/packages/configuration/test/configuration.test.ts
@@ -88,7 +88,7 @@
 });
 
 describe('templates', () => {
-  it('report all invalid fields together', () => {
+  it('report several invalid fields in one result', () => {
     const parsed = templateParametersSchema.safeParse({
       models: [
         { name: 'one', memoryGib: 10, replicas: { minimum: 3, maximum: 1 } },
--- a/packages/protocol/src/configuration-messages.ts
+++ b/packages/protocol/src/configuration-messages.ts
@@ -31,7 +31,7 @@
 }
 
 export interface PullResponse {
-  /** Absent when the caller is not behind the responder. */
+  /** Absent if the responder has no newer revision than the caller. */
   readonly update?: ConfigurationUpdate;
   /** Revision of the responder; 0 while it has not yet confirmed that it is up to date. */
   readonly revision: number;
--- a/packages/protocol/src/crash-messages.ts
+++ b/packages/protocol/src/crash-messages.ts
@@ -20,6 +20,6 @@
 export interface CrashMarkReport {
   /** Digest of all records; 0 when there are none. */
   readonly digest: number;
-  /** All records; absent if the receiver is known to have the same ones. */
+  /** All records; absent if the receiver already has the same ones or was sent them recently. */
   readonly marks?: readonly CrashMarkEntry[];
 }
--- a/packages/protocol/src/envelope.ts
+++ b/packages/protocol/src/envelope.ts
@@ -58,7 +58,7 @@
   try {
     document = deserialize(frame, { promoteBuffers: true, promoteLongs: true });
   } catch (error) {
-    throw new MalformedFrameError('not a BSON document', { cause: error });
+    throw new MalformedFrameError('frame is not a BSON document', { cause: error });
   }
   return fromDocument(document);
 }
@@ -81,14 +81,14 @@
   if (t === TYPE_CODES.hello && typeof document['v'] === 'number' && typeof document['d'] === 'string') {
     return { type: 'hello', version: document['v'], deployment: document['d'] };
   }
-  if (typeof i !== 'number') throw new MalformedFrameError('message without an id');
+  if (typeof i !== 'number') throw new MalformedFrameError('envelope has no numeric id');
   if (t === TYPE_CODES.failure && typeof document['k'] === 'string') {
     return { type: 'failure', id: i, kind: document['k'], message: String(document['e']) };
   }
-  if (typeof b !== 'object' || b === null) throw new MalformedFrameError('message without a body');
+  if (typeof b !== 'object' || b === null) throw new MalformedFrameError('envelope has no body');
   if (t === TYPE_CODES.request && typeof document['m'] === 'string') {
     return { type: 'request', id: i, method: document['m'], body: b as object };
   }
   if (t === TYPE_CODES.response) return { type: 'response', id: i, body: b as object };
-  throw new MalformedFrameError('unknown message type');
+  throw new MalformedFrameError('unknown envelope type or missing fields');
 }
--- a/packages/protocol/src/method.ts
+++ b/packages/protocol/src/method.ts
@@ -7,7 +7,7 @@
   readonly types?: { readonly request: Request; readonly response: Response };
 }
 
-/** Declares a method. Its name must be unique and has the form `<package>.<verb>`. */
+/** Declares a method. Its name must be unique and has the form `<area>.<call>`. */
 export function definePeerMethod<Request, Response>(name: string): PeerMethod<Request, Response> {
   return { name };
 }
--- a/packages/protocol/src/residency-messages.ts
+++ b/packages/protocol/src/residency-messages.ts
@@ -81,7 +81,7 @@
 export interface LeaseContactMessage {
   /** Name of the lease. */
   readonly lease: string;
-  /** Era of the lease record as cached by the holder; absent from daemons without support for eras. */
+  /** Era and revision of the lease record as cached by the holder; the era is absent from daemons without support for eras. */
   readonly era?: number;
   readonly revision: number;
 }
@@ -96,7 +96,7 @@
 /** A candidate asks a witness to refuse the current holder of a lease from now on. */
 export interface LeaseRefusalMessage {
   readonly lease: string;
-  /** Era of the lease record that the candidate is about to replace; absent from daemons without support for eras. */
+  /** Era and revision of the lease record that the candidate is about to replace; the era is absent from daemons without support for eras. */
   readonly era?: number;
   readonly revision: number;
 }
