--- a/packages/configuration/src/configuration-relay.ts
+++ b/packages/configuration/src/configuration-relay.ts
@@ -1,7 +1,7 @@
 /**
- * Brings the platform's objects to every daemon. Few read the platform: the holder of each zone's relay lease, and
- * while a zone has no voters yet, the first of its members. All others are pushed to along a tree and repair
- * what they missed by comparing revisions with any peer.
+ * Distributes the platform's objects to all daemons. Only a few daemons read the platform: the holder of each zone's relay
+ * lease, or the first-ranked members of a zone whose lease has no holder. All others receive updates along a push tree and
+ * pull missed updates from any peer with a higher revision.
  */
 import { isKind } from '@woodbarrow/errors';
 import { rankByRendezvous, type Lease, type LeaseCandidate } from '@woodbarrow/coordination';
@@ -26,52 +26,53 @@
   readonly peers: PeerNetwork;
   readonly clock: Clock;
   readonly random: Random;
-  /** Lease that lets one daemon of the zone read the platform. */
+  /** Candidate for the relay lease, whose holder reads the platform for the zone. */
   readonly lease: LeaseCandidate;
-  /** Names of the zone's daemons as the platform's machine list has them; members may not all be known yet. */
+  /** Returns the names of the zone's daemons from the platform's machine list, including those that membership has not discovered yet. */
   readonly listedDaemons: () => readonly string[];
-  /** Whether some daemon of the zone holds that lease now, as its voters say. */
+  /** Returns whether any daemon of the zone currently holds the relay lease according to its voters. */
   readonly isLeaseHeld: () => Promise<boolean>;
   readonly onTaskFailure?: (name: string, error: unknown) => void;
 }
 
 const TREE_FAN_OUT = 8;
-const BOOTSTRAP_PAUSE_MS = 1000;
-/** A member reads the platform without the lease only after waiting this long for each one ranked before it. */
+const BOOTSTRAP_INTERVAL_MS = 1000;
+/** Delay per better-ranked member before a member reads the platform without the lease. */
 const BOOTSTRAP_RANK_DELAY_MS = 3000;
-/** Members that read in turns while nobody holds the lease, and the length of a turn. */
-const STAND_INS = 3;
-const STAND_IN_TURN_MS = 10_000;
-/** Time for which a zone must have had no relay before another member reads the platform. */
-const STAND_IN_PATIENCE_MS = 4000;
+/** Number of members that read the platform in rotating time slots while no daemon holds the lease. */
+const FALLBACK_READER_COUNT = 3;
+const FALLBACK_SLOT_MS = 10_000;
+/** Time for which the lease must have no holder before a fallback reader reads the platform. */
+const FALLBACK_DELAY_MS = 4000;
 const WATCH_RETRY_MS = 1000;
-/** Shorter than the safety margin between the holder's and the voters' end of a lease. */
+/** Must be shorter than the safety margin between the lease expiry at the holder and at the voters. */
 const MINIMUM_WAIT_MS = 10;
-/** A watch is renewed after this long, in case it died silently. */
-const WATCH_RENEWAL_MS = 30_000;
-const FRESHNESS_PEERS = 8;
+/** A watch is restarted after this time, in case its connection failed without an error. */
+const MAX_WATCH_DURATION_MS = 30_000;
+/** Maximum number of peers asked for their revision to confirm freshness. */
+const MAX_FRESHNESS_PEERS = 8;
 
 /** Keeps one daemon's configuration store up to date. */
 export class ConfigurationRelay extends BackgroundService {
-  /** Counters of the relay's work. */
+  /** Operation counts since the relay was created. */
   readonly counters = { pushesSent: 0, pulls: 0, platformReads: 0 };
   private readonly startedAt: number;
-  private repairing = false;
+  private isPulling = false;
   private fresh = false;
-  /** Since when this daemon, in its turn, has found the zone without a relay. */
-  private unheldSince: number | undefined;
+  /** Monotonic time since which this daemon, in its slot, has found the lease without a holder. */
+  private leaseUnheldSince: number | undefined;
 
   constructor(private readonly options: ConfigurationRelayOptions) {
     super(options.clock, options.onTaskFailure);
     this.startedAt = options.clock.monotonic();
   }
 
-  /** Whether this daemon may serve: it holds a revision as new as a majority of its zone, or the platform's. */
+  /** Whether this daemon may serve: its configuration came from the platform or is as new as that of a majority of its zone. */
   get isFresh(): boolean {
     return this.fresh;
   }
 
-  /** Starts receiving and repairing; reads the platform when it is this daemon's turn. */
+  /** Starts to receive and pull updates, and to read the platform when this daemon holds the lease or is a fallback reader. */
   start(): void {
     const { peers, membership, store, lease } = this.options;
     peers.handle(pushConfigurationMethod, (request) => {
@@ -91,12 +92,12 @@
     });
     this.tasks.loop(
       'configuration.bootstrap',
-      () => BOOTSTRAP_PAUSE_MS,
+      () => BOOTSTRAP_INTERVAL_MS,
       () => this.bootstrap(),
     );
   }
 
-  /** While holding the lease: read everything once, then watch. */
+  /** Reads all objects once and then watches for changes while the lease is held. */
   private async relay(lease: Lease, signal: AbortSignal): Promise<void> {
     while (lease.isValid && !signal.aborted) {
       try {
@@ -109,25 +110,25 @@
     while (lease.isValid && !signal.aborted) await this.watchWhileHeld(lease, signal);
   }
 
-  /** One watch, ended when the lease is lost, after its longest duration, or by the platform. */
+  /** Runs one watch until the lease is lost, the maximum duration has passed, or the platform closes it. */
   private async watchWhileHeld(lease: Lease, signal: AbortSignal): Promise<void> {
     const { clock } = this.options;
-    const stop = new AbortController();
-    const endsAt = clock.monotonic() + WATCH_RENEWAL_MS;
-    const over = Promise.race([this.watch(stop.signal), lease.whenEnded]);
+    const watchAbort = new AbortController();
+    const endsAt = clock.monotonic() + MAX_WATCH_DURATION_MS;
+    const watchOrLeaseEnded = Promise.race([this.watch(watchAbort.signal), lease.whenEnded]);
     while (lease.isValid && !signal.aborted && clock.monotonic() < endsAt) {
-      const limitMs = Math.max(MINIMUM_WAIT_MS, Math.min(lease.remainingMs, endsAt - clock.monotonic()));
-      const result = await settleWithin(clock, limitMs, over);
+      const waitMs = Math.max(MINIMUM_WAIT_MS, Math.min(lease.remainingMs, endsAt - clock.monotonic()));
+      const result = await settleWithin(clock, waitMs, watchOrLeaseEnded);
       if (!result.timedOut) break;
     }
-    stop.abort();
+    watchAbort.abort();
   }
 
   private async watch(signal: AbortSignal): Promise<void> {
     const { store, platform, clock } = this.options;
     try {
       for await (const object of platform.watch(store.revision, signal)) {
-        this.takeIn([object], object.revision, store.revision);
+        this.applyAndPush([object], object.revision, store.revision);
       }
     } catch (error) {
       if (isKind(error, 'revision_conflict')) await this.readPlatform().catch(() => undefined);
@@ -139,10 +140,10 @@
     this.counters.platformReads += 1;
     const list = await this.options.platform.list();
     this.fresh = true;
-    this.takeIn(list.items, list.revision, 0);
+    this.applyAndPush(list.items, list.revision, 0);
   }
 
-  private takeIn(objects: readonly PlatformObject[], revision: number, baseRevision: number): void {
+  private applyAndPush(objects: readonly PlatformObject[], revision: number, baseRevision: number): void {
     const entries = objects.map(({ key, revision: changedAt, value }) => ({
       key,
       revision: changedAt,
@@ -165,7 +166,7 @@
       .filter((member) => member.zone === membership.local.zone && member.id !== membership.local.id);
   }
 
-  /** Sends an update to up to eight receivers, each of which passes it on to its share of the others. */
+  /** Sends an update to up to {@link TREE_FAN_OUT} receivers, each of which forwards it to its share of the others. */
   private push(update: ConfigurationUpdate, receivers: readonly { readonly address: string }[]): void {
     const children = receivers.slice(0, TREE_FAN_OUT);
     const rest = receivers.slice(TREE_FAN_OUT).map((receiver) => receiver.address);
@@ -185,87 +186,93 @@
       request.forwardTo.map((address) => ({ address })),
     );
     const applied = store.apply(request.update);
-    // A whole update was read from the platform after this daemon had joined.
+    // A snapshot was read from the platform after this daemon had joined.
     if (applied && request.update.baseRevision === 0) this.fresh = true;
-    if (!applied && request.update.revision > store.revision) void this.pullFromAnyone();
+    if (!applied && request.update.revision > store.revision) void this.pullFromRandomPeer();
   }
 
-  private async pullFromAnyone(): Promise<void> {
+  private async pullFromRandomPeer(): Promise<void> {
     const peer = this.options.random.pick(this.zonePeers());
     if (peer !== undefined) await this.pullFrom(peer.address);
   }
 
   private async pullFrom(address: string): Promise<void> {
-    if (this.repairing) return;
-    this.repairing = true;
+    if (this.isPulling) return;
+    this.isPulling = true;
     this.counters.pulls += 1;
     try {
       const { peers, store } = this.options;
-      const answer = await peers.call(address, pullConfigurationMethod, { revision: store.revision });
-      if (answer.update !== undefined) store.apply(answer.update);
+      const response = await peers.call(address, pullConfigurationMethod, { revision: store.revision });
+      if (response.update !== undefined) store.apply(response.update);
     } catch {
-      // Another peer will be ahead at the next probe.
+      // The next probe that reports a higher revision triggers another attempt.
     } finally {
-      this.repairing = false;
+      this.isPulling = false;
     }
   }
 
-  /** Reads the platform without the lease when there is no other way to learn of changes. */
+  /** Establishes freshness after startup, and later reads the platform as fallback while no daemon holds the lease. */
   private async bootstrap(): Promise<void> {
-    if (!this.fresh) await this.becomeFresh();
-    else if (this.isStandInTurn()) await this.standIn();
-    else this.unheldSince = undefined;
+    if (!this.fresh) await this.checkFreshness();
+    else if (this.isFallbackReader()) await this.readAsFallback();
+    else this.leaseUnheldSince = undefined;
   }
 
-  /** Reads the platform when the zone has had no relay for a while. */
-  private async standIn(): Promise<void> {
+  /** Reads the platform if the lease has had no holder for {@link FALLBACK_DELAY_MS}. */
+  private async readAsFallback(): Promise<void> {
     const now = this.options.clock.monotonic();
     if (await this.options.isLeaseHeld()) {
-      this.unheldSince = undefined;
+      this.leaseUnheldSince = undefined;
       return;
     }
-    this.unheldSince ??= now;
-    if (now - this.unheldSince < STAND_IN_PATIENCE_MS) return;
-    this.unheldSince = now;
+    this.leaseUnheldSince ??= now;
+    if (now - this.leaseUnheldSince < FALLBACK_DELAY_MS) return;
+    this.leaseUnheldSince = now;
     await this.readPlatform();
   }
 
-  /** Reads the platform after this daemon named voters in a zone without a relay, who could not learn of it otherwise. */
+  /**
+   * Reads the platform if no daemon holds the lease. Called after this daemon wrote a voter set, which the new voters
+   * would not receive otherwise.
+   */
   async readIfUnheld(): Promise<void> {
     if (!(await this.options.isLeaseHeld())) await this.readPlatform();
   }
 
-  /** Compares with the zone's peers; in a zone where nobody knows anything, reads the platform in turn. */
-  private async becomeFresh(): Promise<void> {
-    const peers = this.zonePeers().slice(0, FRESHNESS_PEERS);
-    const revisions = await this.askRevisions(peers);
+  /**
+   * Compares revisions with peers of the zone. If they cannot confirm freshness, reads the platform once the delay for
+   * this daemon's rank has passed.
+   */
+  private async checkFreshness(): Promise<void> {
+    const peers = this.zonePeers().slice(0, MAX_FRESHNESS_PEERS);
+    const revisions = await this.fetchPeerRevisions(peers);
     const confirming = revisions.filter(
       (revision) => revision > 0 && revision <= this.options.store.revision,
     ).length;
-    // With this daemon itself, the confirming peers are a majority.
+    // Together with this daemon, the confirming peers form a majority.
     if (confirming > 0 && confirming * 2 >= peers.length) {
       this.fresh = true;
       return;
     }
-    if (this.isBootstrapTurn()) await this.readPlatform();
+    if (this.isBootstrapReadDue()) await this.readPlatform();
   }
 
-  private async askRevisions(peers: readonly MemberRecord[]): Promise<number[]> {
+  private async fetchPeerRevisions(peers: readonly MemberRecord[]): Promise<number[]> {
     const { store } = this.options;
-    const answers = await Promise.all(
+    const responses = await Promise.all(
       peers.map((peer) =>
         this.options.peers
           .call(peer.address, pullConfigurationMethod, { revision: store.revision })
           .catch(() => undefined),
       ),
     );
-    for (const answer of answers) {
-      if (answer?.update !== undefined) store.apply(answer.update);
+    for (const response of responses) {
+      if (response?.update !== undefined) store.apply(response.update);
     }
-    return answers.flatMap((answer) => (answer === undefined ? [] : [answer.revision]));
+    return responses.flatMap((response) => (response === undefined ? [] : [response.revision]));
   }
 
-  private isBootstrapTurn(): boolean {
+  private isBootstrapReadDue(): boolean {
     const { membership, clock } = this.options;
     const members = this.zonePeers().map((member) => member.id);
     const names = new Set([...members, ...this.options.listedDaemons(), membership.local.id]);
@@ -274,18 +281,18 @@
       [...names].map((id) => ({ id })),
     );
     const rank = ranked.findIndex((candidate) => candidate.id === membership.local.id);
-    return clock.monotonic() - this.startedAt >= BOOTSTRAP_PAUSE_MS + rank * BOOTSTRAP_RANK_DELAY_MS;
+    return clock.monotonic() - this.startedAt >= BOOTSTRAP_INTERVAL_MS + rank * BOOTSTRAP_RANK_DELAY_MS;
   }
 
-  /** While nobody holds the lease, the first few members of the zone take turns, in case one cannot reach the platform. */
-  private isStandInTurn(): boolean {
+  /** Whether the current slot is assigned to this daemon. Slots rotate over several members in case one cannot reach the platform. */
+  private isFallbackReader(): boolean {
     const { membership, clock } = this.options;
-    const standIns = this.rankedZone().slice(0, STAND_INS);
-    const turn = Math.floor(clock.wall() / STAND_IN_TURN_MS) % standIns.length;
-    return standIns[turn]?.id === membership.local.id;
+    const fallbackReaders = this.rankZoneMembers().slice(0, FALLBACK_READER_COUNT);
+    const slot = Math.floor(clock.wall() / FALLBACK_SLOT_MS) % fallbackReaders.length;
+    return fallbackReaders[slot]?.id === membership.local.id;
   }
 
-  private rankedZone(): MemberRecord[] {
+  private rankZoneMembers(): MemberRecord[] {
     const { membership } = this.options;
     const zone = membership.present().filter((member) => member.zone === membership.local.zone);
     return rankByRendezvous('bootstrap', zone);
--- a/packages/configuration/src/configuration-store.ts
+++ b/packages/configuration/src/configuration-store.ts
@@ -1,63 +1,63 @@
-/** The configuration in force on this daemon. Its revision never goes back. */
+/** The current configuration of this daemon. Its revision never decreases. */
 import Emittery from 'emittery';
 import type { ConfigurationEntry, ConfigurationUpdate } from '@woodbarrow/protocol';
 
 /** Events of {@link ConfigurationStore}. */
 export interface ConfigurationEvents {
-  /** A higher revision is in force. */
+  /** A higher revision was applied; `keys` names the changed objects. */
   applied: { readonly revision: number; readonly keys: readonly string[] };
 }
 
-/** Number of past changes kept, from which updates for others are made. */
-const HISTORY_LENGTH = 512;
+/** Maximum number of past changes retained to build incremental updates for peers. */
+const MAX_HISTORY_ENTRIES = 512;
 
-/** Holds all platform objects at one revision and applies only higher ones. */
+/** Stores all platform objects at one revision and applies only updates to higher revisions. */
 export class ConfigurationStore {
   readonly events = new Emittery<ConfigurationEvents>();
   private readonly entries = new Map<string, ConfigurationEntry>();
-  /** Past changes in order of revision. */
+  /** Past changes in ascending order of revision. */
   private readonly history: ConfigurationEntry[] = [];
-  /** Lowest base revision for which the history has every change. */
+  /** Lowest base revision after which the history contains every change. */
   private historyBase = 0;
   private currentRevision = 0;
 
-  /** Revision in force; 0 before the first. */
+  /** Current revision; 0 before the first update. */
   get revision(): number {
     return this.currentRevision;
   }
 
-  /** Number of objects. */
+  /** Number of stored objects. */
   get size(): number {
     return this.entries.size;
   }
 
-  /** The value of an object, or undefined. */
+  /** Returns the value of an object, or undefined if it does not exist. */
   get(key: string): object | undefined {
     return this.entries.get(key)?.value ?? undefined;
   }
 
-  /** Revision of an object's last change, or 0. */
+  /** Returns the revision of an object's last change, or 0 if it does not exist. */
   revisionOf(key: string): number {
     return this.entries.get(key)?.revision ?? 0;
   }
 
-  /** Objects whose key begins with `prefix`. */
+  /** Returns the objects whose key starts with `prefix`. */
   withPrefix(prefix: string): ConfigurationEntry[] {
     return [...this.entries.values()].filter((entry) => entry.key.startsWith(prefix));
   }
 
-  /** Applies an update. Returns false, changing nothing, unless it leads from here to a higher revision. */
+  /** Applies an update. Returns false and changes nothing if its revision is not higher or its base revision is ahead of this store. */
   apply(update: ConfigurationUpdate): boolean {
     if (update.revision <= this.currentRevision) return false;
-    const whole = update.baseRevision === 0;
-    if (!whole && update.baseRevision > this.currentRevision) return false;
-    const changed = whole ? this.replaceAll(update) : this.applyChanges(update);
+    const isSnapshot = update.baseRevision === 0;
+    if (!isSnapshot && update.baseRevision > this.currentRevision) return false;
+    const changed = isSnapshot ? this.replaceAll(update) : this.applyChanges(update);
     this.currentRevision = update.revision;
     void this.events.emit('applied', { revision: update.revision, keys: changed });
     return true;
   }
 
-  /** What leads from `revision` to the one in force, or undefined when the asker is as new. */
+  /** Returns the update from `revision` to the current revision, or undefined if there is nothing newer. */
   updateSince(revision: number): ConfigurationUpdate | undefined {
     if (revision >= this.currentRevision) return undefined;
     if (revision < this.historyBase || revision === 0) {
@@ -79,9 +79,9 @@
   private applyChanges(update: ConfigurationUpdate): string[] {
     const changed: string[] = [];
     for (const entry of update.entries) {
-      const known = this.entries.get(entry.key);
+      const stored = this.entries.get(entry.key);
       if (entry.revision <= this.currentRevision) continue;
-      if (known !== undefined && known.revision >= entry.revision) continue;
+      if (stored !== undefined && stored.revision >= entry.revision) continue;
       if (entry.value === null) this.entries.delete(entry.key);
       else this.entries.set(entry.key, entry);
       this.history.push(entry);
@@ -92,7 +92,7 @@
   }
 
   private trimHistory(): void {
-    while (this.history.length > HISTORY_LENGTH) {
+    while (this.history.length > MAX_HISTORY_ENTRIES) {
       this.historyBase = this.history.shift()?.revision ?? this.historyBase;
     }
   }
--- a/packages/configuration/src/voter-sets.ts
+++ b/packages/configuration/src/voter-sets.ts
@@ -1,4 +1,4 @@
-/** Voter sets as platform objects, and their replacement when voters fail. */
+/** Stores voter sets as platform objects and replaces voters that fail. */
 import { rankByRendezvous, type VoterSets } from '@woodbarrow/coordination';
 import type { Membership } from '@woodbarrow/membership';
 import type { PlatformClient } from '@woodbarrow/object-store';
@@ -15,12 +15,12 @@
 
 const voterSetsSchema = z.object({ current: voterSetSchema, previous: voterSetSchema.optional() });
 
-/** Platform key of a group's voter sets. */
+/** Returns the platform key of a group's voter sets. */
 export function voterSetKey(group: string): string {
   return `voters/${group}`;
 }
 
-/** Voter sets of a group as configured now. */
+/** Returns the configured voter sets of a group, or undefined if they are missing or invalid. */
 export function readVoterSets(store: ConfigurationStore, group: string): VoterSets | undefined {
   const parsed = voterSetsSchema.safeParse(store.get(voterSetKey(group)));
   if (!parsed.success) return undefined;
@@ -36,34 +36,34 @@
   readonly platform: PlatformClient;
   readonly clock: Clock;
   readonly random: Random;
-  /** Members that may vote. */
+  /** Returns the members that are eligible as voters. */
   readonly electorate: () => readonly MemberRecord[];
-  /** Number of voters wanted. @default 3 */
+  /** Number of voters. @default 3 */
   readonly size?: number;
-  /** Milliseconds for which a voter must be unfit before it is replaced. @default 4000 */
-  readonly patienceMs?: number;
-  /** Whether voters should be in as many zones as possible. @default false */
+  /** Milliseconds for which a voter must be invalid before it is replaced. @default 4000 */
+  readonly replacementDelayMs?: number;
+  /** Whether to distribute the voters over as many zones as possible. @default false */
   readonly spreadOverZones?: boolean;
-  /** Called after new voters were named. */
+  /** Called after a new voter set was written. */
   readonly onReplaced?: () => Promise<void>;
   readonly onTaskFailure?: (name: string, error: unknown) => void;
 }
 
-const DEFAULT_SIZE = 3;
-const DEFAULT_PATIENCE_MS = 4000;
-/** Time for the first members to find each other before voters are named. */
-const CREATION_PATIENCE_MS = 1500;
+const DEFAULT_VOTER_COUNT = 3;
+const DEFAULT_REPLACEMENT_DELAY_MS = 4000;
+/** Delay before the first voter set is created, so that the first members can discover each other. */
+const CREATION_DELAY_MS = 1500;
 const CHECK_INTERVAL_MS = 1000;
 
-/** Replaces failed voters by compare-and-set in the platform. One member of the electorate acts at a time. */
+/** Replaces failed voters by compare-and-set in the platform. Only the first-ranked eligible member does so at a time. */
 export class VoterSetKeeper extends BackgroundService {
-  private unfitSince: number | undefined;
+  private replacementDueSince: number | undefined;
 
   constructor(private readonly options: VoterSetKeeperOptions) {
     super(options.clock, options.onTaskFailure);
   }
 
-  /** Starts checking. */
+  /** Starts the periodic check of the voter set. */
   start(): void {
     this.tasks.loop(
       `voters.${this.options.group}`,
@@ -74,48 +74,53 @@
 
   private async check(): Promise<void> {
     if (this.options.store.revision === 0 || !this.isResponsible()) {
-      this.unfitSince = undefined;
+      this.replacementDueSince = undefined;
       return;
     }
     const sets = readVoterSets(this.options.store, this.options.group);
-    const wanted = this.wantedVoters(sets?.current);
-    if (wanted === undefined) {
-      this.unfitSince = undefined;
+    const replacement = this.selectReplacement(sets?.current);
+    if (replacement === undefined) {
+      this.replacementDueSince = undefined;
       return;
     }
     const now = this.options.clock.monotonic();
-    this.unfitSince ??= now;
-    const patienceMs =
-      sets === undefined ? CREATION_PATIENCE_MS : (this.options.patienceMs ?? DEFAULT_PATIENCE_MS);
-    if (now - this.unfitSince < patienceMs) return;
-    this.unfitSince = undefined;
-    await this.replace(sets?.current, wanted);
+    this.replacementDueSince ??= now;
+    const delayMs =
+      sets === undefined
+        ? CREATION_DELAY_MS
+        : (this.options.replacementDelayMs ?? DEFAULT_REPLACEMENT_DELAY_MS);
+    if (now - this.replacementDueSince < delayMs) return;
+    this.replacementDueSince = undefined;
+    await this.replace(sets?.current, replacement);
   }
 
-  /** The first of the electorate acts; another takes its place when it fails. */
+  /** Whether this daemon is the first-ranked eligible member. When that member fails, the next one becomes responsible. */
   private isResponsible(): boolean {
     const ranked = rankByRendezvous(this.options.group, this.options.electorate());
     return ranked[0]?.id === this.options.membership.local.id;
   }
 
-  /** The voters there should be, or undefined when the present ones will do. */
-  private wantedVoters(current: VoterSet | undefined): readonly Voter[] | undefined {
+  /** Returns the voters of the next set, or undefined if the current set needs no change. */
+  private selectReplacement(current: VoterSet | undefined): readonly Voter[] | undefined {
     const electorate = this.options.electorate();
-    const size = Math.min(this.options.size ?? DEFAULT_SIZE, electorate.length);
+    const size = Math.min(this.options.size ?? DEFAULT_VOTER_COUNT, electorate.length);
     const byId = new Map(electorate.map((member) => [member.id, member]));
-    const fit = (current?.voters ?? []).filter((voter) => byId.get(voter.id)?.instance === voter.instance);
-    const allFit = fit.length === (current?.voters.length ?? 0);
-    if (allFit && fit.length >= size) return undefined;
-    const fitIds = new Set(fit.map((voter) => voter.id));
-    const spare = rankByRendezvous(this.options.group, electorate).filter((member) => !fitIds.has(member.id));
-    const zonesTaken = fit.flatMap((voter) => byId.get(voter.id)?.zone ?? []);
-    const ordered = this.options.spreadOverZones === true ? newZonesFirst(spare, zonesTaken) : spare;
-    const added = ordered.slice(0, Math.max(0, size - fit.length)).map(({ id, address, instance }) => ({
+    const valid = (current?.voters ?? []).filter((voter) => byId.get(voter.id)?.instance === voter.instance);
+    const areAllValid = valid.length === (current?.voters.length ?? 0);
+    if (areAllValid && valid.length >= size) return undefined;
+    const validIds = new Set(valid.map((voter) => voter.id));
+    const candidates = rankByRendezvous(this.options.group, electorate).filter(
+      (member) => !validIds.has(member.id),
+    );
+    const coveredZones = valid.flatMap((voter) => byId.get(voter.id)?.zone ?? []);
+    const ordered =
+      this.options.spreadOverZones === true ? orderUncoveredZonesFirst(candidates, coveredZones) : candidates;
+    const added = ordered.slice(0, Math.max(0, size - valid.length)).map(({ id, address, instance }) => ({
       id,
       address,
       instance,
     }));
-    return [...fit, ...added];
+    return [...valid, ...added];
   }
 
   private async replace(current: VoterSet | undefined, voters: readonly Voter[]): Promise<void> {
@@ -133,15 +138,18 @@
   }
 }
 
-/** Members whose zone has no voter yet, one a zone, before all others. */
-function newZonesFirst(members: readonly MemberRecord[], zonesTaken: readonly string[]): MemberRecord[] {
-  const taken = new Set(zonesTaken);
+/** Orders one member of each zone without a voter before all other members. */
+function orderUncoveredZonesFirst(
+  members: readonly MemberRecord[],
+  coveredZones: readonly string[],
+): MemberRecord[] {
+  const covered = new Set(coveredZones);
   const first: MemberRecord[] = [];
   const rest: MemberRecord[] = [];
   for (const member of members) {
-    if (taken.has(member.zone)) rest.push(member);
+    if (covered.has(member.zone)) rest.push(member);
     else first.push(member);
-    taken.add(member.zone);
+    covered.add(member.zone);
   }
   return [...first, ...rest];
 }
