--- a/packages/object-store/src/line-reader.ts
+++ b/packages/object-store/src/line-reader.ts
@@ -3,14 +3,14 @@
 /** Lines of a stream, without their ends; a last line without an end is left out. */
 export async function* readLines(body: AsyncIterable<Uint8Array>): AsyncGenerator<string> {
   const decoder = new TextDecoder();
-  let rest = '';
+  let buffered = '';
   for await (const chunk of body) {
-    rest += decoder.decode(chunk, { stream: true });
-    let end = rest.indexOf('\n');
+    buffered += decoder.decode(chunk, { stream: true });
+    let end = buffered.indexOf('\n');
     while (end >= 0) {
-      yield rest.slice(0, end);
-      rest = rest.slice(end + 1);
-      end = rest.indexOf('\n');
+      yield buffered.slice(0, end);
+      buffered = buffered.slice(end + 1);
+      end = buffered.indexOf('\n');
     }
   }
 }
--- a/packages/object-store/src/machine-list-client.ts
+++ b/packages/object-store/src/machine-list-client.ts
@@ -3,7 +3,7 @@
 import { readBody, readJson, type HttpClient } from '@woodbarrow/runtime';
 import { machineListSchema, type Machine } from './platform-types.js';
 
-const TIMEOUT_MS = 3000;
+const MACHINE_LIST_TIMEOUT_MS = 3000;
 
 /** Which machines to list. */
 export interface MachineFilter {
@@ -12,14 +12,14 @@
   readonly zone?: string;
 }
 
-interface SeenList {
+interface CachedList {
   readonly etag: string;
   readonly machines: readonly Machine[];
 }
 
 /** Reads the list of live and leaving machines, which lags behind the truth. An unchanged list is not sent again. */
 export class MachineListClient {
-  private readonly seen = new Map<string, SeenList>();
+  private readonly cachedLists = new Map<string, CachedList>();
 
   constructor(
     private readonly origin: string,
@@ -30,23 +30,23 @@
   async list(filter: MachineFilter): Promise<readonly Machine[]> {
     const zone = filter.zone === undefined ? '' : `&zone=${encodeURIComponent(filter.zone)}`;
     const path = `/machines?kind=${filter.kind}${zone}`;
-    const seen = this.seen.get(path);
+    const cached = this.cachedLists.get(path);
     try {
       const response = await this.http.send({
         method: 'GET',
         origin: this.origin,
         path,
-        headers: seen === undefined ? {} : { 'if-none-match': seen.etag },
-        timeoutMs: TIMEOUT_MS,
+        headers: cached === undefined ? {} : { 'if-none-match': cached.etag },
+        timeoutMs: MACHINE_LIST_TIMEOUT_MS,
       });
-      if (response.status === 304 && seen !== undefined) {
+      if (response.status === 304 && cached !== undefined) {
         await readBody(response.body);
-        return seen.machines;
+        return cached.machines;
       }
       if (response.status !== 200) throw new Error(`status ${String(response.status)}`);
       const { machines } = machineListSchema.parse(await readJson(response.body));
       const etag = response.headers['etag'];
-      if (etag !== undefined) this.seen.set(path, { etag, machines });
+      if (etag !== undefined) this.cachedLists.set(path, { etag, machines });
       return machines;
     } catch (error) {
       throw new WoodbarrowError('platform_unavailable', 'the machine list cannot be read', { cause: error });
--- a/packages/object-store/src/platform-client.ts
+++ b/packages/object-store/src/platform-client.ts
@@ -34,7 +34,7 @@
   /** Milliseconds to wait for an answer. @default 3000 */
   readonly timeoutMs?: number;
   /** Milliseconds after which an undecided write is reported as such. @default 10000 */
-  readonly writeLimitMs?: number;
+  readonly writeTimeoutMs?: number;
 }
 
 /** A compare-and-set write. */
@@ -49,8 +49,8 @@
 }
 
 const DEFAULT_TIMEOUT_MS = 3000;
-const DEFAULT_WRITE_LIMIT_MS = 10_000;
-const BACKOFF = { initialMs: 100, maximumMs: 1500 };
+const DEFAULT_WRITE_TIMEOUT_MS = 10_000;
+const WRITE_RETRY_BACKOFF = { initialMs: 100, maximumMs: 1500 };
 
 type WriteAttempt =
   | { readonly outcome: 'written'; readonly revision: number }
@@ -114,27 +114,28 @@
     // Asking first makes a plain outage a clear refusal: nothing has been sent yet.
     await this.get(write.key);
     const { clock, random } = this.options;
-    const limit = clock.monotonic() + (this.options.writeLimitMs ?? DEFAULT_WRITE_LIMIT_MS);
-    let everSent = false;
-    for (let attempt = 0; clock.monotonic() < limit; attempt += 1) {
+    const deadlineMs = clock.monotonic() + (this.options.writeTimeoutMs ?? DEFAULT_WRITE_TIMEOUT_MS);
+    let mayHaveBeenSent = false;
+    for (let attempt = 0; clock.monotonic() < deadlineMs; attempt += 1) {
       const result = await this.attemptWrite(write);
       if (result.outcome === 'written') return result.revision;
-      if (result.outcome === 'conflict' && !everSent) throw conflictError(write.key, result.current);
-      if (result.outcome !== 'not_sent') everSent = true;
-      if (everSent) {
-        const established = await this.establishOrWait(write);
-        if (established !== undefined) return established;
+      if (result.outcome === 'conflict' && !mayHaveBeenSent)
+        throw revisionConflictError(write.key, result.current);
+      if (result.outcome !== 'not_sent') mayHaveBeenSent = true;
+      if (mayHaveBeenSent) {
+        const revision = await this.tryReadOutcome(write);
+        if (revision !== undefined) return revision;
       }
-      await sleep(clock, backoffDelay(BACKOFF, attempt, random));
+      await sleep(clock, backoffDelay(WRITE_RETRY_BACKOFF, attempt, random));
     }
-    if (!everSent) throw new WoodbarrowError('platform_unavailable', 'the platform cannot be reached');
+    if (!mayHaveBeenSent) throw new WoodbarrowError('platform_unavailable', 'the platform cannot be reached');
     throw new WoodbarrowError('write_outcome_unknown', `the write of ${write.key} was not confirmed in time`);
   }
 
-  /** Like {@link establish}, but a platform that cannot be read now leaves the outcome open. */
-  private async establishOrWait(write: PlatformWrite): Promise<number | undefined> {
+  /** Like {@link readOutcome}, but a platform that cannot be read now leaves the outcome open. */
+  private async tryReadOutcome(write: PlatformWrite): Promise<number | undefined> {
     try {
-      return await this.establish(write);
+      return await this.readOutcome(write);
     } catch (error) {
       if (isKind(error, 'platform_unavailable')) return undefined;
       throw error;
@@ -146,14 +147,14 @@
    *
    * @throws WoodbarrowError `revision_conflict` when another write came first.
    */
-  private async establish(write: PlatformWrite): Promise<number | undefined> {
+  private async readOutcome(write: PlatformWrite): Promise<number | undefined> {
     const versions = await this.versions(write.key);
-    const own = versions.find((version) => version.operationId === write.operationId);
-    if (own !== undefined) return own.revision;
+    const ownVersion = versions.find((version) => version.operationId === write.operationId);
+    if (ownVersion !== undefined) return ownVersion.revision;
     const current = versions.at(-1);
     const currentRevision = current?.value == null ? 0 : current.revision;
     if (currentRevision !== write.expectedRevision) {
-      throw conflictError(write.key, current ?? null);
+      throw revisionConflictError(write.key, current ?? null);
     }
     return undefined;
   }
@@ -207,7 +208,7 @@
   }
 }
 
-function conflictError(key: string, current: PlatformObject | null): WoodbarrowError {
+function revisionConflictError(key: string, current: PlatformObject | null): WoodbarrowError {
   return new WoodbarrowError('revision_conflict', `${key} was changed by another write`, {
     details: { current },
   });
--- a/packages/settings/src/load-settings.ts
+++ b/packages/settings/src/load-settings.ts
@@ -71,14 +71,14 @@
     }));
     throw settingsError(file, problems);
   }
-  const overridden = new Set<string>();
+  const overriddenPaths = new Set<string>();
   const value: unknown = document.toJS() ?? {};
-  const merged = applyOverrides(applyOverrides(value, environment, overridden), flags, overridden);
+  const merged = applyOverrides(applyOverrides(value, environment, overriddenPaths), flags, overriddenPaths);
   const parsed = settingsSchema.safeParse(merged);
   if (parsed.success) return parsed.data;
   const problems = parsed.error.issues.map((issue) => {
     const path = issue.path.map(String);
-    const line = overridden.has(path.join('.')) ? undefined : lineOf(document, path, lines);
+    const line = overriddenPaths.has(path.join('.')) ? undefined : lineOf(document, path, lines);
     return { path: path.join('.'), message: issue.message, ...(line === undefined ? {} : { line }) };
   });
   throw settingsError(file, problems);
@@ -98,14 +98,14 @@
   });
 }
 
-function applyOverrides(value: unknown, overrides: SettingsOverrides, overridden: Set<string>): unknown {
+function applyOverrides(value: unknown, overrides: SettingsOverrides, overriddenPaths: Set<string>): unknown {
   const result = (typeof value === 'object' && value !== null ? structuredClone(value) : {}) as Record<
     string,
     unknown
   >;
   for (const [path, override] of Object.entries(overrides)) {
     if (override === undefined) continue;
-    overridden.add(path);
+    overriddenPaths.add(path);
     setPath(result, path.split('.'), override);
   }
   return result;
--- a/packages/settings/src/settings-schema.ts
+++ b/packages/settings/src/settings-schema.ts
@@ -1,38 +1,38 @@
 /** Schema of a daemon's settings. */
 import { z } from 'zod';
 
-const address = z
+const addressSchema = z
   .string()
   .regex(/^(\[[0-9a-fA-F:]+\]|\d{1,3}(\.\d{1,3}){3}):\d{1,5}$/, 'an address as ip:port');
-const origin = z.string().regex(/^https?:\/\/[^/]+$/, 'an origin as http://ip:port');
-const name = z.string().regex(/^[a-z0-9][a-z0-9.-]*$/, 'lower-case letters, digits, dots and dashes');
+const originSchema = z.string().regex(/^https?:\/\/[^/]+$/, 'an origin as http://ip:port');
+const nameSchema = z.string().regex(/^[a-z0-9][a-z0-9.-]*$/, 'lower-case letters, digits, dots and dashes');
 
 const serverTlsSchema = z.strictObject({ certificate: z.string(), key: z.string() });
 const peerTlsSchema = z.strictObject({ certificate: z.string(), key: z.string(), authority: z.string() });
 
 export const settingsSchema = z.strictObject({
   /** Name of the deployment; daemons of different deployments refuse each other. */
-  deployment: name,
+  deployment: nameSchema,
   /** Unique name of this daemon, kept over restarts. */
-  id: name,
-  zone: name,
-  region: name.default('default'),
+  id: nameSchema,
+  zone: nameSchema,
+  region: nameSchema.default('default'),
   listen: z.strictObject({
     /** Callers' API. */
-    callers: address,
+    callers: addressSchema,
     /** Operators' API, metrics and health. */
-    operators: address,
+    operators: addressSchema,
     /** Links between daemons. */
-    peers: address,
+    peers: addressSchema,
   }),
   platform: z.strictObject({
     /** Origin of the object API. */
-    objects: origin,
+    objects: originSchema,
     /** Origin of the machine list. */
-    machines: origin,
+    machines: originSchema,
   }),
   /** Peer addresses to join through, besides the machine list. */
-  seeds: z.array(address).default([]),
+  seeds: z.array(addressSchema).default([]),
   /** Digest of the administrator's token. */
   administratorTokenSha256: z
     .string()
