--- a/packages/object-store/src/line-reader.ts
+++ b/packages/object-store/src/line-reader.ts
@@ -1,6 +1,6 @@
 /** Splits a byte stream into lines. */
 
-/** Lines of a stream, without their ends; a last line without an end is left out. */
+/** Yields the lines of a stream without their line feeds; an unterminated last line is dropped. */
 export async function* readLines(body: AsyncIterable<Uint8Array>): AsyncGenerator<string> {
   const decoder = new TextDecoder();
   let buffered = '';
--- a/packages/object-store/src/machine-list-client.ts
+++ b/packages/object-store/src/machine-list-client.ts
@@ -5,10 +5,10 @@
 
 const MACHINE_LIST_TIMEOUT_MS = 3000;
 
-/** Which machines to list. */
+/** Selects the machines to list. */
 export interface MachineFilter {
   readonly kind: Machine['kind'];
-  /** All zones when absent. */
+  /** Zone of the machines; all zones when absent. */
   readonly zone?: string;
 }
 
@@ -17,7 +17,7 @@
   readonly machines: readonly Machine[];
 }
 
-/** Reads the list of live and leaving machines, which lags behind the truth. An unchanged list is not sent again. */
+/** Reads the list of live and leaving machines, which may be stale. An unchanged list is served from a cache by its ETag. */
 export class MachineListClient {
   private readonly cachedLists = new Map<string, CachedList>();
 
@@ -26,7 +26,7 @@
     private readonly http: HttpClient,
   ) {}
 
-  /** The machines of one kind as the platform knows them now. @throws WoodbarrowError `platform_unavailable` */
+  /** Returns the machines that match a filter. @throws WoodbarrowError `platform_unavailable` */
   async list(filter: MachineFilter): Promise<readonly Machine[]> {
     const zone = filter.zone === undefined ? '' : `&zone=${encodeURIComponent(filter.zone)}`;
     const path = `/machines?kind=${filter.kind}${zone}`;
--- a/packages/object-store/src/platform-client.ts
+++ b/packages/object-store/src/platform-client.ts
@@ -1,4 +1,4 @@
-/** Client of the platform's object API: reads, watches, and writes whose outcome is always established. */
+/** Client of the platform's object API: reads, watches, and writes whose outcome is verified. */
 import { WoodbarrowError, isKind } from '@woodbarrow/errors';
 import {
   backoffDelay,
@@ -29,11 +29,11 @@
   readonly http: HttpClient;
   readonly clock: Clock;
   readonly random: Random;
-  /** Name that the platform counts this reader under. */
+  /** Identifies this client in lists and watches; the platform limits the number of readers. */
   readonly readerId: string;
-  /** Milliseconds to wait for an answer. @default 3000 */
+  /** Maximum time to wait for a response, in milliseconds. @default 3000 */
   readonly timeoutMs?: number;
-  /** Milliseconds after which an undecided write is reported as such. @default 10000 */
+  /** Time after which a write with an unknown outcome fails, in milliseconds. @default 10000 */
   readonly writeTimeoutMs?: number;
 }
 
@@ -42,9 +42,9 @@
   readonly key: string;
   /** The new value; null deletes. */
   readonly value: Record<string, unknown> | null;
-  /** Revision that the object must have; 0 when it must not exist. */
+  /** Required current revision of the object; 0 when it must not exist. */
   readonly expectedRevision: number;
-  /** Unique; reading it back tells whether a write whose answer was lost took effect. */
+  /** Unique id of the write; after a lost response it shows whether the write took effect. */
   readonly operationId: string;
 }
 
@@ -60,41 +60,42 @@
 
 /** Reads and writes the platform's objects. */
 export class PlatformClient {
-  /** Counters of this client's use of the platform. */
+  /** Number of calls since the start; `undecidedAttempts` counts write attempts with an unknown outcome. */
   readonly counters = { lists: 0, watches: 0, writes: 0, undecidedAttempts: 0 };
 
   constructor(private readonly options: PlatformClientOptions) {}
 
-  /** All objects. @throws WoodbarrowError `platform_unavailable` */
+  /** Returns all objects. @throws WoodbarrowError `platform_unavailable` */
   async list(): Promise<PlatformList> {
     this.counters.lists += 1;
     const response = await this.read('/objects', this.readerHeaders());
     return platformListSchema.parse(await readJson(response.body));
   }
 
-  /** One object, or undefined when there is none. @throws WoodbarrowError `platform_unavailable` */
+  /** Returns an object, or undefined when it does not exist. @throws WoodbarrowError `platform_unavailable` */
   async get(key: string): Promise<PlatformObject | undefined> {
     const response = await this.read(`/objects/${encodeURIComponent(key)}`);
     if (response.status === 404) return undefined;
     return platformObjectSchema.parse(await readJson(response.body));
   }
 
-  /** Versions of one object that the platform still keeps, oldest first. */
+  /** Returns the retained versions of an object, oldest first. @throws WoodbarrowError `platform_unavailable` */
   async versions(key: string): Promise<readonly PlatformObject[]> {
     const response = await this.read(`/versions/${encodeURIComponent(key)}`);
     return platformVersionsSchema.parse(await readJson(response.body)).items;
   }
 
   /**
-   * Changes after `revision`, as they happen; ends when the connection does.
+   * Yields the changes after `revision` as they happen, until the connection closes.
    *
-   * @throws WoodbarrowError `revision_conflict` when the platform has compacted that revision away,
+   * @throws WoodbarrowError `revision_conflict` when the platform no longer retains that revision,
    * `platform_unavailable` when it cannot be reached.
    */
   async *watch(revision: number, signal: AbortSignal): AsyncGenerator<PlatformObject> {
     this.counters.watches += 1;
     const response = await this.read(`/watch?from=${String(revision)}`, this.readerHeaders(), signal);
-    if (response.status === 410) throw new WoodbarrowError('revision_conflict', 'the revision was compacted');
+    if (response.status === 410)
+      throw new WoodbarrowError('revision_conflict', 'the requested revision was compacted');
     if (response.body instanceof Uint8Array) return;
     for await (const line of readLines(response.body)) {
       if (line !== '') yield platformObjectSchema.parse(JSON.parse(line));
@@ -102,16 +103,16 @@
   }
 
   /**
-   * Writes an object and establishes the outcome: an attempt whose answer was lost is read back by its
-   * operation id, and only then tried again with the same expected revision.
+   * Writes an object and verifies the outcome. After a lost response, the object's versions are searched for the
+   * operation id before the write is retried with the same expected revision.
    *
    * @returns the revision of the write.
    * @throws WoodbarrowError `revision_conflict` with the current object in `details.current`,
-   * `platform_unavailable` when nothing was sent, `write_outcome_unknown` when time ran out undecided.
+   * `platform_unavailable` when nothing was sent, `write_outcome_unknown` when the outcome is unknown at the deadline.
    */
   async write(write: PlatformWrite): Promise<number> {
     this.counters.writes += 1;
-    // Asking first makes a plain outage a clear refusal: nothing has been sent yet.
+    // Reading first detects an outage before anything is sent, so that the write fails with a known outcome.
     await this.get(write.key);
     const { clock, random } = this.options;
     const deadlineMs = clock.monotonic() + (this.options.writeTimeoutMs ?? DEFAULT_WRITE_TIMEOUT_MS);
@@ -129,10 +130,13 @@
       await sleep(clock, backoffDelay(WRITE_RETRY_BACKOFF, attempt, random));
     }
     if (!mayHaveBeenSent) throw new WoodbarrowError('platform_unavailable', 'the platform cannot be reached');
-    throw new WoodbarrowError('write_outcome_unknown', `the write of ${write.key} was not confirmed in time`);
+    throw new WoodbarrowError(
+      'write_outcome_unknown',
+      `the write of ${write.key} was not confirmed before the deadline`,
+    );
   }
 
-  /** Like {@link readOutcome}, but a platform that cannot be read now leaves the outcome open. */
+  /** Like {@link readOutcome}, but returns undefined when the platform is unavailable. */
   private async tryReadOutcome(write: PlatformWrite): Promise<number | undefined> {
     try {
       return await this.readOutcome(write);
@@ -143,9 +147,9 @@
   }
 
   /**
-   * Reads back whether a write took effect: its revision when it did, undefined while it may yet be tried again.
+   * Returns the revision of a write that took effect, or undefined when it can be retried.
    *
-   * @throws WoodbarrowError `revision_conflict` when another write came first.
+   * @throws WoodbarrowError `revision_conflict` when another write changed the object.
    */
   private async readOutcome(write: PlatformWrite): Promise<number | undefined> {
     const versions = await this.versions(write.key);
@@ -184,7 +188,7 @@
     return { outcome: 'unknown' };
   }
 
-  /** Names those who read everything: the platform bears only a few of them. */
+  /** Headers that identify a client that reads all objects; the platform supports only a few of them. */
   private readerHeaders(): HttpHeaders {
     return { 'x-reader-id': this.options.readerId };
   }
@@ -200,7 +204,10 @@
         ...(signal === undefined ? {} : { signal }),
       });
       if (response.status < 500) return response;
-      throw new WoodbarrowError('platform_unavailable', `the platform answered ${String(response.status)}`);
+      throw new WoodbarrowError(
+        'platform_unavailable',
+        `the platform responded with status ${String(response.status)}`,
+      );
     } catch (error) {
       if (isKind(error, 'platform_unavailable')) throw error;
       throw new WoodbarrowError('platform_unavailable', 'the platform cannot be reached', { cause: error });
--- a/packages/object-store/src/platform-types.ts
+++ b/packages/object-store/src/platform-types.ts
@@ -1,17 +1,17 @@
-/** Shapes of the platform's object API. */
+/** Schemas and types of the platform's object API and machine list. */
 import { z } from 'zod';
 
-/** One version of one object. A null value is a deletion. */
+/** Schema of one version of an object; a null value marks a deletion. */
 export const platformObjectSchema = z.object({
   key: z.string(),
-  /** Revision of the whole store at this object's last change. */
+  /** Revision of the store at which this version was written. */
   revision: z.number().int().nonnegative(),
-  /** Identifies the write that made this version. */
+  /** Id of the write that created this version. */
   operationId: z.string(),
   value: z.record(z.string(), z.unknown()).nullable(),
 });
 
-/** One version of one object. */
+/** One version of an object; a null value marks a deletion. */
 export type PlatformObject = z.infer<typeof platformObjectSchema>;
 
 export const platformListSchema = z.object({
@@ -19,7 +19,7 @@
   items: z.array(platformObjectSchema),
 });
 
-/** The store's content at a revision. */
+/** All objects of the store at a revision. */
 export type PlatformList = z.infer<typeof platformListSchema>;
 
 export const platformVersionsSchema = z.object({ items: z.array(platformObjectSchema) });
@@ -33,12 +33,12 @@
   kind: z.enum(['daemon', 'worker']),
   zone: z.string(),
   region: z.string(),
-  /** Peer address of a daemon, origin of a worker's engine. */
+  /** Peer address of a daemon, or origin of a worker's engine. */
   address: z.string(),
   state: z.enum(['live', 'leaving']),
 });
 
-/** One machine of the platform's list. */
+/** One machine of the machine list. */
 export type Machine = z.infer<typeof machineSchema>;
 
 export const machineListSchema = z.object({ machines: z.array(machineSchema) });
--- a/packages/settings/src/load-settings.ts
+++ b/packages/settings/src/load-settings.ts
@@ -1,22 +1,22 @@
-/** Reads settings: flags over environment over file, every problem reported at once with its place. */
+/** Loads settings from file, environment and flags, in ascending precedence, and reports all problems together. */
 import { readFileSync } from 'node:fs';
 import { WoodbarrowError } from '@woodbarrow/errors';
 import { LineCounter, isNode, parseDocument, type Document } from 'yaml';
 import { settingsSchema, type Settings } from './settings-schema.js';
 
-/** One thing wrong with the settings. */
+/** One invalid setting. */
 export interface SettingsProblem {
-  /** Path of the setting, with dots. */
+  /** Dotted path of the setting; empty for a problem of the whole file. */
   readonly path: string;
   readonly message: string;
-  /** Line in the file; absent for settings from flags or the environment. */
+  /** Line in the file, from 1; absent for settings from flags or the environment. */
   readonly line?: number;
 }
 
-/** Values by dotted path, for example `listen.callers`. */
+/** Values by dotted path of the setting, for example `listen.callers`. */
 export type SettingsOverrides = Readonly<Record<string, string | undefined>>;
 
-/** Environment variables and the settings that they override. */
+/** Maps environment variables to the settings that they override. */
 export const ENVIRONMENT_SETTINGS: Readonly<Record<string, string>> = {
   WOODBARROW_ID: 'id',
   WOODBARROW_ZONE: 'zone',
@@ -29,7 +29,7 @@
   WOODBARROW_LOG_LEVEL: 'log.level',
 };
 
-/** The overrides that an environment makes. */
+/** Returns the overrides from environment variables. */
 export function overridesFromEnvironment(
   environment: Readonly<Record<string, string | undefined>>,
 ): SettingsOverrides {
@@ -39,7 +39,7 @@
   return overrides;
 }
 
-/** Reads a file. @throws WoodbarrowError `settings_invalid` with all problems in `details.problems`. */
+/** Loads a settings file. @throws WoodbarrowError `settings_invalid` with all problems in `details.problems`. */
 export function loadSettings(
   file: string,
   environment: SettingsOverrides,
@@ -54,7 +54,7 @@
   return parseSettings(text, environment, flags, file);
 }
 
-/** Reads settings from YAML text. @throws WoodbarrowError `settings_invalid` */
+/** Parses settings from YAML text. @throws WoodbarrowError `settings_invalid` */
 export function parseSettings(
   text: string,
   environment: SettingsOverrides = {},
@@ -84,7 +84,7 @@
   throw settingsError(file, problems);
 }
 
-/** Problems as lines of text, `file:line: path: message`. */
+/** Formats each problem as `file:line: path: message`. */
 export function formatProblems(file: string, problems: readonly SettingsProblem[]): string[] {
   return problems.map(({ path, message, line }) => {
     const place = line === undefined ? file : `${file}:${String(line)}`;
@@ -123,7 +123,7 @@
   setPath(next, rest, value);
 }
 
-/** Line of a setting, or of the nearest enclosing one that the file has. */
+/** Returns the line of a setting, or of its nearest enclosing section in the file. */
 function lineOf(document: Document, path: readonly string[], lines: LineCounter): number | undefined {
   for (let length = path.length; length >= 0; length -= 1) {
     const node: unknown = length === 0 ? document.contents : document.getIn(path.slice(0, length), true);
--- a/packages/settings/src/settings-schema.ts
+++ b/packages/settings/src/settings-schema.ts
@@ -1,4 +1,4 @@
-/** Schema of a daemon's settings. */
+/** Schema of a daemon's settings file. */
 import { z } from 'zod';
 
 const addressSchema = z
@@ -11,29 +11,27 @@
 const peerTlsSchema = z.strictObject({ certificate: z.string(), key: z.string(), authority: z.string() });
 
 export const settingsSchema = z.strictObject({
-  /** Name of the deployment; daemons of different deployments refuse each other. */
+  /** Name of the deployment; daemons of different deployments reject each other. */
   deployment: nameSchema,
-  /** Unique name of this daemon, kept over restarts. */
+  /** Unique name of this daemon, unchanged by a restart. */
   id: nameSchema,
   zone: nameSchema,
   region: nameSchema.default('default'),
   listen: z.strictObject({
-    /** Callers' API. */
+    /** Address of the callers' API. */
     callers: addressSchema,
-    /** Operators' API, metrics and health. */
+    /** Address of the operators' API, metrics and health checks. */
     operators: addressSchema,
-    /** Links between daemons. */
+    /** Address for connections from other daemons. */
     peers: addressSchema,
   }),
   platform: z.strictObject({
-    /** Origin of the object API. */
     objects: originSchema,
-    /** Origin of the machine list. */
     machines: originSchema,
   }),
-  /** Peer addresses to join through, besides the machine list. */
+  /** Peer addresses for joining the fleet, in addition to the machine list. */
   seeds: z.array(addressSchema).default([]),
-  /** Digest of the administrator's token. */
+  /** SHA-256 digest of the administrator's token, in hexadecimal. */
   administratorTokenSha256: z
     .string()
     .regex(/^[0-9a-f]{64}$/, 'a SHA-256 digest in lower-case hexadecimal')
@@ -48,15 +46,15 @@
     .prefault({}),
   limits: z
     .strictObject({
-      /** Requests that this daemon holds at once. */
+      /** Maximum number of concurrent requests of this daemon. */
       maximumRequests: z.number().int().positive().default(4096),
-      /** Largest body of any request, in bytes. */
+      /** Maximum size of a request body, in bytes. */
       maximumBodyBytes: z.number().int().positive().default(1_048_576),
     })
     .prefault({}),
   shutdown: z
     .strictObject({
-      /** Seconds that a planned stop waits for requests in progress. */
+      /** Maximum time in seconds that a planned stop waits for requests in progress. */
       graceSeconds: z.number().positive().default(120),
     })
     .prefault({}),
@@ -65,10 +63,10 @@
     .prefault({}),
 });
 
-/** A daemon's settings, checked and complete. */
+/** Validated settings of a daemon, with defaults filled in. */
 export type Settings = z.infer<typeof settingsSchema>;
 
-/** The schema in JSON Schema form. */
+/** Returns {@link settingsSchema} as a JSON Schema of the settings file. */
 export function settingsJsonSchema(): object {
   return z.toJSONSchema(settingsSchema, { io: 'input' });
 }
--- a/packages/settings/test/settings.test.ts
+++ b/packages/settings/test/settings.test.ts
@@ -25,13 +25,13 @@
 }
 
 describe('settings', () => {
-  it('fill in defaults', () => {
+  it('use defaults for missing fields', () => {
     const settings = parseSettings(VALID);
     expect(settings.region).to.equal('default');
     expect(settings.shutdown.graceSeconds).to.equal(120);
   });
 
-  it('take flags before the environment before the file', () => {
+  it('prefer flags to the environment and the environment to the file', () => {
     const environment = overridesFromEnvironment({
       WOODBARROW_ZONE: 'mixco',
       WOODBARROW_ID: 'from-environment',
@@ -41,7 +41,7 @@
     expect(settings.id).to.equal('from-flag');
   });
 
-  it('report every problem at once, each with its path and line', () => {
+  it('report all problems together, each with its path and line', () => {
     const bad =
       VALID.replace('zone: zona-10', 'zone: "Not A Zone"').replace('127.0.0.1:8081', 'here') + 'surplus: 1\n';
     const message = messageOf(() => parseSettings(bad, {}, { 'platform.objects': 'nowhere' }, 'file.yaml'));
@@ -51,13 +51,13 @@
     expect(message).to.match(/surplus/);
   });
 
-  it('report text that is no YAML by its line', () => {
+  it('report the line of a YAML syntax error', () => {
     expect(messageOf(() => parseSettings('a: [1\nb: 2\n', {}, {}, 'file.yaml'))).to.match(
       /^file\.yaml:\d+: /,
     );
   });
 
-  it('describe themselves as a JSON schema', () => {
+  it('are available as a JSON schema', () => {
     expect(JSON.stringify(settingsJsonSchema())).to.contain('graceSeconds');
   });
 });
