--- a/packages/settings/src/settings-schema.ts
+++ b/packages/settings/src/settings-schema.ts
@@ -1,39 +1,37 @@
-/** Schema of a daemon's settings. */
+/** Schema of a daemon's settings file. */
 import { z } from 'zod';
 
-const address = z
+const addressSchema = z
   .string()
   .regex(/^(\[[0-9a-fA-F:]+\]|\d{1,3}(\.\d{1,3}){3}):\d{1,5}$/, 'an address as ip:port');
-const origin = z.string().regex(/^https?:\/\/[^/]+$/, 'an origin as http://ip:port');
-const name = z.string().regex(/^[a-z0-9][a-z0-9.-]*$/, 'lower-case letters, digits, dots and dashes');
+const originSchema = z.string().regex(/^https?:\/\/[^/]+$/, 'an origin as http://ip:port');
+const nameSchema = z.string().regex(/^[a-z0-9][a-z0-9.-]*$/, 'lower-case letters, digits, dots and dashes');
 
 const serverTlsSchema = z.strictObject({ certificate: z.string(), key: z.string() });
 const peerTlsSchema = z.strictObject({ certificate: z.string(), key: z.string(), authority: z.string() });
 
 export const settingsSchema = z.strictObject({
-  /** Name of the deployment; daemons of different deployments refuse each other. */
-  deployment: name,
-  /** Unique name of this daemon, kept over restarts. */
-  id: name,
-  zone: name,
-  region: name.default('default'),
+  /** Name of the deployment; daemons of different deployments reject each other. */
+  deployment: nameSchema,
+  /** Unique name of this daemon, unchanged by a restart. */
+  id: nameSchema,
+  zone: nameSchema,
+  region: nameSchema.default('default'),
   listen: z.strictObject({
-    /** Callers' API. */
-    callers: address,
-    /** Operators' API, metrics and health. */
-    operators: address,
-    /** Links between daemons. */
-    peers: address,
+    /** Address of the callers' API. */
+    callers: addressSchema,
+    /** Address of the operators' API, metrics and health checks. */
+    operators: addressSchema,
+    /** Address for connections from other daemons. */
+    peers: addressSchema,
   }),
   platform: z.strictObject({
-    /** Origin of the object API. */
-    objects: origin,
-    /** Origin of the machine list. */
-    machines: origin,
+    objects: originSchema,
+    machines: originSchema,
   }),
-  /** Peer addresses to join through, besides the machine list. */
-  seeds: z.array(address).default([]),
-  /** Digest of the administrator's token. */
+  /** Peer addresses for joining the fleet, in addition to the machine list. */
+  seeds: z.array(addressSchema).default([]),
+  /** SHA-256 digest of the administrator's token, in hexadecimal. */
   administratorTokenSha256: z
     .string()
     .regex(/^[0-9a-f]{64}$/, 'a SHA-256 digest in lower-case hexadecimal')
@@ -48,15 +46,15 @@
     .prefault({}),
   limits: z
     .strictObject({
-      /** Requests that this daemon holds at once. */
+      /** Maximum number of concurrent requests of this daemon. */
       maximumRequests: z.number().int().positive().default(4096),
-      /** Largest body of any request, in bytes. */
+      /** Maximum size of a request body, in bytes. */
       maximumBodyBytes: z.number().int().positive().default(1_048_576),
     })
     .prefault({}),
   shutdown: z
     .strictObject({
-      /** Seconds that a planned stop waits for requests in progress. */
+      /** Maximum time in seconds that a planned stop waits for requests in progress. */
       graceSeconds: z.number().positive().default(120),
     })
     .prefault({}),
@@ -65,10 +63,10 @@
     .prefault({}),
 });
 
-/** A daemon's settings, checked and complete. */
+/** Validated settings of a daemon, with defaults filled in. */
 export type Settings = z.infer<typeof settingsSchema>;
 
-/** The schema in JSON Schema form. */
+/** Returns {@link settingsSchema} as a JSON Schema of the settings file. */
 export function settingsJsonSchema(): object {
   return z.toJSONSchema(settingsSchema, { io: 'input' });
 }
