--- a/packages/cli/src/explain/explain-command.ts
+++ b/packages/cli/src/explain/explain-command.ts
@@ -3,7 +3,7 @@
 import { CommandError } from '../operator-client.js';
 import { EXIT_CODES } from '../exit-codes.js';
 import { openLines, readLogs, type LogLine, type ReadSummary } from './log-line.js';
-import { CourseCollector } from './request-course.js';
+import { RequestTimelineCollector } from './request-timeline.js';
 
 /** Adds both commands. */
 export function addLogCommands(parser: Argv): void {
@@ -41,23 +41,26 @@
 
 /** The course of a request as text, or as JSON. @throws CommandError when no line names it. */
 export async function explain(request: string, files: readonly string[], json: boolean): Promise<string> {
-  const collector = new CourseCollector(request);
+  const collector = new RequestTimelineCollector(request);
   const summary = await readLogs(files.map(openLines), (line) => {
     collector.add(line);
   });
-  const course = collector.course();
-  if (course === undefined) {
-    throw new CommandError(`no line names request ${request} (${describe(summary)})`, EXIT_CODES.failure);
+  const requestTimeline = collector.timeline();
+  if (requestTimeline === undefined) {
+    throw new CommandError(
+      `no line names request ${request} (${formatReadSummary(summary)})`,
+      EXIT_CODES.failure,
+    );
   }
-  if (json) return JSON.stringify(course, undefined, 2);
+  if (json) return JSON.stringify(requestTimeline, undefined, 2);
   return [
     `request ${request}`,
-    ...course.steps.map(format),
-    ...(course.surroundings.length === 0 ? [] : ['', 'believed and decided meanwhile']),
-    ...course.surroundings.map(format),
+    ...requestTimeline.steps.map(formatLine),
+    ...(requestTimeline.surroundings.length === 0 ? [] : ['', 'believed and decided meanwhile']),
+    ...requestTimeline.surroundings.map(formatLine),
     '',
-    `cause: ${course.cause}`,
-    `read: ${describe(summary)}`,
+    `cause: ${requestTimeline.cause}`,
+    `read: ${formatReadSummary(summary)}`,
   ].join('\n');
 }
 
@@ -65,22 +68,22 @@
 export async function timeline(name: string, files: readonly string[], json: boolean): Promise<string> {
   const lines: LogLine[] = [];
   const summary = await readLogs(files.map(openLines), (line) => {
-    if (line.details['request'] === undefined && namesIt(line, name)) lines.push(line);
+    if (line.details['request'] === undefined && mentionsName(line, name)) lines.push(line);
   });
   if (lines.length === 0)
-    throw new CommandError(`no line names ${name} (${describe(summary)})`, EXIT_CODES.failure);
+    throw new CommandError(`no line names ${name} (${formatReadSummary(summary)})`, EXIT_CODES.failure);
   lines.sort((left, right) => left.time - right.time);
   if (json) return JSON.stringify(lines, undefined, 2);
-  return [...lines.map(format), '', `read: ${describe(summary)}`].join('\n');
+  return [...lines.map(formatLine), '', `read: ${formatReadSummary(summary)}`].join('\n');
 }
 
-function namesIt(line: LogLine, name: string): boolean {
+function mentionsName(line: LogLine, name: string): boolean {
   return Object.values(line.details).some(
     (value) => typeof value === 'string' && value.split(/[,/]/).includes(name),
   );
 }
 
-function format(line: LogLine): string {
+function formatLine(line: LogLine): string {
   const time = new Date(line.time).toISOString().slice(11, 23);
   const details = Object.entries(line.details)
     .filter(([name]) => name !== 'request')
@@ -88,7 +91,7 @@
   return `${time}  ${line.daemon}  ${line.event}  ${details.join(' ')}`;
 }
 
-function describe(summary: ReadSummary): string {
+function formatReadSummary(summary: ReadSummary): string {
   const parts = [
     `${String(summary.lines)} lines of ${String(summary.daemons.size)} daemons`,
     `${String(summary.unreadable)} unreadable`,
--- a/packages/cli/src/explain/log-line.ts
+++ b/packages/cli/src/explain/log-line.ts
@@ -50,7 +50,7 @@
         continue;
       }
       daemons.add(line.daemon);
-      if (line.event === 'log_lines_dropped') droppedBy.set(line.daemon, totalOf(line.details));
+      if (line.event === 'log_lines_dropped') droppedBy.set(line.daemon, sumOfCounts(line.details));
       onLine(line);
     }
   }
@@ -75,7 +75,7 @@
   }
 }
 
-function totalOf(details: LogLine['details']): number {
+function sumOfCounts(details: LogLine['details']): number {
   return Object.values(details).reduce<number>(
     (sum, value) => sum + (typeof value === 'number' ? value : 0),
     0,
--- a/packages/cli/src/explain/request-course.ts
+++ b/packages/cli/src/explain/request-timeline.ts
@@ -2,7 +2,7 @@
 import type { LogLine } from './log-line.js';
 
 /** What is known of a request. */
-export interface RequestCourse {
+export interface RequestTimeline {
   readonly request: string;
   /** In the order of the daemons' clocks. */
   readonly steps: readonly LogLine[];
@@ -12,9 +12,9 @@
 }
 
 /** Milliseconds around the course from which beliefs are shown; daemons' clocks may differ by some. */
-const SURROUNDINGS_MS = 5000;
+const CONTEXT_WINDOW_MS = 5000;
 /** Events that change what is believed of a model or a back end. */
-const BELIEFS: ReadonlySet<string> = new Set([
+const CONTEXT_EVENTS: ReadonlySet<string> = new Set([
   'back_end_seen',
   'back_end_changed',
   'back_end_gone',
@@ -32,48 +32,50 @@
   'daemon_stopping',
 ]);
 /** Beliefs kept while reading; the oldest are dropped. */
-const KEPT_BELIEFS = 200_000;
+const MAX_CONTEXT_LINES = 200_000;
 
 /** Collects the lines of one request while logs are read. */
-export class CourseCollector {
+export class RequestTimelineCollector {
   private readonly steps: LogLine[] = [];
-  private readonly beliefs: LogLine[] = [];
+  private readonly contextLines: LogLine[] = [];
 
   constructor(private readonly request: string) {}
 
   /** Takes a line if it matters. */
   add(line: LogLine): void {
     if (line.details['request'] === this.request) this.steps.push(line);
-    else if (BELIEFS.has(line.event)) this.keepBelief(line);
+    else if (CONTEXT_EVENTS.has(line.event)) this.retainContextLine(line);
   }
 
   /** The course, or undefined when no line names the request. */
-  course(): RequestCourse | undefined {
+  timeline(): RequestTimeline | undefined {
     const steps = [...this.steps].sort((left, right) => left.time - right.time);
     const [first] = steps;
     const last = steps[steps.length - 1];
     if (first === undefined || last === undefined) return undefined;
-    const names = namesIn(steps);
-    const surroundings = this.beliefs
-      .filter((line) => line.time >= first.time - SURROUNDINGS_MS && line.time <= last.time + SURROUNDINGS_MS)
-      .filter((line) => concerns(line, names))
+    const names = relatedNamesOf(steps);
+    const surroundings = this.contextLines
+      .filter(
+        (line) => line.time >= first.time - CONTEXT_WINDOW_MS && line.time <= last.time + CONTEXT_WINDOW_MS,
+      )
+      .filter((line) => isRelated(line, names))
       .sort((left, right) => left.time - right.time);
     return { request: this.request, steps, surroundings, cause: causeOf(steps, surroundings) };
   }
 
-  private keepBelief(line: LogLine): void {
-    this.beliefs.push(line);
-    if (this.beliefs.length > KEPT_BELIEFS * 2) this.beliefs.splice(0, KEPT_BELIEFS);
+  private retainContextLine(line: LogLine): void {
+    this.contextLines.push(line);
+    if (this.contextLines.length > MAX_CONTEXT_LINES * 2) this.contextLines.splice(0, MAX_CONTEXT_LINES);
   }
 }
 
-interface Names {
+interface RelatedNames {
   readonly models: ReadonlySet<string>;
   readonly backEnds: ReadonlySet<string>;
   readonly daemons: ReadonlySet<string>;
 }
 
-function namesIn(steps: readonly LogLine[]): Names {
+function relatedNamesOf(steps: readonly LogLine[]): RelatedNames {
   const texts = (field: string): Set<string> =>
     new Set(steps.map((step) => step.details[field]).filter((value) => typeof value === 'string'));
   return {
@@ -83,7 +85,7 @@
   };
 }
 
-function concerns(line: LogLine, names: Names): boolean {
+function isRelated(line: LogLine, names: RelatedNames): boolean {
   const { model, backEnd, target } = line.details;
   if (typeof model === 'string' && names.models.has(model)) return true;
   if (typeof target === 'string' && names.models.has(target.split('/')[0] ?? '')) return true;
@@ -132,9 +134,9 @@
   const load = last('load_decided');
   if (load !== undefined)
     return `in zone ${text(load, 'zone')} a load from ${text(load, 'source')} was to take ${text(load, 'readyMs')} ms`;
-  const told = last('demand_answered');
-  if (told !== undefined)
-    return `the coordinator of zone ${text(told, 'zone')} (${text(told, 'coordinator')}) said ${text(told, 'reason')}`;
+  const answered = last('demand_answered');
+  if (answered !== undefined)
+    return `the coordinator of zone ${text(answered, 'zone')} (${text(answered, 'coordinator')}) said ${text(answered, 'reason')}`;
   return 'it was resident nowhere and no coordinator decided on a load';
 }
 
--- a/packages/cli/src/object-commands.ts
+++ b/packages/cli/src/object-commands.ts
@@ -55,9 +55,9 @@
   /** Writes an object from a file. Against the newest revision unless one is given. */
   async apply(name: string, file: string, revision: number | undefined, dryRun: boolean): Promise<void> {
     const value: unknown = parse(readFileSync(file, 'utf8'));
-    const seen = revision ?? (await this.revisionOf(name));
+    const expectedRevision = revision ?? (await this.revisionOf(name));
     const headers: Record<string, string> =
-      seen === 0 ? { 'if-none-match': '*' } : { 'if-match': String(seen) };
+      expectedRevision === 0 ? { 'if-none-match': '*' } : { 'if-match': String(expectedRevision) };
     const path = `/${this.kind}/${encodeURIComponent(name)}${dryRun ? '?dryRun=true' : ''}`;
     const answer = await this.put(path, value, headers);
     if (this.output.json) {
--- a/packages/lab/src/commands/anchor.ts
+++ b/packages/lab/src/commands/anchor.ts
@@ -17,14 +17,14 @@
   readonly seconds: number;
 }
 
-interface Reading {
+interface MetricsSample {
   readonly cpu: number;
   readonly bytesSent: number;
   readonly bytesReceived: number;
   readonly active: boolean;
 }
 
-const SETTLE_MS = 20_000;
+const STABILIZATION_MS = 20_000;
 const KILOBYTES_PER_MEGABYTE = 1024;
 
 /** Runs processes with no traffic but their own coordination; resolves with the exit code. */
@@ -33,20 +33,20 @@
   const deployment = new RealDeployment({ scenario, seed: 1, separateProcesses: true });
   try {
     await deployment.start();
-    await sleep(deployment.clock, SETTLE_MS);
-    const before = await readAll(deployment);
+    await sleep(deployment.clock, STABILIZATION_MS);
+    const before = await sampleAll(deployment);
     await sleep(deployment.clock, options.seconds * 1000);
-    const after = await readAll(deployment);
+    const after = await sampleAll(deployment);
     const rows = deployment.daemons.map((daemon, index) =>
       rowOf(daemon, before[index], after[index], options.seconds),
     );
     for (const isCoordinator of [true, false]) {
-      const own = rows.filter((row) => row.isCoordinator === isCoordinator);
+      const roleRows = rows.filter((row) => row.isCoordinator === isCoordinator);
       print(
         JSON.stringify({
           role: isCoordinator ? 'coordinator' : 'other',
-          daemons: own.length,
-          ...summaryOf(own),
+          daemons: roleRows.length,
+          ...summaryOf(roleRows),
         }),
       );
     }
@@ -66,18 +66,18 @@
 
 function rowOf(
   daemon: RealDaemon,
-  before: Reading | undefined,
-  after: Reading | undefined,
+  before: MetricsSample | undefined,
+  after: MetricsSample | undefined,
   seconds: number,
 ): Row {
-  const change = (pick: (reading: Reading) => number): number =>
+  const ratePerSecond = (pick: (reading: MetricsSample) => number): number =>
     before === undefined || after === undefined ? 0 : (pick(after) - pick(before)) / seconds;
   return {
     isCoordinator: after?.active === true,
-    cpuPercent: change((reading) => reading.cpu) * 100,
+    cpuPercent: ratePerSecond((reading) => reading.cpu) * 100,
     residentMegabytes: residentMegabytes(daemon.process?.pid ?? 0),
-    bytesOutPerSecond: change((reading) => reading.bytesSent),
-    bytesInPerSecond: change((reading) => reading.bytesReceived),
+    bytesOutPerSecond: ratePerSecond((reading) => reading.bytesSent),
+    bytesInPerSecond: ratePerSecond((reading) => reading.bytesReceived),
   };
 }
 
@@ -92,7 +92,7 @@
   };
 }
 
-function readAll(deployment: RealDeployment): Promise<Reading[]> {
+function sampleAll(deployment: RealDeployment): Promise<MetricsSample[]> {
   return Promise.all(
     deployment.daemons.map(async (daemon) => {
       const response = await deployment.http.send({
--- a/packages/lab/src/commands/bench.ts
+++ b/packages/lab/src/commands/bench.ts
@@ -7,7 +7,7 @@
 import type { LoadOrder, LoadResult } from '../bench/load-generator.js';
 import { print } from './print.js';
 
-const SCENARIO = `
+const BENCH_SCENARIO = `
 name: bench
 durationSeconds: 60
 zones: [{ name: alpha, daemons: 1 }]
@@ -31,7 +31,7 @@
 /** Connections that keep a daemon about half busy. */
 const HALF_LOAD_CONCURRENCY = 2;
 const WARM_UP_MS = 3000;
-const MEASURE_MS = 8000;
+const MEASUREMENT_MS = 8000;
 /** Clock ticks in a second, in which Linux counts processor time. */
 const TICKS_PER_SECOND = 100;
 
@@ -45,14 +45,14 @@
 /** Runs the benchmark; resolves with the exit code. */
 export async function bench(json: boolean): Promise<number> {
   const deployment = new RealDeployment({
-    scenario: parseScenario(SCENARIO),
+    scenario: parseScenario(BENCH_SCENARIO),
     seed: 1,
     separateProcesses: true,
     tokenTimeFactor: 0,
   });
   try {
     await deployment.start();
-    await untilLoaded(deployment);
+    await waitUntilLoaded(deployment);
     const [daemon] = deployment.daemons;
     const [worker] = deployment.workers;
     const direct: Target = {
@@ -83,31 +83,31 @@
   pid: number,
 ): Promise<Record<string, number | string>> {
   const short = { streaming: false, tokens: SHORT_TOKENS };
-  await load(routed, { ...short, concurrency: 16, durationMs: WARM_UP_MS });
-  await load(direct, { ...short, concurrency: 16, durationMs: WARM_UP_MS });
+  await generateLoad(routed, { ...short, concurrency: 16, durationMs: WARM_UP_MS });
+  await generateLoad(direct, { ...short, concurrency: 16, durationMs: WARM_UP_MS });
   const cpuBefore = cpuSeconds(pid);
   const saturated = await Promise.all(
     Array.from({ length: SATURATION_THREADS }, () =>
-      load(routed, {
+      generateLoad(routed, {
         ...short,
         concurrency: SATURATION_CONCURRENCY / SATURATION_THREADS,
-        durationMs: MEASURE_MS,
+        durationMs: MEASUREMENT_MS,
       }),
     ),
   );
   const cpuUsed = cpuSeconds(pid) - cpuBefore;
   const requests = saturated.reduce((total, result) => total + result.requests, 0);
   const perSecond = saturated.reduce((total, result) => total + result.requests / result.seconds, 0);
-  const half = { ...short, concurrency: HALF_LOAD_CONCURRENCY, durationMs: MEASURE_MS };
-  const halfRouted = await load(routed, half);
-  const halfDirect = await load(direct, half);
+  const half = { ...short, concurrency: HALF_LOAD_CONCURRENCY, durationMs: MEASUREMENT_MS };
+  const halfRouted = await generateLoad(routed, half);
+  const halfDirect = await generateLoad(direct, half);
   // At a steady rate the generator itself sends in small bursts, once a millisecond.
-  const steady = { ...short, concurrency: 1, durationMs: MEASURE_MS, ratePerSecond: perSecond / 2 };
-  const steadyRouted = await load(routed, steady);
-  const steadyDirect = await load(direct, steady);
-  const long = { streaming: true, tokens: LONG_TOKENS, concurrency: 1, durationMs: MEASURE_MS };
-  const streamRouted = await load(routed, long);
-  const streamDirect = await load(direct, long);
+  const steady = { ...short, concurrency: 1, durationMs: MEASUREMENT_MS, ratePerSecond: perSecond / 2 };
+  const steadyRouted = await generateLoad(routed, steady);
+  const steadyDirect = await generateLoad(direct, steady);
+  const long = { streaming: true, tokens: LONG_TOKENS, concurrency: 1, durationMs: MEASUREMENT_MS };
+  const streamRouted = await generateLoad(routed, long);
+  const streamDirect = await generateLoad(direct, long);
   const results = [
     ...saturated,
     halfRouted,
@@ -138,7 +138,7 @@
   };
 }
 
-function load(target: Target, order: Omit<LoadOrder, keyof Target>): Promise<LoadResult> {
+function generateLoad(target: Target, order: Omit<LoadOrder, keyof Target>): Promise<LoadResult> {
   return new Promise((resolve, reject) => {
     const worker = new Worker(new URL('../bench/load-generator.js', import.meta.url));
     worker.once('message', (result: LoadResult) => {
@@ -150,7 +150,7 @@
   });
 }
 
-async function untilLoaded(deployment: RealDeployment): Promise<void> {
+async function waitUntilLoaded(deployment: RealDeployment): Promise<void> {
   while (!deployment.workers.some(({ engine }) => engine.loaded().some(({ state }) => state === 'ready'))) {
     await sleep(deployment.clock, 50);
   }
--- a/packages/lab/src/commands/compare.ts
+++ b/packages/lab/src/commands/compare.ts
@@ -14,7 +14,7 @@
   readonly json: boolean;
 }
 
-const PRODUCT = 'woodbarrow';
+const PRODUCT_POLICY = 'woodbarrow';
 
 /** Compares; resolves with the exit code. */
 export async function compare(options: CompareOptions): Promise<number> {
@@ -33,16 +33,26 @@
   for (const { seed, summary } of await runCampaign(jobs, () => undefined)) {
     const { coldStartMs, firstTokenMs, idleAcceleratorHours, loads, requests } = summary;
     const late = requests.sent - requests.served;
-    outcomes.push({ policy: PRODUCT, seed, coldStartMs, firstTokenMs, idleAcceleratorHours, loads, late });
+    outcomes.push({
+      policy: PRODUCT_POLICY,
+      seed,
+      coldStartMs,
+      firstTokenMs,
+      idleAcceleratorHours,
+      loads,
+      late,
+    });
   }
-  for (const policy of [...BASELINES, PRODUCT]) {
-    const own = outcomes.filter((outcome) => outcome.policy === policy);
-    process.stdout.write(`${options.json ? JSON.stringify(own) : line(policy, own)}\n`);
+  for (const policy of [...BASELINES, PRODUCT_POLICY]) {
+    const policyOutcomes = outcomes.filter((outcome) => outcome.policy === policy);
+    process.stdout.write(
+      `${options.json ? JSON.stringify(policyOutcomes) : formatPolicyLine(policy, policyOutcomes)}\n`,
+    );
   }
   return 0;
 }
 
-function line(policy: string, outcomes: readonly PolicyOutcome[]): string {
+function formatPolicyLine(policy: string, outcomes: readonly PolicyOutcome[]): string {
   const spread = (pick: (outcome: PolicyOutcome) => number): string => {
     const values = outcomes.map(pick).sort((left, right) => left - right);
     const middle = values[Math.floor(values.length / 2)] ?? 0;
--- a/packages/lab/src/commands/experiment.ts
+++ b/packages/lab/src/commands/experiment.ts
@@ -41,9 +41,9 @@
 
 const SEED = 7;
 const LOAD_TIME_FACTOR = 0.15;
-const GRACE_SECONDS = 40;
+const SHUTDOWN_GRACE_SECONDS = 40;
 const BURST_SIZE = 48;
-const MID_LOAD_MS = 300;
+const DELAY_INTO_LOAD_MS = 300;
 const STATUS_ATTEMPTS = 20;
 const STATUS_RETRY_MS = 50;
 let outageSeconds = 60;
@@ -54,9 +54,9 @@
   const names = options.name === 'all' ? EXPERIMENT_NAMES : [options.name];
   let failures = 0;
   for (const name of names) {
-    const broken = await runExperiment(name, options.deployment);
-    print(broken.length === 0 ? '  every promise held\n' : `  BROKEN: ${broken.join('; ')}\n`);
-    failures += broken.length;
+    const violations = await runExperiment(name, options.deployment);
+    print(violations.length === 0 ? '  every promise held\n' : `  BROKEN: ${violations.join('; ')}\n`);
+    failures += violations.length;
   }
   return failures === 0 ? 0 : 1;
 }
@@ -70,7 +70,7 @@
     seed: SEED,
     separateProcesses: true,
     loadTimeFactor: LOAD_TIME_FACTOR,
-    graceSeconds: GRACE_SECONDS,
+    graceSeconds: SHUTDOWN_GRACE_SECONDS,
   });
   try {
     await deployment.start();
@@ -79,11 +79,11 @@
     );
     const random = new Random(SEED);
     const traffic = new RealTraffic(deployment, random.fork());
-    const own = await run({ deployment, traffic, scenario, random });
+    const experimentViolations = await run({ deployment, traffic, scenario, random });
     await traffic.settle();
     const report = reportOf(deployment, traffic.totals());
     print(formatRows(report.rows));
-    return [...report.broken, ...own];
+    return [...report.broken, ...experimentViolations];
   } finally {
     await deployment.stop();
   }
@@ -113,7 +113,7 @@
   const { deployment } = context;
   const model = coldModel(context);
   sendBurst(context, model);
-  const loading = await whileLoading(deployment);
+  const loading = await waitForLoadingWorker(deployment);
   print(`  ${loading.plan.id} killed while loading ${model}`);
   await deployment.killWorker(loading);
   await sleep(deployment.clock, 3000);
@@ -125,7 +125,7 @@
   const { deployment } = context;
   const model = coldModel(context);
   sendBurst(context, model);
-  const loading = await whileLoading(deployment);
+  const loading = await waitForLoadingWorker(deployment);
   const victim = await coordinatorOf(deployment, loading.plan.zone);
   print(`  ${victim.plan.id}, which coordinates ${loading.plan.zone}, killed while ${model} loads`);
   deployment.killDaemon(victim);
@@ -202,13 +202,13 @@
   }
 }
 
-async function whileLoading(deployment: RealDeployment): Promise<RealDeployment['workers'][number]> {
+async function waitForLoadingWorker(deployment: RealDeployment): Promise<RealDeployment['workers'][number]> {
   for (;;) {
     const found = deployment.workers.find(({ engine }) =>
       engine.loaded().some(({ state }) => state === 'loading'),
     );
     if (found !== undefined) {
-      await sleep(deployment.clock, MID_LOAD_MS);
+      await sleep(deployment.clock, DELAY_INTO_LOAD_MS);
       return found;
     }
     await sleep(deployment.clock, 10);
@@ -218,10 +218,10 @@
 /** The daemon that coordinates a zone. @throws Error when the zone names none in several tries. */
 async function coordinatorOf(deployment: RealDeployment, zone: string): Promise<RealDaemon> {
   for (let attempt = 0; attempt < STATUS_ATTEMPTS; attempt += 1) {
-    const asked = deployment.daemons[attempt % deployment.daemons.length];
+    const queriedDaemon = deployment.daemons[attempt % deployment.daemons.length];
     const response = await deployment.http.send({
       method: 'GET',
-      origin: asked?.operatorOrigin ?? '',
+      origin: queriedDaemon?.operatorOrigin ?? '',
       path: '/status/zones',
       headers: { authorization: `Bearer ${deployment.plan.administratorToken}` },
     });
--- a/packages/lab/src/commands/quickstart.ts
+++ b/packages/lab/src/commands/quickstart.ts
@@ -18,7 +18,7 @@
 const LOAD_SECONDS = 20;
 const LOAD_TIME_FACTOR = 0.1;
 const SEED = 1;
-const PROGRESS_MS = 500;
+const PROGRESS_INTERVAL_MS = 500;
 
 /** Runs a deployment; resolves with the exit code. */
 export async function quickstart(options: QuickstartOptions): Promise<number> {
@@ -38,7 +38,7 @@
   const display = new TaskGroup(deployment.clock, () => undefined);
   display.loop(
     'quickstart.progress',
-    () => PROGRESS_MS,
+    () => PROGRESS_INTERVAL_MS,
     () => {
       showProgress(traffic);
       return Promise.resolve();
@@ -53,7 +53,7 @@
   print(report.broken.length === 0 ? 'every promise held' : `BROKEN: ${report.broken.join('; ')}`);
   if (!options.once) {
     print('the deployment stays up; press Ctrl-C to end it');
-    await interrupted();
+    await waitForTermination();
   }
   await deployment.stop();
   return report.broken.length === 0 ? 0 : 1;
@@ -83,7 +83,7 @@
   process.stdout.write(`\r  ${String(sent)} sent, ${String(ended)} ended   `);
 }
 
-function interrupted(): Promise<void> {
+function waitForTermination(): Promise<void> {
   return new Promise((resolve) => {
     process.once('SIGINT', () => {
       resolve();
--- a/packages/lab/src/commands/simulate.ts
+++ b/packages/lab/src/commands/simulate.ts
@@ -31,7 +31,7 @@
   const jobs = seeds.map((seed) => ({ scenarioFile: file, seed }));
   const results = await runJobs(jobs, options.json, options.threads);
   if (options.shrink) await shrinkFirstFailure(results);
-  return verdict(results);
+  return exitCodeOf(results);
 }
 
 /** Runs the fixed seeds of all shipped scenarios; resolves with the exit code. */
@@ -40,7 +40,7 @@
     const seeds = parseSeeds(file.endsWith('-faults.yaml') ? CHECK_SEEDS.faults : CHECK_SEEDS.plain);
     return seeds.map((seed) => ({ scenarioFile: file, seed }));
   });
-  return verdict(await runJobs(jobs, false));
+  return exitCodeOf(await runJobs(jobs, false));
 }
 
 async function runJobs(
@@ -48,15 +48,15 @@
   json: boolean,
   threads?: number,
 ): Promise<CampaignResult[]> {
-  const show = (result: CampaignResult): void => {
-    print(json ? JSON.stringify(result.summary) : line(result));
+  const printResult = (result: CampaignResult): void => {
+    print(json ? JSON.stringify(result.summary) : formatResult(result));
   };
-  const results = await runCampaign(jobs, show, threads);
+  const results = await runCampaign(jobs, printResult, threads);
   if (!json) printTotals(results);
   return results;
 }
 
-function line({ scenarioFile: file, seed, summary, wallMs }: CampaignResult): string {
+function formatResult({ scenarioFile: file, seed, summary, wallMs }: CampaignResult): string {
   const { requests, coldStartMs, violations, digest, virtualSeconds } = summary;
   const name = basename(file, '.yaml').padEnd(22);
   const speed = Math.round(virtualSeconds / (wallMs / 1000));
@@ -82,7 +82,7 @@
   return summary.violations.length === 0 && summary.requests.unanswered === 0;
 }
 
-function verdict(results: readonly CampaignResult[]): number {
+function exitCodeOf(results: readonly CampaignResult[]): number {
   const failing = results.filter(({ summary }) => !isClean(summary));
   for (const { scenarioFile: file, seed } of failing) {
     print(`replay: woodbarrow-lab simulate ${basename(file, '.yaml')} --seeds ${String(seed)} --trace`);
--- a/packages/lab/src/scenario/expand-scenario.ts
+++ b/packages/lab/src/scenario/expand-scenario.ts
@@ -63,7 +63,7 @@
   const partners = new Set(tenants.map((tenant) => tenant.partner));
   return {
     daemons: scenario.zones.flatMap((zone) =>
-      numbered(zone.daemons).map((index) => ({
+      oneToN(zone.daemons).map((index) => ({
         id: `${zone.name}-d${String(index)}`,
         zone: zone.name,
         region: zone.region,
@@ -109,10 +109,10 @@
   const adapters = new Map<string, string[]>();
   const models: object[] = [];
   for (const group of tenant.modelGroups) {
-    const names = numbered(group.count).map((index) => `${group.prefix}-${String(index)}`);
+    const names = oneToN(group.count).map((index) => `${group.prefix}-${String(index)}`);
     groups.set(group.prefix, names);
     for (const modelName of names) adapters.set(modelName, []);
-    for (const index of numbered(group.adapters)) {
+    for (const index of oneToN(group.adapters)) {
       const base = names[index % names.length] ?? '';
       adapters.get(base)?.push(`${base}-adapter-${String(index)}`);
     }
@@ -146,7 +146,7 @@
   const regionOf = new Map(scenario.zones.map((zone) => [zone.name, zone.region]));
   let next = 0;
   return scenario.workers.flatMap((group) =>
-    numbered(group.count).map(() => {
+    oneToN(group.count).map(() => {
       next += 1;
       return {
         id: `${group.zone}-w${String(next)}`,
@@ -161,6 +161,6 @@
   );
 }
 
-function numbered(count: number): number[] {
+function oneToN(count: number): number[] {
   return Array.from({ length: count }, (_, index) => index + 1);
 }
--- a/packages/lab/src/scenario/scenario-schema.ts
+++ b/packages/lab/src/scenario/scenario-schema.ts
@@ -3,7 +3,7 @@
 
 const name = z.string().regex(/^[a-z0-9][a-z0-9.-]*$/);
 /** A number, or bounds between which each use draws one. */
-const range = z.union([z.number(), z.tuple([z.number(), z.number()])]);
+const numberOrRange = z.union([z.number(), z.tuple([z.number(), z.number()])]);
 
 const zoneSchema = z.strictObject({
   name,
@@ -29,10 +29,10 @@
   count: z.number().int().positive(),
   /** Adapters over the whole group, spread evenly. */
   adapters: z.number().int().nonnegative().default(0),
-  memoryGib: range.default(40),
+  memoryGib: numberOrRange.default(40),
   concurrency: z.number().int().positive().default(8),
   loadSeconds: z
-    .strictObject({ host: range, disk: range, remote: range })
+    .strictObject({ host: numberOrRange, disk: numberOrRange, remote: numberOrRange })
     .prefault({ host: 2, disk: 8, remote: 30 }),
   replicas: z
     .strictObject({
@@ -82,14 +82,14 @@
   popularity: z.number().nonnegative().default(1),
   /** Share that asks for an adapter, where the model has any. */
   adapterShare: z.number().min(0).max(1).default(0),
-  tokens: range.default([8, 64]),
+  tokens: numberOrRange.default([8, 64]),
   streamingShare: z.number().min(0).max(1).default(0.5),
   /** Share with an idempotency key, sent again at another daemon when the answer does not settle it. */
   keyedShare: z.number().min(0).max(1).default(0),
   /** Share marked as not repeatable. */
   notRepeatableShare: z.number().min(0).max(1).default(0),
   /** Allowed wait in milliseconds; the class's own when absent. */
-  waitMs: range.optional(),
+  waitMs: numberOrRange.optional(),
   /** Times that a caller sends a request again that was refused as not run, or whose answer was lost. */
   retries: z.number().int().nonnegative().default(0),
 });
@@ -124,7 +124,7 @@
 const randomFaultSchema = z.strictObject({
   type: z.enum(FAULT_TYPES),
   perHour: z.number().positive(),
-  durationSeconds: range.default([2, 20]),
+  durationSeconds: numberOrRange.default([2, 20]),
 });
 
 export const scenarioSchema = z.strictObject({
@@ -166,4 +166,4 @@
 export type ScenarioTenant = z.infer<typeof tenantSchema>;
 export type ScenarioTraffic = z.infer<typeof trafficSchema>;
 export type FaultType = (typeof FAULT_TYPES)[number];
-export type NumberOrRange = z.infer<typeof range>;
+export type NumberOrRange = z.infer<typeof numberOrRange>;
--- a/packages/lab/src/simulation/fault-injector.ts
+++ b/packages/lab/src/simulation/fault-injector.ts
@@ -3,9 +3,9 @@
 import type { PlannedFault } from './fault-plan.js';
 import type { SimulatedDeployment } from './simulated-deployment.js';
 
-const SLOW_PLATFORM_MS = 2500;
-const LOST_ANSWER_SHARE = 0.7;
-const SLOW_STORE_FACTOR = 5;
+const SLOW_PLATFORM_DELAY_MS = 2500;
+const LOST_RESPONSE_SHARE = 0.7;
+const WEIGHT_STORE_SLOWDOWN = 5;
 
 /** A span of virtual time in which something was wrong. */
 export interface FaultSpan {
@@ -19,7 +19,7 @@
 export class FaultInjector {
   /** Faults that have begun. */
   readonly spans: FaultSpan[] = [];
-  private downCount = 0;
+  private platformOutageCount = 0;
 
   constructor(private readonly deployment: SimulatedDeployment) {}
 
@@ -85,33 +85,33 @@
         this.cut(fault, (from) => from.name === target);
         return;
       case 'platform-down':
-        this.downCount += 1;
+        this.platformOutageCount += 1;
         platform.faults.down = true;
-        this.after(fault, () => {
-          this.downCount -= 1;
-          platform.faults.down = this.downCount > 0;
+        this.scheduleEnd(fault, () => {
+          this.platformOutageCount -= 1;
+          platform.faults.down = this.platformOutageCount > 0;
         });
         return;
       case 'platform-slow':
-        platform.faults.delayMs = SLOW_PLATFORM_MS;
-        this.after(fault, () => {
+        platform.faults.delayMs = SLOW_PLATFORM_DELAY_MS;
+        this.scheduleEnd(fault, () => {
           platform.faults.delayMs = 0;
         });
         return;
       case 'platform-loses-answers':
-        platform.faults.loseAnswerShare = LOST_ANSWER_SHARE;
-        this.after(fault, () => {
+        platform.faults.loseAnswerShare = LOST_RESPONSE_SHARE;
+        this.scheduleEnd(fault, () => {
           platform.faults.loseAnswerShare = 0;
         });
         return;
       case 'weight-store-slow':
-        weights.slowdown = SLOW_STORE_FACTOR;
-        this.after(fault, () => {
+        weights.slowdown = WEIGHT_STORE_SLOWDOWN;
+        this.scheduleEnd(fault, () => {
           weights.slowdown = 1;
         });
         return;
       case 'operator-race':
-        void this.race(target, random);
+        void this.raceOperators(target, random);
     }
   }
 
@@ -124,23 +124,28 @@
     const heal = deployment.network.cut(
       (from, to) => !deployment.isClient(from) && !deployment.isClient(to) && predicate(from, to),
     );
-    this.after(fault, heal);
+    this.scheduleEnd(fault, heal);
   }
 
-  private after(fault: PlannedFault, end: () => void): void {
+  private scheduleEnd(fault: PlannedFault, end: () => void): void {
     this.deployment.world.schedule(fault.durationMs, end);
   }
 
   /** Two operators change the same parameter from the same revision, at two daemons. */
-  private async race(tenant: string, random: Random): Promise<void> {
+  private async raceOperators(tenant: string, random: Random): Promise<void> {
     const { deployment } = this;
     const plan = deployment.plan.tenants.find((candidate) => candidate.name === tenant);
     const token = deployment.plan.operatorTokens.get(plan?.partner ?? '') ?? '';
     const ids = random.shuffle([...deployment.daemons.keys()]).slice(0, 2);
-    await Promise.all(ids.map((id, index) => this.changeLimit(id, tenant, token, 400 + index)));
+    await Promise.all(ids.map((id, index) => this.changeQueueLimit(id, tenant, token, 400 + index)));
   }
 
-  private async changeLimit(daemonId: string, tenant: string, token: string, value: number): Promise<void> {
+  private async changeQueueLimit(
+    daemonId: string,
+    tenant: string,
+    token: string,
+    value: number,
+  ): Promise<void> {
     const { deployment } = this;
     const slot = deployment.slot(daemonId);
     const http = deployment.clientIn(slot.plan.zone);
--- a/packages/lab/src/simulation/run-simulation.ts
+++ b/packages/lab/src/simulation/run-simulation.ts
@@ -30,7 +30,7 @@
 
 const SECOND_MS = 1000;
 /** Violations kept; a broken run repeats itself. */
-const VIOLATIONS_KEPT = 50;
+const MAX_RETAINED_VIOLATIONS = 50;
 
 /** Runs a simulation to its end. */
 export async function runSimulation(options: SimulationOptions): Promise<SimulationResult> {
@@ -46,7 +46,7 @@
   const inForceTimes = { milliseconds: [] as number[] };
   const report = (checker: Violation['checker'], detail: string): void => {
     world.record(`VIOLATION ${checker}: ${detail}`);
-    if (violations.length < VIOLATIONS_KEPT) violations.push({ checker, atMs: world.now, detail });
+    if (violations.length < MAX_RETAINED_VIOLATIONS) violations.push({ checker, atMs: world.now, detail });
   };
   const meter = new AcceleratorMeter(deployment);
   deployment.observers.push(
@@ -59,7 +59,7 @@
   traffic.schedule(workload, warmUpMs);
   injector.schedule(faults, warmUpMs);
   const endMs = warmUpMs + (scenario.durationSeconds + scenario.settleSeconds) * SECOND_MS;
-  everySecond(deployment, endMs);
+  scheduleSecondTicks(deployment, endMs);
   await world.run(endMs);
   // Requests that may wait long are followed to their end.
   await world.run(endMs + longestRequestMs(deployment), () => traffic.unfinished === 0);
@@ -77,7 +77,7 @@
   return Math.max(...longest) * SECOND_MS;
 }
 
-function everySecond(deployment: SimulatedDeployment, endMs: number): void {
+function scheduleSecondTicks(deployment: SimulatedDeployment, endMs: number): void {
   const tick = (): void => {
     for (const observer of deployment.observers) observer.onSecond?.();
     if (deployment.world.now + SECOND_MS <= endMs) deployment.world.schedule(SECOND_MS, tick);
--- a/packages/lab/src/simulation/simulated-deployment.ts
+++ b/packages/lab/src/simulation/simulated-deployment.ts
@@ -64,7 +64,7 @@
 const PLATFORM_ORIGIN = 'http://10.255.0.1:7000';
 const MACHINES_ORIGIN = 'http://10.255.0.1:7001';
 const PLATFORM_ZONE = 'platform';
-const START_SPREAD_MS = 2000;
+const START_JITTER_MS = 2000;
 const CLIENT_PREFIX = 'client:';
 
 /** Builds and runs a deployment. */
@@ -246,7 +246,7 @@
       address: `${ip}:${String(PEER_PORT)}`,
       state: 'live',
     });
-    this.world.schedule(this.random.next() * START_SPREAD_MS, () => {
+    this.world.schedule(this.random.next() * START_JITTER_MS, () => {
       this.launch(slot);
     });
   }
--- a/packages/lab/src/simulation/simulated-environments.ts
+++ b/packages/lab/src/simulation/simulated-environments.ts
@@ -33,7 +33,7 @@
       transport: this.transports.transportOf(process),
       http: this.countingClient(process),
       serveHttp: (options) => this.serveHttp(process, options),
-      log: logInto(process),
+      log: traceLogOf(process),
     };
   }
 
@@ -43,8 +43,8 @@
       send: async (call) => {
         const response = await client.send(call);
         if (call.path.startsWith(COMPLETION_PREFIX)) return response;
-        const answered = response.body instanceof Uint8Array ? response.body.byteLength : 0;
-        const bytes = (call.body?.byteLength ?? 0) + answered + HEADER_BYTES_ESTIMATE;
+        const responseBytes = response.body instanceof Uint8Array ? response.body.byteLength : 0;
+        const bytes = (call.body?.byteLength ?? 0) + responseBytes + HEADER_BYTES_ESTIMATE;
         this.controlHttpBytes.set(process.name, (this.controlHttpBytes.get(process.name) ?? 0) + bytes);
         return response;
       },
@@ -67,7 +67,7 @@
 }
 
 /** Log lines become lines of the trace. */
-function logInto(process: SimulatedProcess): EventLog {
+function traceLogOf(process: SimulatedProcess): EventLog {
   const write = (event: string, details?: Readonly<Record<string, unknown>>): void => {
     process.world.record(`${process.name} ${event} ${JSON.stringify(details ?? {})}`);
   };
--- a/packages/lab/src/simulation/simulation-summary.ts
+++ b/packages/lab/src/simulation/simulation-summary.ts
@@ -3,7 +3,7 @@
 import { isDeferrable } from '../traffic/request-facts.js';
 import type { AcceleratorMeter } from './accelerator-meter.js';
 import type { SimulatedDeployment } from './simulated-deployment.js';
-import type { RequestStory, TrafficDriver } from './traffic-driver.js';
+import type { RequestHistory, TrafficDriver } from './traffic-driver.js';
 
 /** A distribution in milliseconds; all zero when nothing was counted. */
 export interface Distribution {
@@ -96,7 +96,7 @@
   return { count: sorted.length, p50: at(0.5), p95: at(0.95), p99: at(0.99), max: at(1) };
 }
 
-function firstTokenTime(story: RequestStory): number {
+function firstTokenTime(story: RequestHistory): number {
   return (story.attempts.at(-1)?.answeredAtMs ?? story.firstSentAtMs) - story.firstSentAtMs;
 }
 
--- a/packages/lab/src/simulation/traffic-driver.ts
+++ b/packages/lab/src/simulation/traffic-driver.ts
@@ -6,7 +6,7 @@
 import type { SimulatedDeployment } from './simulated-deployment.js';
 
 /** One request with all its attempts. */
-export interface RequestStory {
+export interface RequestHistory {
   readonly planned: PlannedRequest;
   /** Whether no replica was ready when it was first sent. */
   cold: boolean;
@@ -16,11 +16,11 @@
   done: boolean;
 }
 
-const RETRY_PAUSE_MS = 500;
+const RETRY_DELAY_MS = 500;
 
 /** Sends requests and keeps their stories. */
 export class TrafficDriver {
-  readonly stories: RequestStory[] = [];
+  readonly stories: RequestHistory[] = [];
 
   constructor(
     private readonly deployment: SimulatedDeployment,
@@ -43,7 +43,7 @@
 
   private async send(planned: PlannedRequest): Promise<void> {
     const { world } = this.deployment;
-    const story: RequestStory = {
+    const story: RequestHistory = {
       planned,
       cold: !this.isWarm(planned.request),
       firstSentAtMs: world.now,
@@ -55,12 +55,12 @@
     for (let left = planned.retries; ; left -= 1) {
       const attempt = await this.attempt(caller, story);
       if (left <= 0 || !shouldRetry(attempt)) break;
-      await this.pause((attempt.retryAfterSeconds ?? 0) * 1000 + RETRY_PAUSE_MS);
+      await this.pause((attempt.retryAfterSeconds ?? 0) * 1000 + RETRY_DELAY_MS);
     }
     story.done = true;
   }
 
-  private async attempt(caller: Caller, story: RequestStory): Promise<Attempt> {
+  private async attempt(caller: Caller, story: RequestHistory): Promise<Attempt> {
     const { world, observers } = this.deployment;
     const origin = this.pickDaemon(story);
     const attempt = await caller.send(
@@ -78,7 +78,7 @@
   }
 
   /** A daemon of the caller's zone, another one than last time. */
-  private pickDaemon(story: RequestStory): string {
+  private pickDaemon(story: RequestHistory): string {
     const slots = [...this.deployment.daemons.values()].filter(
       (slot) => slot.plan.zone === story.planned.zone,
     );
--- a/packages/lab/src/traffic/caller.ts
+++ b/packages/lab/src/traffic/caller.ts
@@ -95,9 +95,9 @@
       });
       attempt.requestId = response.headers[REQUEST_ID_HEADER];
       attempt.replayed = response.headers['x-woodbarrow-replayed'] === 'true';
-      if (response.status !== 200) await this.takeRefusal(attempt, response);
-      else if (request.streaming) await this.takeStream(attempt, response);
-      else await this.takeWhole(attempt, response);
+      if (response.status !== 200) await this.readRefusal(attempt, response);
+      else if (request.streaming) await this.readStream(attempt, response);
+      else await this.readWholeResponse(attempt, response);
     } catch {
       attempt.outcome ??= 'disconnected';
     }
@@ -105,7 +105,7 @@
     return attempt;
   }
 
-  private async takeRefusal(attempt: Attempt, response: HttpResponse): Promise<void> {
+  private async readRefusal(attempt: Attempt, response: HttpResponse): Promise<void> {
     attempt.answeredAtMs = this.now();
     const body = JSON.parse(await readText(response.body)) as ErrorAnswer;
     attempt.code = body.error?.code;
@@ -115,7 +115,7 @@
     attempt.outcome = 'refused';
   }
 
-  private async takeStream(attempt: Attempt, response: HttpResponse): Promise<void> {
+  private async readStream(attempt: Attempt, response: HttpResponse): Promise<void> {
     const { marker, tokens } = attempt.request;
     const stream = new TokenStream(marker, tokens);
     const body = response.body instanceof Uint8Array ? [response.body] : response.body;
@@ -133,7 +133,7 @@
     else attempt.outcome = stream.error === undefined ? 'served' : 'interrupted';
   }
 
-  private async takeWhole(attempt: Attempt, response: HttpResponse): Promise<void> {
+  private async readWholeResponse(attempt: Attempt, response: HttpResponse): Promise<void> {
     const text = await readText(response.body);
     attempt.answeredAtMs = this.now();
     const body = JSON.parse(text) as { choices?: { message?: { content?: string } }[] };
--- a/packages/lab/src/traffic/request-facts.ts
+++ b/packages/lab/src/traffic/request-facts.ts
@@ -4,11 +4,11 @@
 import type { CallerRequest } from './caller.js';
 
 /** End of an adapter's name; what stands before it is the base model's. */
-const ADAPTER_ENDING = /-adapter-\d+$/;
+const ADAPTER_SUFFIX = /-adapter-\d+$/;
 
 /** Id of the model that a request runs on, `<tenant>/<name>`; for an adapter, its base model's. */
 export function modelIdOf(request: CallerRequest): string {
-  return `${request.tenant}/${request.model.replace(ADAPTER_ENDING, '')}`;
+  return `${request.tenant}/${request.model.replace(ADAPTER_SUFFIX, '')}`;
 }
 
 /** The class that a request names, or its tenant's default. */
--- a/packages/lab/src/traffic/token-stream.ts
+++ b/packages/lab/src/traffic/token-stream.ts
@@ -12,13 +12,13 @@
   readonly error?: AnswerError;
 }
 
-const DATA = 'data: ';
+const DATA_PREFIX = 'data: ';
 const END_MARK = '[DONE]';
 const EVENT_END = /\r?\n\r?\n/;
 
 /** Stream of the tokens that an engine gives to one prompt. */
 export class TokenStream {
-  private rest = '';
+  private buffered = '';
   private tokens = 0;
   private firstFault: string | undefined;
   private lastError: AnswerError | undefined;
@@ -42,39 +42,39 @@
 
   /** Takes text as it comes. */
   add(text: string): void {
-    const events = (this.rest + text).split(EVENT_END);
-    this.rest = events.pop() ?? '';
-    for (const event of events) this.takeEvent(event);
+    const events = (this.buffered + text).split(EVENT_END);
+    this.buffered = events.pop() ?? '';
+    for (const event of events) this.processEvent(event);
   }
 
   /** The stream has ended regularly: either it is whole, or an error has said that it is not. */
   end(): void {
-    if (this.rest !== '') this.note('ended inside an event');
-    if (!this.hasEndMark && this.lastError === undefined) this.note('ended without mark or error');
+    if (this.buffered !== '') this.recordFault('ended inside an event');
+    if (!this.hasEndMark && this.lastError === undefined) this.recordFault('ended without mark or error');
   }
 
-  private takeEvent(event: string): void {
+  private processEvent(event: string): void {
     if (this.hasEndMark || this.lastError !== undefined) {
-      this.note('something follows the end');
+      this.recordFault('something follows the end');
       return;
     }
-    if (event === DATA + END_MARK) {
+    if (event === DATA_PREFIX + END_MARK) {
       this.hasEndMark = true;
-      if (this.tokens < this.expected) this.note(`complete after ${String(this.tokens)} tokens`);
+      if (this.tokens < this.expected) this.recordFault(`complete after ${String(this.tokens)} tokens`);
       return;
     }
-    const parsed = toEvent(event);
-    if (parsed === undefined) this.note(`an event that cannot be read: ${event}`);
-    else this.takeContent(parsed);
+    const parsed = parseEvent(event);
+    if (parsed === undefined) this.recordFault(`an event that cannot be read: ${event}`);
+    else this.verifyContent(parsed);
   }
 
-  private takeContent({ choices, error }: StreamEvent): void {
+  private verifyContent({ choices, error }: StreamEvent): void {
     this.lastError = error;
     let content = choices?.[0]?.delta?.content ?? '';
     while (content !== '') {
       const token = tokenText(this.marker, this.tokens);
       if (this.tokens >= this.expected || !content.startsWith(token)) {
-        this.note(`after ${String(this.tokens)} tokens: ${content}`);
+        this.recordFault(`after ${String(this.tokens)} tokens: ${content}`);
         return;
       }
       content = content.slice(token.length);
@@ -82,15 +82,15 @@
     }
   }
 
-  private note(fault: string): void {
+  private recordFault(fault: string): void {
     this.firstFault ??= fault;
   }
 }
 
-function toEvent(text: string): StreamEvent | undefined {
-  if (!text.startsWith(DATA)) return undefined;
+function parseEvent(text: string): StreamEvent | undefined {
+  if (!text.startsWith(DATA_PREFIX)) return undefined;
   try {
-    return JSON.parse(text.slice(DATA.length)) as StreamEvent;
+    return JSON.parse(text.slice(DATA_PREFIX.length)) as StreamEvent;
   } catch {
     // The caller could not read it either.
     return undefined;
--- a/packages/lab/src/traffic/workload.ts
+++ b/packages/lab/src/traffic/workload.ts
@@ -23,13 +23,13 @@
   for (const [index, traffic] of scenario.traffic.entries()) {
     const tenant = plan.tenants.find((candidate) => candidate.name === traffic.tenant);
     if (tenant === undefined) throw new Error(`traffic ${String(index)}: no tenant ${traffic.tenant}`);
-    const maker = new RequestMaker(scenario, traffic, tenant, random.fork(), `t${String(index)}`);
-    requests.push(...maker.all());
+    const generator = new RequestGenerator(scenario, traffic, tenant, random.fork(), `t${String(index)}`);
+    requests.push(...generator.generateAll());
   }
   return requests.sort((left, right) => left.atMs - right.atMs);
 }
 
-class RequestMaker {
+class RequestGenerator {
   private readonly models: readonly string[];
   private readonly weights: readonly number[];
   private count = 0;
@@ -47,7 +47,7 @@
     this.weights = this.models.map((_, rank) => 1 / (rank + 1) ** traffic.popularity);
   }
 
-  all(): PlannedRequest[] {
+  generateAll(): PlannedRequest[] {
     const { arrivals } = this.traffic;
     switch (arrivals.type) {
       case 'poisson':
@@ -67,7 +67,7 @@
     const requests: PlannedRequest[] = [];
     for (let second = this.random.exponential(1 / highest); second < this.scenario.durationSeconds;) {
       if (this.random.next() * highest < rateAt(second))
-        requests.push(this.make(second * 1000, this.pickModel()));
+        requests.push(this.generate(second * 1000, this.pickModel()));
       second += this.random.exponential(1 / highest);
     }
     return requests;
@@ -78,7 +78,7 @@
     for (let second = this.random.exponential(everySeconds); second < this.scenario.durationSeconds;) {
       const model = this.pickModel();
       for (let index = 0; index < size; index += 1) {
-        requests.push(this.make(second * 1000 + this.random.next() * withinMs, model));
+        requests.push(this.generate(second * 1000 + this.random.next() * withinMs, model));
       }
       second += this.random.exponential(everySeconds);
     }
@@ -95,7 +95,7 @@
     return this.models[0] ?? '';
   }
 
-  private make(atMs: number, model: string): PlannedRequest {
+  private generate(atMs: number, model: string): PlannedRequest {
     const { traffic, random, tenant } = this;
     this.count += 1;
     const marker = `${this.label}-${String(this.count)}`;
