--- a/packages/cli/src/diff-lines.ts
+++ b/packages/cli/src/diff-lines.ts
@@ -1,6 +1,6 @@
-/** Differences between two texts, line by line, by their longest common subsequence. */
+/** Line-by-line differences between two texts, based on their longest common subsequence. */
 
-/** Removed lines with `- `, added ones with `+ `, in order; unchanged lines are left out. */
+/** Returns removed lines with prefix `- ` and added lines with prefix `+ `, in order, without unchanged lines. */
 export function diffLines(before: readonly string[], after: readonly string[]): string[] {
   const lengths = commonLengths(before, after);
   const result: string[] = [];
@@ -25,7 +25,7 @@
   return result;
 }
 
-/** Length of the longest common subsequence of the two rests, for each pair of starts. */
+/** Returns the length of the longest common subsequence of the two suffixes for each pair of start indexes. */
 function commonLengths(before: readonly string[], after: readonly string[]): number[][] {
   const lengths = Array.from({ length: before.length + 1 }, () =>
     new Array<number>(after.length + 1).fill(0),
--- a/packages/cli/src/exit-codes.ts
+++ b/packages/cli/src/exit-codes.ts
@@ -5,10 +5,10 @@
   failure: 1,
   /** Wrong arguments or settings. */
   usage: 2,
-  /** Someone else changed the object first. */
+  /** Another writer changed the object first. */
   conflict: 3,
-  /** No daemon answered. */
+  /** The daemon is unreachable or did not respond. */
   unreachable: 4,
-  /** The token is missing, unknown, or not allowed to do this. */
+  /** The token is missing, unknown or lacks permission. */
   denied: 5,
 } as const;
--- a/packages/cli/src/explain/explain-command.ts
+++ b/packages/cli/src/explain/explain-command.ts
@@ -1,11 +1,11 @@
-/** The commands that read logs: `explain` a request, and the `timeline` of a worker, a model or a zone. */
+/** Commands that read logs: `explain` for a request and `timeline` for a worker, a model or a zone. */
 import type { Argv } from 'yargs';
 import { CommandError } from '../operator-client.js';
 import { EXIT_CODES } from '../exit-codes.js';
 import { openLines, readLogs, type LogLine, type ReadSummary } from './log-line.js';
 import { RequestTimelineCollector } from './request-timeline.js';
 
-/** Adds both commands. */
+/** Registers `explain` and `timeline`. */
 export function addLogCommands(parser: Argv): void {
   parser.command(
     'explain <request> [files..]',
@@ -39,7 +39,7 @@
   );
 }
 
-/** The course of a request as text, or as JSON. @throws CommandError when no line names it. */
+/** Returns the timeline of a request as text or JSON. @throws CommandError when no line names it. */
 export async function explain(request: string, files: readonly string[], json: boolean): Promise<string> {
   const collector = new RequestTimelineCollector(request);
   const summary = await readLogs(files.map(openLines), (line) => {
@@ -64,7 +64,7 @@
   ].join('\n');
 }
 
-/** All that names something, in order. @throws CommandError when nothing does. */
+/** Returns all lines that name a worker, model or zone, sorted by time. @throws CommandError when there is none. */
 export async function timeline(name: string, files: readonly string[], json: boolean): Promise<string> {
   const lines: LogLine[] = [];
   const summary = await readLogs(files.map(openLines), (line) => {
--- a/packages/cli/src/explain/log-line.ts
+++ b/packages/cli/src/explain/log-line.ts
@@ -1,37 +1,37 @@
-/** Lines of daemons' logs, read from files of any size, with whatever stands around the JSON. */
+/** Reads daemons' logs line by line; text before the JSON object of a line is ignored. */
 import { createReadStream } from 'node:fs';
 import { createInterface } from 'node:readline';
 
-/** One line. */
+/** A parsed log line. */
 export interface LogLine {
   readonly event: string;
   readonly daemon: string;
-  /** The daemon's own time of day, milliseconds since the Unix epoch. */
+  /** Time by the daemon's clock in milliseconds since the Unix epoch. */
   readonly time: number;
   readonly details: Readonly<Record<string, unknown>>;
 }
 
-/** What reading came to. */
+/** Counts of a read of one or more logs. */
 export interface ReadSummary {
   readonly lines: number;
-  /** Lines that are no whole log line: cut, or not ours. */
+  /** Lines that are truncated or not log lines of a daemon. */
   readonly unreadable: number;
   /** Daemons that wrote at least one line. */
   readonly daemons: ReadonlySet<string>;
-  /** Lines that daemons left out, as they said themselves. */
+  /** Lines that daemons report to have dropped. */
   readonly dropped: number;
 }
 
-/** Source of lines; standard input for `-`. */
+/** Source of text lines. */
 export type LineSource = AsyncIterable<string>;
 
-/** Opens a file, or standard input. */
+/** Opens a file, or standard input for `-`. */
 export function openLines(file: string): LineSource {
   const input = file === '-' ? process.stdin : createReadStream(file);
   return createInterface({ input, crlfDelay: Infinity });
 }
 
-/** Reads sources one after another and passes on the lines that are wanted. */
+/** Reads sources one after another and calls `onLine` for each parsed line. */
 export async function readLogs(
   sources: readonly LineSource[],
   onLine: (line: LogLine) => void,
@@ -58,7 +58,7 @@
   return { lines, unreadable, daemons, dropped };
 }
 
-/** Parses one line; undefined when it is none. */
+/** Parses one line; returns undefined when it is not a log line. */
 export function parseLine(text: string): LogLine | undefined {
   const start = text.indexOf('{');
   if (start < 0) return undefined;
--- a/packages/cli/src/explain/request-timeline.ts
+++ b/packages/cli/src/explain/request-timeline.ts
@@ -1,19 +1,19 @@
-/** The course of one request over all daemons, and its cause in a sentence. */
+/** Collects the log lines of one request over all daemons and derives the cause of its outcome. */
 import type { LogLine } from './log-line.js';
 
-/** What is known of a request. */
+/** Log lines of a request with related decisions and the cause of its outcome. */
 export interface RequestTimeline {
   readonly request: string;
-  /** In the order of the daemons' clocks. */
+  /** Log lines that name the request, sorted by the daemons' clocks. */
   readonly steps: readonly LogLine[];
-  /** What the daemons believed and decided about its model and its back ends meanwhile. */
+  /** Observations and decisions of daemons about the request's model and back ends at that time. */
   readonly surroundings: readonly LogLine[];
   readonly cause: string;
 }
 
-/** Milliseconds around the course from which beliefs are shown; daemons' clocks may differ by some. */
+/** Time before and after the request from which context is shown; allows for clock skew between daemons. */
 const CONTEXT_WINDOW_MS = 5000;
-/** Events that change what is believed of a model or a back end. */
+/** Events that change the observed state of a model or a back end. */
 const CONTEXT_EVENTS: ReadonlySet<string> = new Set([
   'back_end_seen',
   'back_end_changed',
@@ -31,23 +31,23 @@
   'store_regained',
   'daemon_stopping',
 ]);
-/** Beliefs kept while reading; the oldest are dropped. */
+/** Number of latest context lines that are always retained while reading; up to twice as many may be held. */
 const MAX_CONTEXT_LINES = 200_000;
 
-/** Collects the lines of one request while logs are read. */
+/** Collects the log lines of one request and its context while logs are read. */
 export class RequestTimelineCollector {
   private readonly steps: LogLine[] = [];
   private readonly contextLines: LogLine[] = [];
 
   constructor(private readonly request: string) {}
 
-  /** Takes a line if it matters. */
+  /** Adds a line if it names the request or may be context. */
   add(line: LogLine): void {
     if (line.details['request'] === this.request) this.steps.push(line);
     else if (CONTEXT_EVENTS.has(line.event)) this.retainContextLine(line);
   }
 
-  /** The course, or undefined when no line names the request. */
+  /** Returns the timeline, or undefined when no line names the request. */
   timeline(): RequestTimeline | undefined {
     const steps = [...this.steps].sort((left, right) => left.time - right.time);
     const [first] = steps;
@@ -123,7 +123,7 @@
   return `${cause}: ${after}.`;
 }
 
-/** Why a model was not made resident, from what the coordinators logged, or what was answered. */
+/** Returns why a model was not made resident, from the coordinators' decisions or their responses. */
 function unavailableCause(surroundings: readonly LogLine[]): string {
   const last = (event: string): LogLine | undefined =>
     surroundings.filter((line) => line.event === event).pop();
--- a/packages/cli/src/index.ts
+++ b/packages/cli/src/index.ts
@@ -16,7 +16,7 @@
 import { serve } from './serve.js';
 import { STATUS_SECTIONS, showStatus } from './status-command.js';
 
-/** Flags of `serve` and the settings that they override. */
+/** Command-line flags by the settings path that each overrides. */
 const SETTING_FLAGS = {
   id: 'id',
   zone: 'zone',
@@ -35,7 +35,7 @@
 
 export * from './explain/explain-command.js';
 
-/** Runs the command and ends the process with its exit code. */
+/** Parses the arguments, runs the command and exits the process with its exit code. */
 export async function runCli(argv: readonly string[]): Promise<void> {
   const parser = yargs([...argv])
     .scriptName('woodbarrow')
@@ -61,7 +61,7 @@
       'Exit codes: 0 done, 1 refused or failed, 2 wrong arguments or settings, 3 conflict, 4 unreachable, 5 denied',
     )
     .fail((message, error) => {
-      // yargs leaves both unset in turn, whatever its types say.
+      // yargs passes either a message or an error, although its types declare both as set.
       const failure = error as Error | undefined;
       fail(failure ?? new CommandError(message, EXIT_CODES.usage));
     });
--- a/packages/cli/src/object-commands.ts
+++ b/packages/cli/src/object-commands.ts
@@ -1,4 +1,4 @@
-/** `woodbarrow template` and `woodbarrow tenant`: list, show, apply, compare, history, watch. */
+/** `woodbarrow template` and `woodbarrow tenant`: list, show, apply, compare and watch configuration objects. */
 import { readFileSync } from 'node:fs';
 import { parse, stringify } from 'yaml';
 import { CommandError, type OperatorClient, type StoredObject } from './operator-client.js';
@@ -6,23 +6,23 @@
 import { formatTable } from './table.js';
 import { diffLines } from './diff-lines.js';
 
-/** Kinds of objects, by the name of their command. */
+/** Kinds of objects by command name. */
 export const OBJECT_COMMANDS = { template: 'templates', tenant: 'tenants' } as const;
 
-/** What a command prints with. */
+/** Output format and writer of a command. */
 export interface CommandOutput {
   readonly json: boolean;
   readonly print: (text: string) => void;
 }
 
-/** What a daemon answers to a lost race. */
+/** Response body of a daemon when another writer changed the object first. */
 interface ConflictBody {
   readonly error: {
     readonly details: { readonly current: { readonly revision: number; readonly value: unknown } | null };
   };
 }
 
-/** Commands on one kind of object. */
+/** Implements the commands for one kind of object. */
 export class ObjectCommands {
   constructor(
     private readonly kind: (typeof OBJECT_COMMANDS)[keyof typeof OBJECT_COMMANDS],
@@ -45,14 +45,14 @@
     this.output.print(formatTable(['NAME', 'REVISION', 'PARTNER'], rows));
   }
 
-  /** Prints one object, as YAML that `apply` takes. */
+  /** Prints one object as YAML, in the format that `apply` reads. */
   async get(name: string): Promise<void> {
     const object = await this.fetch(name);
     if (this.output.json) this.printJson(object);
     else this.output.print(stringify(object.value).trimEnd());
   }
 
-  /** Writes an object from a file. Against the newest revision unless one is given. */
+  /** Writes an object from a YAML file, on condition that `revision`, by default the latest, is still current. */
   async apply(name: string, file: string, revision: number | undefined, dryRun: boolean): Promise<void> {
     const value: unknown = parse(readFileSync(file, 'utf8'));
     const expectedRevision = revision ?? (await this.revisionOf(name));
@@ -77,7 +77,7 @@
     }
   }
 
-  /** Prints how a file differs from the object in force. */
+  /** Prints the differences between the current object and a file. */
   async diff(name: string, file: string): Promise<void> {
     const current = stringify((await this.fetch(name)).value);
     const proposed = stringify(parse(readFileSync(file, 'utf8')));
@@ -85,7 +85,7 @@
     this.output.print(lines.length === 0 ? 'no difference' : lines.join('\n'));
   }
 
-  /** Prints the versions that the platform still keeps. */
+  /** Prints the versions that the platform retains, each with its changes. */
   async history(name: string): Promise<void> {
     const answer = await this.client.request('GET', `/${this.kind}/${encodeURIComponent(name)}/history`);
     const { items } = answer as { items: { revision: number; value: unknown }[] };
@@ -102,7 +102,7 @@
     }
   }
 
-  /** Prints changes as they come into force, until interrupted. */
+  /** Prints changes as they take effect, until interrupted. */
   async watch(): Promise<void> {
     const decoder = new TextDecoder();
     for await (const chunk of await this.client.stream('/watch')) {
@@ -110,7 +110,7 @@
     }
   }
 
-  /** Writes; after a lost race, says how the newer object differs from the one that was to be written. */
+  /** Writes an object; on a conflict, throws an error that shows the differences from the newer revision. */
   private async put(
     path: string,
     value: unknown,
@@ -122,8 +122,7 @@
       const conflict = error instanceof CommandError && error.exitCode === EXIT_CODES.conflict;
       if (!conflict || this.output.json) throw error;
       const { current } = (error.body as ConflictBody).error.details;
-      if (current === null)
-        throw new CommandError(`${error.message}; it is not there any more`, error.exitCode);
+      if (current === null) throw new CommandError(`${error.message}; it no longer exists`, error.exitCode);
       const differences = diffLines(stringify(current.value).split('\n'), stringify(value).split('\n'));
       const summary = `revision ${String(current.revision)} is newer; your file against it:`;
       throw new CommandError([error.message, summary, ...differences].join('\n'), error.exitCode);
--- a/packages/cli/src/operator-client.ts
+++ b/packages/cli/src/operator-client.ts
@@ -1,4 +1,4 @@
-/** Client of the operators' API. */
+/** HTTP client of a daemon's API for operators. */
 import {
   HttpNotSentError,
   encodeText,
@@ -8,21 +8,21 @@
 } from '@woodbarrow/runtime';
 import { EXIT_CODES } from './exit-codes.js';
 
-/** A request that did not succeed, with the exit code to end with. */
+/** A failed command with its exit code. */
 export class CommandError extends Error {
   override readonly name = 'CommandError';
 
   constructor(
     message: string,
     readonly exitCode: number,
-    /** What the daemon answered. */
+    /** Response body of the daemon, if any. */
     readonly body?: unknown,
   ) {
     super(message);
   }
 }
 
-/** An object as listed or shown. */
+/** A configuration object with its revision. */
 export interface StoredObject {
   readonly name: string;
   readonly revision: number;
@@ -36,7 +36,7 @@
   409: EXIT_CODES.conflict,
 };
 
-/** Sends operators' requests to one daemon. */
+/** Sends requests to the operators' API of one daemon. */
 export class OperatorClient {
   private readonly http = new UndiciHttpClient();
 
@@ -45,7 +45,7 @@
     private readonly token: string,
   ) {}
 
-  /** Sends a request and returns the JSON answer. @throws CommandError */
+  /** Sends a request and returns the JSON response. @throws CommandError when it fails or is refused. */
   async request(
     method: string,
     path: string,
@@ -60,7 +60,7 @@
     throw new CommandError(message, EXIT_BY_STATUS[response.status] ?? EXIT_CODES.failure, answer);
   }
 
-  /** Sends a request whose answer is a stream. @throws CommandError */
+  /** Opens a streamed response. @throws CommandError when the status is not 200 or the daemon is unreachable. */
   async stream(path: string): Promise<AsyncIterable<Uint8Array>> {
     const response = await this.send('GET', path, undefined, {});
     if (response.status !== 200 || response.body instanceof Uint8Array) {
@@ -72,7 +72,7 @@
     return response.body;
   }
 
-  /** Ends all connections. */
+  /** Closes all connections. */
   async close(): Promise<void> {
     await this.http.close();
   }
@@ -93,7 +93,7 @@
         ...(body === undefined ? {} : { body: encodeText(JSON.stringify(body)) }),
       });
     } catch (error) {
-      const reason = error instanceof HttpNotSentError ? 'is not reachable' : 'gave no answer';
+      const reason = error instanceof HttpNotSentError ? 'is not reachable' : 'did not respond';
       throw new CommandError(`${this.origin} ${reason}`, EXIT_CODES.unreachable);
     }
   }
--- a/packages/cli/src/serve.ts
+++ b/packages/cli/src/serve.ts
@@ -1,9 +1,9 @@
-/** `woodbarrow serve`: runs one daemon until it is told to stop. */
+/** `woodbarrow serve`: runs one daemon until it is stopped. */
 import { Daemon, createSystemEnvironment } from '@woodbarrow/daemon';
 import type { Settings } from '@woodbarrow/settings';
 import { EXIT_CODES } from './exit-codes.js';
 
-/** Runs a daemon; resolves with the exit code after a planned stop. A second signal ends it at once. */
+/** Runs a daemon; resolves with the exit code when it has stopped. The first signal drains it, the second aborts it. */
 export async function serve(settings: Settings): Promise<number> {
   const environment = createSystemEnvironment(settings);
   const daemon = new Daemon(settings, environment);
--- a/packages/cli/src/status-command.ts
+++ b/packages/cli/src/status-command.ts
@@ -1,9 +1,8 @@
-/** `woodbarrow status`: what the system holds and does. */
+/** `woodbarrow status`: shows zones, models, workers and queues. */
 import type { OperatorClient } from './operator-client.js';
 import type { CommandOutput } from './object-commands.js';
 import { formatTable } from './table.js';
 
-/** Sections of the status. */
 export const STATUS_SECTIONS = ['zones', 'models', 'workers', 'queues'] as const;
 
 export type StatusSection = (typeof STATUS_SECTIONS)[number];
@@ -31,7 +30,7 @@
   );
 }
 
-/** One line for each daemon or replica list, so that a table can show it. */
+/** Converts a status entry to table rows: one row per daemon of a zone, and replicas joined in one cell. */
 function flatten(section: StatusSection, row: Row): Row[] {
   if (section === 'zones') {
     const { zone, coordinator, daemons } = row as {
--- a/packages/cli/src/table.ts
+++ b/packages/cli/src/table.ts
@@ -1,6 +1,6 @@
-/** Tables for people. */
+/** Formats plain-text tables. */
 
-/** Rows as aligned columns under headings; an empty list gives the headings alone. */
+/** Returns rows as aligned columns under headings; without rows, only the headings. */
 export function formatTable(headings: readonly string[], rows: readonly (readonly string[])[]): string {
   const all = [headings, ...rows];
   const widths = headings.map((_, column) => Math.max(...all.map((row) => (row[column] ?? '').length)));
--- a/packages/lab/src/commands/anchor.ts
+++ b/packages/lab/src/commands/anchor.ts
@@ -1,4 +1,4 @@
-/** `woodbarrow-lab anchor`: daemons as real processes on loopback, to hold the hollow figures against. */
+/** `woodbarrow-lab anchor`: measures daemons in separate processes, as a reference for `hollow`. */
 import { readFileSync } from 'node:fs';
 import { readText, sleep } from '@woodbarrow/runtime';
 import { hollowScenario } from '../hollow/hollow-scenario.js';
@@ -17,6 +17,7 @@
   readonly seconds: number;
 }
 
+/** Cumulative counters of one daemon at one time; `cpu` is in seconds. */
 interface MetricsSample {
   readonly cpu: number;
   readonly bytesSent: number;
@@ -24,10 +25,11 @@
   readonly active: boolean;
 }
 
+/** Time after the start before the first sample, in which placement and leases settle. */
 const STABILIZATION_MS = 20_000;
 const KILOBYTES_PER_MEGABYTE = 1024;
 
-/** Runs processes with no traffic but their own coordination; resolves with the exit code. */
+/** Runs daemons without requests and prints their resource use by role. Resolves with the exit code. */
 export async function anchor(options: AnchorOptions): Promise<number> {
   const scenario = hollowScenario({ ...options, regions: 1, requestsPerSecond: 1 });
   const deployment = new RealDeployment({ scenario, seed: 1, separateProcesses: true });
--- a/packages/lab/src/commands/bench.ts
+++ b/packages/lab/src/commands/bench.ts
@@ -1,4 +1,4 @@
-/** `woodbarrow-lab bench`: what a daemon adds to a request, beside direct calls to the same stand-in engine. */
+/** `woodbarrow-lab bench`: measures the overhead of a daemon against direct calls to the same stand-in engine. */
 import { readFileSync } from 'node:fs';
 import { Worker } from 'node:worker_threads';
 import { sleep } from '@woodbarrow/runtime';
@@ -28,14 +28,14 @@
 const LONG_TOKENS = 512;
 const SATURATION_CONCURRENCY = 48;
 const SATURATION_THREADS = 3;
-/** Connections that keep a daemon about half busy. */
+/** Number of connections that uses about half of a daemon's capacity. */
 const HALF_LOAD_CONCURRENCY = 2;
 const WARM_UP_MS = 3000;
 const MEASUREMENT_MS = 8000;
-/** Clock ticks in a second, in which Linux counts processor time. */
+/** Clock ticks per second in which Linux reports processor time (USER_HZ). */
 const TICKS_PER_SECOND = 100;
 
-/** One target: the engine itself, or the daemon before it. */
+/** Target of generated load: the engine itself or the daemon in front of it. */
 interface Target {
   readonly origin: string;
   readonly headers: Readonly<Record<string, string>>;
@@ -101,7 +101,7 @@
   const half = { ...short, concurrency: HALF_LOAD_CONCURRENCY, durationMs: MEASUREMENT_MS };
   const halfRouted = await generateLoad(routed, half);
   const halfDirect = await generateLoad(direct, half);
-  // At a steady rate the generator itself sends in small bursts, once a millisecond.
+  // The generator paces a fixed rate by timer ticks, so it sends a small burst each millisecond.
   const steady = { ...short, concurrency: 1, durationMs: MEASUREMENT_MS, ratePerSecond: perSecond / 2 };
   const steadyRouted = await generateLoad(routed, steady);
   const steadyDirect = await generateLoad(direct, steady);
@@ -157,7 +157,7 @@
   await sleep(deployment.clock, 1000);
 }
 
-/** Processor seconds that a process has used so far. */
+/** Returns the processor seconds that a process has used since it started. */
 export function cpuSeconds(pid: number): number {
   const fields =
     readFileSync(`/proc/${String(pid)}/stat`, 'utf8')
--- a/packages/lab/src/commands/check-model.ts
+++ b/packages/lab/src/commands/check-model.ts
@@ -1,4 +1,4 @@
-/** `woodbarrow-lab check-model`: explores every specification, whole and with each guard taken out. */
+/** `woodbarrow-lab check-model`: explores every specification, complete and with each guard removed. */
 import { SystemClock } from '@woodbarrow/runtime';
 import { CLAIMS_DEFECTS, claimsModel } from '../model/claims-model.js';
 import { explore, type Exploration } from '../model/explore.js';
@@ -17,14 +17,14 @@
 import type { TransitionSystem } from '../model/transition-system.js';
 import { print } from './print.js';
 
-/** One exploration to make. */
+/** A specification to explore, with or without a defect. */
 interface ModelCheck {
-  /** Guard that is taken out; undefined for the specification itself. */
+  /** Guard that is removed; undefined for the complete specification. */
   readonly defect: string | undefined;
   readonly run: () => Exploration;
 }
 
-/** All checks: a specification must hold, and each defect must be found. */
+/** Returns all checks. A complete specification must hold; each defect must yield a counterexample. */
 export function allModelChecks(): ModelCheck[] {
   return [
     ...PLACEMENT_BOUNDS.map((bounds) => ({
@@ -60,7 +60,7 @@
   ];
 }
 
-/** The first counterexample under any of the bounds, or the last exploration. */
+/** Returns the first exploration with a counterexample, or the last one. */
 function exploreUnder<Bounds, State>(
   allBounds: readonly Bounds[],
   model: (bounds: Bounds) => TransitionSystem<State>,
@@ -70,11 +70,11 @@
     result = explore(model(bounds));
     if (result.counterexample !== undefined) break;
   }
-  if (result === undefined) throw new Error('no bounds');
+  if (result === undefined) throw new Error('exploration requires at least one set of bounds');
   return result;
 }
 
-/** Runs all checks; resolves with the exit code. */
+/** Runs all checks and returns the exit code. */
 export function checkModel(json: boolean): number {
   const clock = new SystemClock();
   let failures = 0;
--- a/packages/lab/src/commands/compare.ts
+++ b/packages/lab/src/commands/compare.ts
@@ -1,4 +1,4 @@
-/** `woodbarrow-lab compare`: baselines and the product on the same arrivals, by the two measures. */
+/** `woodbarrow-lab compare`: compares baseline policies and the product on the same arrivals. */
 import { runCampaign } from '../campaign/campaign.js';
 import { parseSeeds } from '../campaign/seed-range.js';
 import { BASELINES, runBaseline, type PolicyOutcome } from '../policies/policy-simulator.js';
@@ -16,14 +16,14 @@
 
 const PRODUCT_POLICY = 'woodbarrow';
 
-/** Compares; resolves with the exit code. */
+/** Runs all policies and prints one line per policy. Resolves with the exit code. */
 export async function compare(options: CompareOptions): Promise<number> {
   const file = scenarioFile(options.scenario);
   const scenario = loadScenario(file);
   const seeds = parseSeeds(options.seeds);
   const outcomes: PolicyOutcome[] = [];
   for (const seed of seeds) {
-    // The same draws, in the same order, as a simulation makes.
+    // Draws random values in the same order as a simulation, so that both get the same workload.
     const deployment = new SimulatedDeployment({ scenario, seed });
     const workload = planWorkload(scenario, deployment.plan, deployment.random.fork());
     const input = { scenario, plan: deployment.plan, workload, seed };
--- a/packages/lab/src/commands/experiment.ts
+++ b/packages/lab/src/commands/experiment.ts
@@ -1,4 +1,4 @@
-/** `woodbarrow-lab experiment`: failures on loopback, with every daemon in a process of its own. */
+/** `woodbarrow-lab experiment`: injects failures on loopback, with every daemon in its own process. */
 import { Random, readJson, sleep } from '@woodbarrow/runtime';
 import { loadScenario } from '../scenario/load-scenario.js';
 import { scenarioFile } from '../scenario/scenario-files.js';
@@ -9,7 +9,7 @@
 import { RealTraffic } from '../real/real-traffic.js';
 import { print } from './print.js';
 
-/** What one experiment works with. */
+/** Deployment, traffic and random source that an experiment uses. */
 interface ExperimentContext {
   readonly deployment: RealDeployment;
   readonly traffic: RealTraffic;
@@ -19,7 +19,7 @@
 
 type Experiment = (context: ExperimentContext) => Promise<readonly string[]>;
 
-/** Experiments by name. Each returns what was broken besides the promises that every run checks. */
+/** Experiments by name. Each returns its own violations, in addition to the checks of every run. */
 const EXPERIMENTS: Readonly<Record<string, Experiment>> = {
   burst,
   'kill-worker': killWorkerMidLoad,
@@ -28,14 +28,13 @@
   'platform-outage': platformOutage,
 };
 
-/** Names of the experiments. */
 export const EXPERIMENT_NAMES = Object.keys(EXPERIMENTS);
 
 /** Options of {@link experiment}. */
 export interface ExperimentOptions {
   readonly name: string;
   readonly deployment: string;
-  /** Seconds that the platform is down in that experiment. */
+  /** Length of the platform outage in seconds; used by `platform-outage` only. */
   readonly outageSeconds: number;
 }
 
@@ -63,7 +62,8 @@
 
 async function runExperiment(name: string, deploymentName: string): Promise<readonly string[]> {
   const run = EXPERIMENTS[name];
-  if (run === undefined) throw new Error(`no experiment ${name}: ${EXPERIMENT_NAMES.join(', ')}`);
+  if (run === undefined)
+    throw new Error(`unknown experiment ${name}; available: ${EXPERIMENT_NAMES.join(', ')}`);
   const scenario = loadScenario(scenarioFile(deploymentName));
   const deployment = new RealDeployment({
     scenario,
@@ -89,7 +89,7 @@
   }
 }
 
-/** A burst for one cold model at every daemon at once loads it once. */
+/** Verifies that a simultaneous burst for one cold model at every daemon causes one load. */
 async function burst(context: ExperimentContext): Promise<readonly string[]> {
   const { deployment, traffic } = context;
   const model = coldModel(context);
@@ -103,7 +103,7 @@
   return loads === 1 ? [] : [`${String(loads)} loads of one model`];
 }
 
-/** Loads of a model of the first tenant that engines have begun. Other models' checkpoints may be brought near meanwhile. */
+/** Returns the number of loads of one model of the first tenant; loads of other models don't count. */
 function loadsOf(deployment: RealDeployment, model: string): number {
   const id = `${deployment.plan.tenants[0]?.name ?? ''}/${model}`;
   return deployment.engineRecords.reduce((total, record) => total + (record.loadsByModel.get(id) ?? 0), 0);
@@ -135,7 +135,7 @@
   return [];
 }
 
-/** Every daemon is replaced, one after another, under load; nothing may be cut off. */
+/** Replaces every daemon in turn under load and verifies that no request fails. */
 async function rollingRestart(context: ExperimentContext): Promise<readonly string[]> {
   const { deployment, traffic } = context;
   const sending = traffic.send(steadyLoad(context, deployment.daemons.length * 14));
@@ -168,13 +168,13 @@
   return planWorkload({ ...scenario, durationSeconds: seconds }, deployment.plan, random.fork());
 }
 
-/** A model of the first tenant; nothing is loaded when an experiment begins. */
+/** Returns the first model of the first tenant; no model is loaded when an experiment starts. */
 function coldModel({ deployment }: ExperimentContext): string {
   const models = deployment.plan.tenants[0]?.parameters.models ?? [];
   return models[0]?.name ?? '';
 }
 
-/** One request after another at each daemon in turn, without waiting for answers. */
+/** Sends requests to the daemons round-robin without waiting for responses. */
 function sendBurst({ deployment, traffic }: ExperimentContext, model: string, size = BURST_SIZE): void {
   const [tenant] = deployment.plan.tenants;
   for (let index = 0; index < size; index += 1) {
@@ -215,7 +215,7 @@
   }
 }
 
-/** The daemon that coordinates a zone. @throws Error when the zone names none in several tries. */
+/** Returns the coordinator of a zone. @throws Error when none is reported within `STATUS_ATTEMPTS` polls. */
 async function coordinatorOf(deployment: RealDeployment, zone: string): Promise<RealDaemon> {
   for (let attempt = 0; attempt < STATUS_ATTEMPTS; attempt += 1) {
     const queriedDaemon = deployment.daemons[attempt % deployment.daemons.length];
@@ -233,5 +233,5 @@
     if (found !== undefined) return found;
     await sleep(deployment.clock, STATUS_RETRY_MS);
   }
-  throw new Error(`no coordinator of ${zone}`);
+  throw new Error(`zone ${zone} reports no coordinator`);
 }
--- a/packages/lab/src/commands/hollow.ts
+++ b/packages/lab/src/commands/hollow.ts
@@ -1,4 +1,4 @@
-/** `woodbarrow-lab hollow`: coordination at size, on the virtual clock. */
+/** `woodbarrow-lab hollow`: measures the coordination of a large fleet on the virtual clock. */
 import { SystemClock } from '@woodbarrow/runtime';
 import { runHollow } from '../hollow/hollow-run.js';
 import type { HollowSize } from '../hollow/hollow-scenario.js';
@@ -9,7 +9,7 @@
   readonly json: boolean;
 }
 
-/** Runs one size; resolves with the exit code. */
+/** Runs one fleet size and prints its report as JSON. Resolves with the exit code. */
 export async function hollow(options: HollowOptions): Promise<number> {
   const { daemons, zones, regions, workers, models, adapters, requestsPerSecond, seed, json } = options;
   const clock = new SystemClock();
--- a/packages/lab/src/commands/print.ts
+++ b/packages/lab/src/commands/print.ts
@@ -1,6 +1,6 @@
-/** Output of the lab's commands. */
+/** Standard output of the lab's commands. */
 
-/** Prints one line, or several, to standard output. */
+/** Writes text to standard output, followed by a newline. */
 export function print(text: string): void {
   process.stdout.write(`${text}\n`);
 }
--- a/packages/lab/src/commands/quickstart.ts
+++ b/packages/lab/src/commands/quickstart.ts
@@ -1,4 +1,4 @@
-/** `woodbarrow-lab quickstart`: a whole deployment on loopback in one process, with a small load. */
+/** `woodbarrow-lab quickstart`: runs a complete deployment on loopback in one process under light load. */
 import { Random, TaskGroup } from '@woodbarrow/runtime';
 import { scenarioFile } from '../scenario/scenario-files.js';
 import { loadScenario } from '../scenario/load-scenario.js';
@@ -11,7 +11,7 @@
 /** Options of {@link quickstart}. */
 export interface QuickstartOptions {
   readonly deployment: string;
-  /** Ends after the table instead of staying up. */
+  /** Exits after the report instead of running until interrupted. */
   readonly once: boolean;
 }
 
@@ -20,7 +20,7 @@
 const SEED = 1;
 const PROGRESS_INTERVAL_MS = 500;
 
-/** Runs a deployment; resolves with the exit code. */
+/** Runs a deployment and prints its report. Resolves with the exit code. */
 export async function quickstart(options: QuickstartOptions): Promise<number> {
   const full = loadScenario(scenarioFile(options.deployment));
   const scenario = { ...full, durationSeconds: LOAD_SECONDS };
--- a/packages/lab/src/commands/simulate.ts
+++ b/packages/lab/src/commands/simulate.ts
@@ -1,4 +1,4 @@
-/** `woodbarrow-lab simulate` and `simulate-all`. */
+/** `woodbarrow-lab simulate` and `simulate-all`: run scenarios on the virtual clock. */
 import { basename } from 'node:path';
 import { runCampaign, type CampaignJob, type CampaignResult } from '../campaign/campaign.js';
 import { parseSeeds } from '../campaign/seed-range.js';
@@ -13,17 +13,17 @@
   readonly scenario: string;
   readonly seeds: string;
   readonly json: boolean;
-  /** Prints a timeline of the first seed. */
+  /** Runs only the first seed and prints its timeline. */
   readonly trace: boolean;
   readonly shrink: boolean;
-  /** Threads to use; all cores when absent. */
+  /** Number of threads; one per core when absent. */
   readonly threads?: number | undefined;
 }
 
-/** Seeds of each scenario that every check runs. Those with faults find more, so they get more. */
+/** Seed ranges that `simulate-all` runs for scenarios without and with faults. */
 const CHECK_SEEDS = { plain: '1..2', faults: '1..16' } as const;
 
-/** Runs a scenario; resolves with the exit code. */
+/** Runs one scenario under each seed. Resolves with the exit code. */
 export async function simulate(options: SimulateOptions): Promise<number> {
   const file = scenarioFile(options.scenario);
   const seeds = parseSeeds(options.seeds);
@@ -34,7 +34,7 @@
   return exitCodeOf(results);
 }
 
-/** Runs the fixed seeds of all shipped scenarios; resolves with the exit code. */
+/** Runs fixed seeds of all shipped scenarios. Resolves with the exit code. */
 export async function simulateAll(): Promise<number> {
   const jobs = allScenarioFiles().flatMap((file) => {
     const seeds = parseSeeds(file.endsWith('-faults.yaml') ? CHECK_SEEDS.faults : CHECK_SEEDS.plain);
--- a/packages/lab/src/index.ts
+++ b/packages/lab/src/index.ts
@@ -1,4 +1,4 @@
-/** The lab: stand-ins, simulations, experiments and checks. Nothing of it ships in a daemon. */
+/** Simulations, experiments and checks of woodbarrow. Daemons do not depend on this package. */
 export * from './checkers/index.js';
 export * from './scenario/expand-scenario.js';
 export * from './scenario/load-scenario.js';
--- a/packages/lab/src/run-lab.ts
+++ b/packages/lab/src/run-lab.ts
@@ -1,7 +1,7 @@
-/** The woodbarrow-lab command. Each subcommand's code is loaded only when it is asked for. */
+/** The woodbarrow-lab command. The code of a subcommand is loaded on first use. */
 import yargs from 'yargs';
 
-/** Runs the command and ends the process with its exit code. */
+/** Parses the arguments, runs the subcommand and exits the process with its exit code. */
 export async function runLab(argv: readonly string[]): Promise<void> {
   await yargs([...argv])
     .scriptName('woodbarrow-lab')
--- a/packages/lab/src/scenario/expand-scenario.ts
+++ b/packages/lab/src/scenario/expand-scenario.ts
@@ -1,4 +1,4 @@
-/** Turns a scenario into the content of a deployment: machines, templates, tenants, caches and tokens. */
+/** Expands a scenario into a deployment plan: machines, templates, tenants, caches and tokens. */
 import type { TemplateParameters } from '@woodbarrow/configuration';
 import { templateParametersSchema } from '@woodbarrow/configuration';
 import { hashToken } from '@woodbarrow/gateway';
@@ -24,7 +24,7 @@
   readonly hostCache: readonly string[];
 }
 
-/** One tenant with its template and the models of each group. */
+/** One tenant with its template parameters, models and adapters. */
 export interface TenantPlan {
   readonly name: string;
   readonly partner: string;
@@ -36,7 +36,7 @@
   readonly adapters: ReadonlyMap<string, readonly string[]>;
 }
 
-/** Everything that a scenario's deployment consists of. */
+/** Daemons, workers, tenants and tokens of a deployment. */
 export interface DeploymentPlan {
   readonly daemons: readonly DaemonPlan[];
   readonly workers: readonly WorkerPlan[];
@@ -44,15 +44,16 @@
   /** Operator tokens by partner. */
   readonly operatorTokens: ReadonlyMap<string, string>;
   readonly administratorToken: string;
+  /** Load times by checkpoint, `<model>@<version>`. */
   readonly loadTimes: ReadonlyMap<string, LoadTimes>;
 }
 
-/** Draws one number. */
+/** Returns a number as it is, or draws one from a range. */
 export function draw(value: NumberOrRange, random: Random): number {
   return typeof value === 'number' ? value : random.between(value[0], value[1]);
 }
 
-/** Expands a scenario. The same random source gives the same plan. */
+/** Expands a scenario. The result depends only on the scenario and the random source. */
 export function expandScenario(scenario: Scenario, random: Random): DeploymentPlan {
   const tenants = scenario.tenants.map((tenant) => planTenant(tenant, random));
   const loadTimes = new Map<string, LoadTimes>();
@@ -77,7 +78,7 @@
   };
 }
 
-/** Objects that the platform holds at the start, by key. */
+/** Returns the initial objects of the platform by key. */
 export function initialObjects(
   scenario: Scenario,
   plan: DeploymentPlan,
--- a/packages/lab/src/scenario/scenario-files.ts
+++ b/packages/lab/src/scenario/scenario-files.ts
@@ -1,4 +1,4 @@
-/** Where the shipped scenarios are. */
+/** Locates the shipped scenario files. */
 import { existsSync, readdirSync } from 'node:fs';
 import { join } from 'node:path';
 import { fileURLToPath } from 'node:url';
@@ -6,15 +6,15 @@
 const SCENARIO_DIRECTORY = fileURLToPath(new URL('../../../../../scenarios/', import.meta.url));
 const SHORT_NAMES: Readonly<Record<string, string>> = { quetzal: 'quetzal-norte' };
 
-/** Path of a scenario given by path, by name, or by short name. */
+/** Returns the path of a scenario given by path, name or short name. @throws Error when there is no such file. */
 export function scenarioFile(nameOrPath: string): string {
   if (existsSync(nameOrPath)) return nameOrPath;
   const file = join(SCENARIO_DIRECTORY, `${SHORT_NAMES[nameOrPath] ?? nameOrPath}.yaml`);
-  if (!existsSync(file)) throw new Error(`no scenario ${nameOrPath}`);
+  if (!existsSync(file)) throw new Error(`scenario ${nameOrPath} does not exist`);
   return file;
 }
 
-/** All shipped scenarios, by path, in order of name. */
+/** Returns the paths of all shipped scenarios, sorted by name. */
 export function allScenarioFiles(): string[] {
   return readdirSync(SCENARIO_DIRECTORY)
     .filter((name) => name.endsWith('.yaml'))
--- a/packages/lab/src/scenario/scenario-schema.ts
+++ b/packages/lab/src/scenario/scenario-schema.ts
@@ -1,8 +1,8 @@
-/** Schema of scenario files: a deployment, its traffic and its faults. Described in docs/SCENARIOS.md. */
+/** Schema of scenario files: a deployment, its traffic and its faults. See docs/SCENARIOS.md. */
 import { z } from 'zod';
 
 const name = z.string().regex(/^[a-z0-9][a-z0-9.-]*$/);
-/** A number, or bounds between which each use draws one. */
+/** A number, or bounds from which each use draws a number. */
 const numberOrRange = z.union([z.number(), z.tuple([z.number(), z.number()])]);
 
 const zoneSchema = z.strictObject({
@@ -17,17 +17,17 @@
   accelerators: z.number().int().positive().default(2),
   /** Accelerator memory of one worker in GiB. */
   memoryGib: z.number().positive().default(160),
-  /** Share of all checkpoints on the local disk at the start. */
+  /** Share of all checkpoints that are on the local disk at the start. */
   diskCacheShare: z.number().min(0).max(1).default(0.3),
-  /** Checkpoints in host memory at the start. */
+  /** Number of checkpoints in host memory at the start. */
   hostCacheCount: z.number().int().nonnegative().default(2),
 });
 
-/** Many models alike, named `<prefix>-<number>`. */
+/** A group of equal models named `<prefix>-<number>`. */
 const modelGroupSchema = z.strictObject({
   prefix: name,
   count: z.number().int().positive(),
-  /** Adapters over the whole group, spread evenly. */
+  /** Number of adapters of the group, spread evenly over its models. */
   adapters: z.number().int().nonnegative().default(0),
   memoryGib: numberOrRange.default(40),
   concurrency: z.number().int().positive().default(8),
@@ -56,14 +56,14 @@
 
 const arrivalsSchema = z.discriminatedUnion('type', [
   z.strictObject({ type: z.literal('poisson'), perSecond: z.number().positive() }),
-  /** All requests of a burst ask for one model. */
+  /** Bursts whose requests all name one model. */
   z.strictObject({
     type: z.literal('bursts'),
     everySeconds: z.number().positive(),
     size: z.number().int().positive(),
     withinMs: z.number().nonnegative().default(200),
   }),
-  /** A rate that follows the hours of the day between a low and a high. */
+  /** A rate that varies with the time of day between a low and a high. */
   z.strictObject({
     type: z.literal('daily'),
     lowPerSecond: z.number().nonnegative(),
@@ -74,27 +74,26 @@
 
 const trafficSchema = z.strictObject({
   tenant: name,
-  /** Prefix of the model group that is asked for. */
+  /** Prefix of the requested model group. */
   models: name,
   priorityClass: name.optional(),
   arrivals: arrivalsSchema,
-  /** Exponent of the models' popularity; 0 asks for all alike. */
+  /** Zipf exponent of the models' popularity; 0 requests all models equally often. */
   popularity: z.number().nonnegative().default(1),
-  /** Share that asks for an adapter, where the model has any. */
+  /** Share of requests that name an adapter, if the model has any. */
   adapterShare: z.number().min(0).max(1).default(0),
   tokens: numberOrRange.default([8, 64]),
   streamingShare: z.number().min(0).max(1).default(0.5),
-  /** Share with an idempotency key, sent again at another daemon when the answer does not settle it. */
+  /** Share of requests with an idempotency key; these are retried at another daemon when the outcome is unknown. */
   keyedShare: z.number().min(0).max(1).default(0),
-  /** Share marked as not repeatable. */
+  /** Share of requests marked as not repeatable. */
   notRepeatableShare: z.number().min(0).max(1).default(0),
-  /** Allowed wait in milliseconds; the class's own when absent. */
+  /** Allowed wait in milliseconds; defaults to that of the priority class. */
   waitMs: numberOrRange.optional(),
-  /** Times that a caller sends a request again that was refused as not run, or whose answer was lost. */
+  /** Maximum number of retries of a request that was refused as not run or whose response was lost. */
   retries: z.number().int().nonnegative().default(0),
 });
 
-/** Kinds of faults. */
 export const FAULT_TYPES = [
   'kill-daemon',
   'drain-daemon',
@@ -113,11 +112,11 @@
 
 const faultSchema = z.strictObject({
   type: z.enum(FAULT_TYPES),
-  /** Second at which the fault begins. */
+  /** Start of the fault in seconds after the start of traffic. */
   at: z.number().nonnegative(),
-  /** Seconds that it lasts; for a killed process, until its replacement starts. */
+  /** Duration in seconds; for a killed process, the time until its replacement starts. */
   durationSeconds: z.number().nonnegative().default(10),
-  /** What it hits; drawn at random when absent. */
+  /** Name of the affected daemon, worker, zone or tenant; drawn at random when absent. */
   target: z.string().optional(),
 });
 
@@ -129,11 +128,11 @@
 
 export const scenarioSchema = z.strictObject({
   name,
-  /** Virtual seconds during which requests are sent. */
+  /** Length of the traffic phase in virtual seconds. */
   durationSeconds: z.number().positive(),
-  /** Seconds before the first request and fault, in which the deployment starts. */
+  /** Seconds between the start of the deployment and the start of traffic and faults. */
   warmUpSeconds: z.number().nonnegative().default(15),
-  /** Seconds after the last fault's end in which everything must settle. */
+  /** Seconds after the traffic phase in which the deployment must recover from all faults. */
   settleSeconds: z.number().nonnegative().default(60),
   zones: z.array(zoneSchema).min(1),
   latency: z
@@ -144,15 +143,15 @@
       clientMs: z.number().positive().default(1),
     })
     .prefault({}),
-  /** Share of frames that the network loses and the transport sends again. */
+  /** Share of frames that the network loses and the transport retransmits. */
   lossRate: z.number().min(0).max(0.5).default(0),
-  /** Largest difference of a machine's clock rate from true time, as a share. */
+  /** Maximum relative deviation of a machine's clock rate from true time. */
   clockDrift: z.number().min(0).max(0.01).default(0.001),
   workers: z.array(workersSchema).min(1),
   weightStore: z
     .strictObject({ concurrentLoads: z.number().int().positive(), loadsPerSecond: z.number().positive() })
     .prefault({ concurrentLoads: 6, loadsPerSecond: 3 }),
-  /** Milliseconds until the machine list shows a change. */
+  /** Milliseconds until a change is visible in the machine list. */
   machineListLagMs: z.number().nonnegative().default(1500),
   tokensPerChunk: z.number().int().positive().default(8),
   tenants: z.array(tenantSchema).min(1),
@@ -161,7 +160,7 @@
   randomFaults: z.array(randomFaultSchema).default([]),
 });
 
-/** A checked scenario. */
+/** A validated scenario with all defaults applied. */
 export type Scenario = z.infer<typeof scenarioSchema>;
 export type ScenarioTenant = z.infer<typeof tenantSchema>;
 export type ScenarioTraffic = z.infer<typeof trafficSchema>;
--- a/packages/lab/src/simulation/accelerator-meter.ts
+++ b/packages/lab/src/simulation/accelerator-meter.ts
@@ -1,13 +1,13 @@
 /**
- * Measures accelerator time: a worker's accelerators count by the share of its memory that replicas hold, as busy
- * while the replica runs something and as idle while it does not. Sampled once a virtual second.
+ * Measures busy and idle accelerator time once a virtual second. A replica accounts for a share of its worker's
+ * accelerators equal to its share of the worker's memory.
  */
 import type { DeploymentObserver } from './deployment-observer.js';
 import type { SimulatedDeployment } from './simulated-deployment.js';
 
 const SECONDS_PER_HOUR = 3600;
 
-/** Sums up accelerator hours. */
+/** Accumulates accelerator hours of replicas with and without running requests. */
 export class AcceleratorMeter implements DeploymentObserver {
   idleHours = 0;
   busyHours = 0;
--- a/packages/lab/src/simulation/deployment-observer.ts
+++ b/packages/lab/src/simulation/deployment-observer.ts
@@ -1,24 +1,24 @@
-/** What checkers and measurements see of a simulated deployment, from outside the daemons. */
+/** Observer interface of a simulated deployment, for checkers and measurements. */
 import type { StoredVersion } from '@woodbarrow/standins';
 import type { Attempt } from '../traffic/caller.js';
 import type { DaemonSlot, WorkerSlot } from './simulated-deployment.js';
 
-/** All methods are optional; each is called as the thing happens. */
+/** Receives events of a simulated deployment synchronously, at the virtual time at which they occur. */
 export interface DeploymentObserver {
-  /** What a worker's models hold has changed, or the worker has died. */
+  /** The replicas of a worker have changed, or the worker's process has crashed. */
   onEngineChange?(worker: WorkerSlot): void;
-  /** An engine began to run a request. */
+  /** An engine has started to run a request. */
   onRun?(worker: WorkerSlot, marker: string, requestId: string): void;
   /** A caller has sent an attempt. */
   onAttemptStart?(attempt: Attempt): void;
-  /** All is known of an attempt. */
+  /** An attempt has ended and its outcome is set. */
   onAttemptEnd?(attempt: Attempt): void;
-  /** The platform accepted a write. */
+  /** The platform has accepted a write. */
   onAccepted?(version: StoredVersion): void;
-  /** A daemon has put a revision in force. */
+  /** A daemon has applied a configuration revision. */
   onApplied?(daemon: DaemonSlot, incarnation: number, revision: number): void;
-  /** Once each virtual second. */
+  /** Called once per virtual second. */
   onSecond?(): void;
-  /** The run is over. */
+  /** The simulation has ended. */
   onEnd?(): void;
 }
--- a/packages/lab/src/simulation/fault-injector.ts
+++ b/packages/lab/src/simulation/fault-injector.ts
@@ -1,4 +1,4 @@
-/** Makes faults happen in a simulated deployment, and ends them. */
+/** Injects faults into a simulated deployment and ends them after their duration. */
 import { Random, encodeText, readJson, type SimulatedProcess } from '@woodbarrow/runtime';
 import type { PlannedFault } from './fault-plan.js';
 import type { SimulatedDeployment } from './simulated-deployment.js';
@@ -7,7 +7,7 @@
 const LOST_RESPONSE_SHARE = 0.7;
 const WEIGHT_STORE_SLOWDOWN = 5;
 
-/** A span of virtual time in which something was wrong. */
+/** The interval of virtual time in which a fault was active. */
 export interface FaultSpan {
   readonly fault: PlannedFault;
   readonly fromMs: number;
@@ -15,15 +15,15 @@
   readonly target: string;
 }
 
-/** Injects faults. */
+/** Schedules planned faults and records when and where each was active. */
 export class FaultInjector {
-  /** Faults that have begun. */
+  /** Faults that have started. */
   readonly spans: FaultSpan[] = [];
   private platformOutageCount = 0;
 
   constructor(private readonly deployment: SimulatedDeployment) {}
 
-  /** Schedules all faults, `startMs` after now. */
+  /** Schedules all faults; their times count from `startMs` after now. */
   schedule(faults: readonly PlannedFault[], startMs: number): void {
     for (const fault of faults) {
       this.deployment.world.schedule(startMs + fault.atMs, () => {
@@ -115,7 +115,7 @@
     }
   }
 
-  /** Cuts traffic between daemons, engines and the platform; callers reach their daemon all the same. */
+  /** Cuts traffic between daemons, engines and the platform; callers can still reach their daemon. */
   private cut(
     fault: PlannedFault,
     predicate: (from: SimulatedProcess, to: SimulatedProcess) => boolean,
@@ -131,7 +131,7 @@
     this.deployment.world.schedule(fault.durationMs, end);
   }
 
-  /** Two operators change the same parameter from the same revision, at two daemons. */
+  /** Changes one parameter concurrently at two daemons, from the same revision. */
   private async raceOperators(tenant: string, random: Random): Promise<void> {
     const { deployment } = this;
     const plan = deployment.plan.tenants.find((candidate) => candidate.name === tenant);
@@ -158,7 +158,7 @@
       const withMatch = { ...headers, 'if-match': String(revision) };
       await http.send({ ...call, method: 'PATCH', headers: withMatch, body, timeoutMs: 20_000 });
     } catch {
-      // An operator whose daemon fails tries again another day.
+      // The daemon may be down or cut off; the race then has only one writer or none.
     }
   }
 }
--- a/packages/lab/src/simulation/fault-plan.ts
+++ b/packages/lab/src/simulation/fault-plan.ts
@@ -1,24 +1,24 @@
-/** The faults of one run: those that the scenario times, and those drawn at its random rates. */
+/** Plans the faults of one run: those with fixed times and those drawn at random rates. */
 import type { Random } from '@woodbarrow/runtime';
 import { draw } from '../scenario/expand-scenario.js';
 import type { FaultType, Scenario } from '../scenario/scenario-schema.js';
 
-/** One fault. */
+/** A fault with its start time, duration and target. */
 export interface PlannedFault {
   readonly type: FaultType;
   /** Milliseconds after the start of traffic. */
   readonly atMs: number;
   readonly durationMs: number;
-  /** Name of what it hits; drawn when it begins, if absent. */
+  /** Name of the affected component; drawn at the start of the fault when undefined. */
   readonly target: string | undefined;
-  /** Decides all that is left open, so that one fault does not depend on the others. */
+  /** Seed of the fault's own random choices, so that removing one fault does not change the others. */
   readonly seed: number;
 }
 
 const SECONDS_PER_HOUR = 3600;
 const SEED_BOUND = 0x7fff_ffff;
 
-/** All faults of a run, in order of time. */
+/** Returns all faults of a run, sorted by start time. */
 export function planFaults(scenario: Scenario, random: Random): PlannedFault[] {
   const faults: PlannedFault[] = scenario.faults.map((fault) => ({
     type: fault.type,
--- a/packages/lab/src/simulation/run-simulation.ts
+++ b/packages/lab/src/simulation/run-simulation.ts
@@ -1,4 +1,4 @@
-/** Runs one scenario under one seed, from start to verdict. */
+/** Runs one scenario under one seed and checks its invariants. */
 import type { TraceEntry } from '@woodbarrow/runtime';
 import { createCheckers, type Violation } from '../checkers/index.js';
 import type { Scenario } from '../scenario/scenario-schema.js';
@@ -15,13 +15,13 @@
   readonly scenario: Scenario;
   readonly seed: number;
   readonly keepTrace?: boolean;
-  /** Faults in place of those that the scenario and seed give, for shrinking. */
+  /** Faults to inject instead of the planned ones; used to shrink a failing run. */
   readonly faults?: readonly PlannedFault[];
-  /** Called once everything is set up, before the start. */
+  /** Called after the setup and before the deployment starts. */
   readonly onReady?: (deployment: SimulatedDeployment) => void;
 }
 
-/** What one run gave. */
+/** Summary, planned faults and trace of one run. */
 export interface SimulationResult {
   readonly summary: SimulationSummary;
   readonly faults: readonly PlannedFault[];
@@ -29,10 +29,10 @@
 }
 
 const SECOND_MS = 1000;
-/** Violations kept; a broken run repeats itself. */
+/** Maximum number of violations to report; a failing run tends to repeat one violation. */
 const MAX_RETAINED_VIOLATIONS = 50;
 
-/** Runs a simulation to its end. */
+/** Runs a simulation until the end of its settle time and until all requests have ended. */
 export async function runSimulation(options: SimulationOptions): Promise<SimulationResult> {
   const { scenario, seed } = options;
   const deployment = new SimulatedDeployment({ scenario, seed, keepTrace: options.keepTrace ?? false });
@@ -61,14 +61,14 @@
   const endMs = warmUpMs + (scenario.durationSeconds + scenario.settleSeconds) * SECOND_MS;
   scheduleSecondTicks(deployment, endMs);
   await world.run(endMs);
-  // Requests that may wait long are followed to their end.
+  // Requests with a long allowed wait may still be open at the end of the settle time.
   await world.run(endMs + longestRequestMs(deployment), () => traffic.unfinished === 0);
   for (const observer of deployment.observers) observer.onEnd?.();
   const summary = summarize({ deployment, traffic, violations, meter, inForceTimes, seed });
   return { summary, faults, trace: world.trace };
 }
 
-/** Longest time from the sending of a request to the end of its answer. */
+/** Returns the maximum time in milliseconds from sending a request to the end of its response. */
 function longestRequestMs(deployment: SimulatedDeployment): number {
   const longest = deployment.plan.tenants.map(({ parameters }) => {
     const waits = parameters.priorityClasses.map((priorityClass) => priorityClass.defaultWaitSeconds);
--- a/packages/lab/src/simulation/simulated-deployment.ts
+++ b/packages/lab/src/simulation/simulated-deployment.ts
@@ -1,4 +1,4 @@
-/** A whole deployment on a virtual clock: the shipped daemons, the stand-ins, and the network between them. */
+/** A complete deployment on a virtual clock: production daemons, stand-ins and a simulated network. */
 import { Daemon } from '@woodbarrow/daemon';
 import { hashToken } from '@woodbarrow/gateway';
 import {
@@ -22,31 +22,31 @@
 import type { DeploymentObserver } from './deployment-observer.js';
 import { SimulatedEnvironments } from './simulated-environments.js';
 
-/** One daemon's place; the daemon in it may be replaced. */
+/** A daemon's id and address with the current process, which is replaced on restart. */
 export interface DaemonSlot {
   readonly plan: DaemonPlan;
   readonly ip: string;
   process: SimulatedProcess;
   daemon: Daemon;
-  /** Counts the daemons that have been in this place. */
+  /** Number of restarts of this daemon. */
   incarnation: number;
-  /** Virtual time until which the process was last paused. */
+  /** Virtual time at which the last pause of the process ends. */
   pausedUntilMs: number;
-  /** Virtual time at which the last planned stop began. */
+  /** Virtual time at which the planned stop started; undefined while none is in progress. */
   drainingSinceMs: number | undefined;
-  /** Whether the last daemon in this place was killed rather than stopped as planned. */
+  /** Whether the current process was killed rather than stopped as planned. */
   killed: boolean;
 }
 
-/** One worker's place. */
+/** A worker's id and address with the current process and engine, which are replaced on restart. */
 export interface WorkerSlot {
   readonly plan: WorkerPlan;
   readonly origin: string;
   process: SimulatedProcess;
   engine: EngineStandIn;
-  /** Virtual time since which the worker is leaving. */
+  /** Virtual time at which the reclaim notice was given; undefined before. */
   leavingSinceMs: number | undefined;
-  /** True once the worker's machine has been taken away. */
+  /** Whether the worker's machine has been reclaimed. */
   gone: boolean;
 }
 
@@ -64,10 +64,11 @@
 const PLATFORM_ORIGIN = 'http://10.255.0.1:7000';
 const MACHINES_ORIGIN = 'http://10.255.0.1:7001';
 const PLATFORM_ZONE = 'platform';
+/** Daemons start at random times within this interval. */
 const START_JITTER_MS = 2000;
 const CLIENT_PREFIX = 'client:';
 
-/** Builds and runs a deployment. */
+/** Starts, stops and observes the daemons and workers of a simulated deployment. */
 export class SimulatedDeployment {
   readonly world: SimulatedWorld;
   readonly network: SimulatedNetwork;
@@ -125,41 +126,41 @@
     for (const [index, plan] of this.plan.daemons.entries()) this.addDaemon(plan, index);
   }
 
-  /** Bytes of control requests and answers by daemon: all but completions, with headers estimated. */
+  /** Bytes of HTTP requests and responses by daemon, without completions; header sizes are estimates. */
   get controlHttpBytes(): ReadonlyMap<string, number> {
     return this.environments.controlHttpBytes;
   }
 
-  /** Origin of a daemon's callers' API. */
+  /** Returns the origin of a daemon's API for callers. @throws Error when the daemon does not exist. */
   callerOrigin(id: string): string {
     return `http://${this.slot(id).ip}:${String(CALLER_PORT)}`;
   }
 
-  /** Origin of a daemon's operators' API. */
+  /** Returns the origin of a daemon's API for operators. @throws Error when the daemon does not exist. */
   operatorOrigin(id: string): string {
     return `http://${this.slot(id).ip}:${String(OPERATOR_PORT)}`;
   }
 
-  /** HTTP as callers in a zone use it. */
+  /** Returns the HTTP client of callers in a zone. @throws Error when the zone does not exist. */
   clientIn(zone: string): ReturnType<SimulatedHttpHub['clientOf']> {
     const process = this.clients.get(zone);
-    if (process === undefined) throw new Error(`no zone ${zone}`);
+    if (process === undefined) throw new Error(`zone ${zone} does not exist`);
     return this.http.clientOf(process);
   }
 
-  /** Whether a process belongs to a caller. */
+  /** Returns whether a process belongs to a caller. */
   isClient(process: SimulatedProcess): boolean {
     return process.name.startsWith(CLIENT_PREFIX);
   }
 
-  /** The place of a daemon. */
+  /** Returns the slot of a daemon. @throws Error when the daemon does not exist. */
   slot(id: string): DaemonSlot {
     const slot = this.daemons.get(id);
-    if (slot === undefined) throw new Error(`no daemon ${id}`);
+    if (slot === undefined) throw new Error(`daemon ${id} does not exist`);
     return slot;
   }
 
-  /** Kills a daemon and starts a new one in its place after `downMs`. */
+  /** Kills a daemon and restarts it after `downMs`. */
   killDaemon(id: string, downMs: number): void {
     const slot = this.slot(id);
     if (!slot.process.alive) return;
@@ -171,7 +172,7 @@
     });
   }
 
-  /** Stops a daemon as planned, then starts a new one in its place after `downMs`. */
+  /** Drains and stops a daemon, then restarts it after `downMs`. */
   async drainDaemon(id: string, downMs: number): Promise<void> {
     const slot = this.slot(id);
     const { daemon, process } = slot;
@@ -185,7 +186,7 @@
     });
   }
 
-  /** Freezes a daemon. */
+  /** Suspends a daemon's process for `durationMs`. */
   pauseDaemon(id: string, durationMs: number): void {
     const slot = this.slot(id);
     if (!slot.process.alive) return;
@@ -193,7 +194,7 @@
     slot.pausedUntilMs = this.world.now + durationMs;
   }
 
-  /** Kills a worker's engine; it starts empty after `downMs`. */
+  /** Kills a worker's engine and restarts it with no model loaded after `downMs`. */
   killWorker(id: string, downMs: number): void {
     const slot = this.workers.get(id);
     if (slot === undefined || !slot.process.alive || slot.gone) return;
@@ -204,7 +205,7 @@
     });
   }
 
-  /** Takes a worker's machine away after `noticeMs`; another, empty one comes in its place. */
+  /** Reclaims a worker's machine after `noticeMs` and adds a replacement with empty caches. */
   reclaimWorker(id: string, noticeMs: number): void {
     const slot = this.workers.get(id);
     if (slot === undefined || slot.gone || slot.leavingSinceMs !== undefined) return;
--- a/packages/lab/src/simulation/simulated-environments.ts
+++ b/packages/lab/src/simulation/simulated-environments.ts
@@ -1,4 +1,4 @@
-/** What simulated daemons get in place of real clocks, sockets and logs. */
+/** Simulated clocks, sockets and logs for daemons. */
 import type { DaemonEnvironment } from '@woodbarrow/daemon';
 import { silentLog, type EventLog } from '@woodbarrow/observability';
 import type {
@@ -11,13 +11,13 @@
   SimulatedTransportHub,
 } from '@woodbarrow/runtime';
 
-/** Head of a small request and of its answer together. */
+/** Estimated size of the headers of a request and its response together. */
 const HEADER_BYTES_ESTIMATE = 300;
 const COMPLETION_PREFIX = '/v1/';
 
-/** Makes the environments of one deployment's daemons. */
+/** Creates the environments of one deployment's daemons. */
 export class SimulatedEnvironments {
-  /** Bytes of control requests and answers by daemon: all but completions, with headers estimated. */
+  /** Bytes of HTTP requests and responses by daemon, without completions; header sizes are estimates. */
   readonly controlHttpBytes = new Map<string, number>();
 
   constructor(
@@ -25,7 +25,7 @@
     private readonly transports: SimulatedTransportHub,
   ) {}
 
-  /** The environment of the daemon that lives in `process`. */
+  /** Returns the environment of the daemon that runs in `process`. */
   environmentOf(process: SimulatedProcess, random: Random): DaemonEnvironment {
     return {
       clock: process,
@@ -66,7 +66,7 @@
   }
 }
 
-/** Log lines become lines of the trace. */
+/** Returns a log that writes changes and warnings to the trace of the simulation. */
 function traceLogOf(process: SimulatedProcess): EventLog {
   const write = (event: string, details?: Readonly<Record<string, unknown>>): void => {
     process.world.record(`${process.name} ${event} ${JSON.stringify(details ?? {})}`);
--- a/packages/lab/src/simulation/simulation-summary.ts
+++ b/packages/lab/src/simulation/simulation-summary.ts
@@ -1,11 +1,11 @@
-/** The figures of one run. */
+/** Summarizes one simulation run. */
 import type { Violation, InForceTimes } from '../checkers/index.js';
 import { isDeferrable } from '../traffic/request-facts.js';
 import type { AcceleratorMeter } from './accelerator-meter.js';
 import type { SimulatedDeployment } from './simulated-deployment.js';
 import type { RequestHistory, TrafficDriver } from './traffic-driver.js';
 
-/** A distribution in milliseconds; all zero when nothing was counted. */
+/** Percentiles of a set of values, rounded; all zero for an empty set. */
 export interface Distribution {
   readonly count: number;
   readonly p50: number;
@@ -14,20 +14,20 @@
   readonly max: number;
 }
 
-/** Requests by how they ended. */
+/** Number of requests by outcome. */
 export interface RequestCounts {
   readonly sent: number;
   readonly served: number;
   readonly refused: number;
   readonly refusedByKind: Readonly<Record<string, number>>;
-  /** Ended in a visible error: an interrupted stream or a closed connection. */
+  /** Requests that ended in an interrupted stream, a closed connection or a corrupt response. */
   readonly failed: number;
   readonly unanswered: number;
-  /** Requests that must not run twice and did. */
+  /** Requests that ran twice although they must run at most once. */
   readonly doubled: number;
 }
 
-/** One line of `simulate --json`. */
+/** Result of one seed, as printed by `simulate --json`. */
 export interface SimulationSummary {
   readonly seed: number;
   readonly digest: string;
@@ -35,11 +35,11 @@
   readonly events: number;
   readonly violations: readonly Violation[];
   readonly requests: RequestCounts;
-  /** From a request's first sending to its first content, when no replica was ready for it and it could not be deferred. */
+  /** Time from first attempt to first content of served requests that found no ready replica and are not deferrable. */
   readonly coldStartMs: Distribution;
-  /** The same for deferrable requests, which are meant to wait. */
+  /** Time from first attempt to first content of served deferrable requests. */
   readonly deferredStartMs: Distribution;
-  /** From first sending to first content over all served requests that could not be deferred. */
+  /** Time from first attempt to first content of all served requests that are not deferrable. */
   readonly firstTokenMs: Distribution;
   readonly idleAcceleratorHours: number;
   readonly busyAcceleratorHours: number;
@@ -50,7 +50,7 @@
   readonly configurationInForceMs: Distribution;
 }
 
-/** What a summary is made from. */
+/** Inputs of {@link summarize}. */
 export interface SummaryInput {
   readonly deployment: SimulatedDeployment;
   readonly traffic: TrafficDriver;
@@ -60,7 +60,7 @@
   readonly seed: number;
 }
 
-/** Sums up a run. */
+/** Returns the summary of a finished run. */
 export function summarize(input: SummaryInput): SimulationSummary {
   const { deployment, traffic, violations, meter, inForceTimes, seed } = input;
   const served = traffic.stories.filter((story) => story.attempts.at(-1)?.outcome === 'served');
@@ -86,7 +86,7 @@
   };
 }
 
-/** Percentiles of some numbers. */
+/** Returns the nearest-rank percentiles of `values`, in any unit. */
 export function distributionOf(values: readonly number[]): Distribution {
   const sorted = [...values].sort((left, right) => left - right);
   const at = (share: number): number => {
--- a/packages/lab/src/simulation/traffic-driver.ts
+++ b/packages/lab/src/simulation/traffic-driver.ts
@@ -1,4 +1,4 @@
-/** Sends a scenario's requests into a simulated deployment, with the retries that its callers make. */
+/** Sends a scenario's requests to a simulated deployment, with the retries of its callers. */
 import type { Random } from '@woodbarrow/runtime';
 import { Caller, shouldRetry, type Attempt, type CallerRequest } from '../traffic/caller.js';
 import { modelIdOf } from '../traffic/request-facts.js';
@@ -8,17 +8,17 @@
 /** One request with all its attempts. */
 export interface RequestHistory {
   readonly planned: PlannedRequest;
-  /** Whether no replica was ready when it was first sent. */
+  /** Whether no replica was ready at the first attempt. */
   cold: boolean;
   firstSentAtMs: number;
   readonly attempts: Attempt[];
-  /** True when no further attempt will follow. */
+  /** Whether all attempts have ended. */
   done: boolean;
 }
 
 const RETRY_DELAY_MS = 500;
 
-/** Sends requests and keeps their stories. */
+/** Sends requests and records their attempts. */
 export class TrafficDriver {
   readonly stories: RequestHistory[] = [];
 
@@ -27,7 +27,7 @@
     private readonly random: Random,
   ) {}
 
-  /** Schedules all requests, `startMs` after now. */
+  /** Schedules all requests; their times count from `startMs` after now. */
   schedule(requests: readonly PlannedRequest[], startMs: number): void {
     for (const planned of requests) {
       this.deployment.world.schedule(startMs + planned.atMs, () => {
@@ -36,7 +36,7 @@
     }
   }
 
-  /** Number of attempts that have not ended. */
+  /** Number of requests that have not ended. */
   get unfinished(): number {
     return this.stories.filter((story) => !story.done).length;
   }
@@ -77,7 +77,7 @@
     return attempt;
   }
 
-  /** A daemon of the caller's zone, another one than last time. */
+  /** Returns the origin of a daemon in the caller's zone, other than that of the last attempt if possible. */
   private pickDaemon(story: RequestHistory): string {
     const slots = [...this.deployment.daemons.values()].filter(
       (slot) => slot.plan.zone === story.planned.zone,
--- a/packages/lab/src/traffic/caller.ts
+++ b/packages/lab/src/traffic/caller.ts
@@ -1,18 +1,18 @@
-/** A caller: sends one request, follows its answer to the end, and notes what it was told. */
+/** A caller that sends a request, reads the response to its end and records the outcome. */
 import { decodeText, encodeText, readText, type HttpClient, type HttpResponse } from '@woodbarrow/runtime';
 import { REQUEST_ID_HEADER } from '@woodbarrow/gateway';
 import { tokenText } from '@woodbarrow/standins';
 import { TokenStream, type AnswerError } from './token-stream.js';
 
-/** What a caller wants. */
+/** A request that a caller sends. */
 export interface CallerRequest {
-  /** Unique text in the prompt, by which runs and answers are recognised. */
+  /** Unique text in the prompt that identifies the runs and responses of this request. */
   readonly marker: string;
   readonly tenant: string;
   readonly token: string;
   readonly model: string;
   readonly priorityClass: string | undefined;
-  /** Stated in the request when present. */
+  /** Allowed wait in milliseconds; not sent when undefined. */
   readonly waitMs: number | undefined;
   readonly tokens: number;
   readonly streaming: boolean;
@@ -20,35 +20,35 @@
   readonly notRepeatable: boolean;
 }
 
-/** How an attempt ended. */
+/** Outcome of an attempt. */
 export type AttemptOutcome =
   | 'served'
   | 'refused'
-  /** The stream ended in an explicit error. */
+  /** The stream ended with an explicit error. */
   | 'interrupted'
-  /** The connection could not be made or was closed without an answer. */
+  /** The connection failed or was closed without a response. */
   | 'disconnected'
-  /** A 200 whose content is not the answer to this request: always a defect. */
+  /** A response with status 200 and wrong content; always a defect. */
   | 'corrupt';
 
-/** One attempt at one daemon. */
+/** One attempt of a request at one daemon. Times are in milliseconds of the caller's clock. */
 export interface Attempt {
   readonly request: CallerRequest;
   readonly origin: string;
   readonly sentAtMs: number;
   outcome: AttemptOutcome | undefined;
-  /** Id that the answer carries. */
+  /** Request id from the response headers. */
   requestId: string | undefined;
   /** Error kind of a refusal. */
   code: string | undefined;
   ran: 'no' | 'maybe' | 'yes' | undefined;
   retryAfterSeconds: number | undefined;
-  /** Time of the answer's first content, or of the refusal. */
+  /** Time of the first content or of the refusal. */
   answeredAtMs: number | undefined;
   endedAtMs: number | undefined;
-  /** Whether the answer was stored from an earlier run. */
+  /** Whether the response was replayed from an earlier run. */
   replayed: boolean;
-  /** What is wrong with the stream as far as it came, however it ended. */
+  /** First fault in the received part of the stream, whatever the outcome. */
   streamFault: string | undefined;
 }
 
@@ -63,7 +63,7 @@
     private readonly now: () => number,
   ) {}
 
-  /** Sends a request, whose key was made `keyAgeMs` ago, to a daemon; resolves when all is known of it. */
+  /** Sends a request whose idempotency key is `keyAgeMs` old; resolves with the attempt when it has ended. */
   async send(
     request: CallerRequest,
     origin: string,
@@ -142,14 +142,14 @@
   }
 }
 
-/** Callers send again what certainly did not run, and with a key also what may have. */
+/** Returns whether to retry: what certainly did not run, and with an idempotency key also what may have run. */
 export function shouldRetry(attempt: Attempt): boolean {
   if (attempt.outcome === 'refused' && attempt.ran === 'no') return attempt.retryAfterSeconds !== undefined;
   const unclear = attempt.outcome === 'disconnected' || attempt.code === 'already_running';
   return attempt.request.idempotencyKey !== undefined && unclear;
 }
 
-/** The answer that an engine gives to a request. */
+/** Returns the content that a stand-in engine generates for a request. */
 export function expectedContent(request: CallerRequest): string {
   return Array.from({ length: request.tokens }, (_, index) => tokenText(request.marker, index)).join('');
 }
--- a/packages/lab/src/traffic/token-stream.ts
+++ b/packages/lab/src/traffic/token-stream.ts
@@ -1,7 +1,7 @@
-/** A caller's stream of tokens, judged as it comes: in order, each token once, complete only when all have come. */
+/** Verifies a token stream incrementally: in order, without gaps or duplicates, and complete. */
 import { tokenText } from '@woodbarrow/standins';
 
-/** What a daemon says of a failure. */
+/** Error object in a daemon's response. */
 export interface AnswerError {
   readonly code?: string;
   readonly ran?: 'no' | 'maybe' | 'yes';
@@ -16,7 +16,7 @@
 const END_MARK = '[DONE]';
 const EVENT_END = /\r?\n\r?\n/;
 
-/** Stream of the tokens that an engine gives to one prompt. */
+/** Parses a server-sent event stream and compares it with the tokens expected for one prompt. */
 export class TokenStream {
   private buffered = '';
   private tokens = 0;
@@ -24,30 +24,30 @@
   private lastError: AnswerError | undefined;
   private hasEndMark = false;
 
-  /** @param expected Number of tokens of the whole answer. */
+  /** @param expected Number of tokens of the complete response. */
   constructor(
     private readonly marker: string,
     private readonly expected: number,
   ) {}
 
-  /** The first thing that is wrong with it, or undefined. */
+  /** The first fault of the stream, or undefined. */
   get fault(): string | undefined {
     return this.firstFault;
   }
 
-  /** The error that it has brought, if any. */
+  /** The error event that ended the stream, if any. */
   get error(): AnswerError | undefined {
     return this.lastError;
   }
 
-  /** Takes text as it comes. */
+  /** Processes the next part of the stream; events may be split over parts. */
   add(text: string): void {
     const events = (this.buffered + text).split(EVENT_END);
     this.buffered = events.pop() ?? '';
     for (const event of events) this.processEvent(event);
   }
 
-  /** The stream has ended regularly: either it is whole, or an error has said that it is not. */
+  /** Verifies that a stream that was closed normally ends with an end mark or an error event. */
   end(): void {
     if (this.buffered !== '') this.recordFault('ended inside an event');
     if (!this.hasEndMark && this.lastError === undefined) this.recordFault('ended without mark or error');
@@ -92,7 +92,7 @@
   try {
     return JSON.parse(text.slice(DATA_PREFIX.length)) as StreamEvent;
   } catch {
-    // The caller could not read it either.
+    // Reported by the caller of this function as an unreadable event.
     return undefined;
   }
 }
--- a/packages/lab/src/traffic/workload.ts
+++ b/packages/lab/src/traffic/workload.ts
@@ -1,10 +1,10 @@
-/** Turns a scenario's traffic into requests with times. */
+/** Generates the requests of a scenario's traffic with their send times. */
 import type { Random } from '@woodbarrow/runtime';
 import { draw, type DeploymentPlan, type TenantPlan } from '../scenario/expand-scenario.js';
 import type { Scenario, ScenarioTraffic } from '../scenario/scenario-schema.js';
 import type { CallerRequest } from './caller.js';
 
-/** A request and when it is sent. */
+/** A request with its send time and the zone of its caller. */
 export interface PlannedRequest {
   /** Milliseconds after the start of traffic. */
   readonly atMs: number;
@@ -17,18 +17,20 @@
 const SECONDS_PER_DAY = 86_400;
 const SECONDS_PER_HOUR = 3600;
 
-/** All requests of a scenario, in order of time. */
+/** Returns all requests of a scenario, sorted by send time. */
 export function planWorkload(scenario: Scenario, plan: DeploymentPlan, random: Random): PlannedRequest[] {
   const requests: PlannedRequest[] = [];
   for (const [index, traffic] of scenario.traffic.entries()) {
     const tenant = plan.tenants.find((candidate) => candidate.name === traffic.tenant);
-    if (tenant === undefined) throw new Error(`traffic ${String(index)}: no tenant ${traffic.tenant}`);
+    if (tenant === undefined)
+      throw new Error(`traffic entry ${String(index)}: tenant ${traffic.tenant} does not exist`);
     const generator = new RequestGenerator(scenario, traffic, tenant, random.fork(), `t${String(index)}`);
     requests.push(...generator.generateAll());
   }
   return requests.sort((left, right) => left.atMs - right.atMs);
 }
 
+/** Generates the requests of one traffic entry. */
 class RequestGenerator {
   private readonly models: readonly string[];
   private readonly weights: readonly number[];
@@ -42,7 +44,8 @@
     private readonly label: string,
   ) {
     const models = tenant.groups.get(traffic.models);
-    if (models === undefined) throw new Error(`no model group ${traffic.models} for ${tenant.name}`);
+    if (models === undefined)
+      throw new Error(`model group ${traffic.models} does not exist for tenant ${tenant.name}`);
     this.models = random.shuffle(models);
     this.weights = this.models.map((_, rank) => 1 / (rank + 1) ** traffic.popularity);
   }
@@ -62,7 +65,7 @@
     }
   }
 
-  /** Arrivals at a rate that varies below `highest`, by thinning. */
+  /** Generates Poisson arrivals by thinning; `rateAt` must never exceed `highest`. */
   private poisson(rateAt: (second: number) => number, highest: number): PlannedRequest[] {
     const requests: PlannedRequest[] = [];
     for (let second = this.random.exponential(1 / highest); second < this.scenario.durationSeconds;) {
