--- a/packages/cli/src/explain/request-timeline.ts
+++ b/packages/cli/src/explain/request-timeline.ts
@@ -32,7 +32,7 @@
   'daemon_stopping',
 ]);
 /** Number of latest context lines that are always retained while reading; up to twice as many may be held. */
-const MAX_CONTEXT_LINES = 200_000;
+const RETAINED_CONTEXT_LINES = 200_000;
 
 /** Collects the log lines of one request and its context while logs are read. */
 export class RequestTimelineCollector {
@@ -65,7 +65,8 @@
 
   private retainContextLine(line: LogLine): void {
     this.contextLines.push(line);
-    if (this.contextLines.length > MAX_CONTEXT_LINES * 2) this.contextLines.splice(0, MAX_CONTEXT_LINES);
+    if (this.contextLines.length > RETAINED_CONTEXT_LINES * 2)
+      this.contextLines.splice(0, RETAINED_CONTEXT_LINES);
   }
 }
 
--- a/packages/cli/test/cli.test.ts
+++ b/packages/cli/test/cli.test.ts
@@ -15,7 +15,7 @@
 }
 
 describe('woodbarrow command', () => {
-  it('checks settings and names every problem, with exit code 2', () => {
+  it('reports every problem in invalid settings and exits with code 2', () => {
     const file = join(mkdtempSync(join(tmpdir(), 'woodbarrow-')), 'bad.yaml');
     writeFileSync(file, 'deployment: d\nid: "Bad Id"\nzone: z\n');
     const { code, err } = run('settings', 'check', '--settings', file);
@@ -26,23 +26,23 @@
       .and.to.match(/platform/);
   });
 
-  it('ends with code 4 when no daemon answers, and 2 on wrong arguments', () => {
+  it('exits with code 4 when the daemon is unreachable, and with 2 on wrong arguments', () => {
     expect(run('template', 'list', '--server', 'http://127.0.0.1:1', '--token', 'x').code).to.equal(4);
     expect(run('template').code).to.equal(2);
     expect(run('nonsense').code).to.equal(2);
   });
 
-  it('prints the digest of a token', () => {
+  it('prints the SHA-256 digest of a token', () => {
     expect(run('token-hash', 'secret').out.trim()).to.match(/^[0-9a-f]{64}$/);
   });
 });
 
-describe('tables and differences', () => {
-  it('align columns', () => {
+describe('formatTable and diffLines', () => {
+  it('pad cells to align columns', () => {
     expect(formatTable(['A', 'LONG'], [['value', 'x']])).to.equal('A      LONG\nvalue  x');
   });
 
-  it('show removed and added lines', () => {
+  it('return removed and added lines only', () => {
     expect(diffLines(['a', 'b', 'c'], ['a', 'x', 'c', 'd'])).to.deep.equal(['- b', '+ x', '+ d']);
     expect(diffLines(['a'], ['a'])).to.deep.equal([]);
   });
--- a/packages/lab/test/checkers.test.ts
+++ b/packages/lab/test/checkers.test.ts
@@ -8,7 +8,7 @@
 } from '../src/index.js';
 import { PLANTED_DEFECTS } from './planted-defects.js';
 
-const BASE = `
+const BASE_SCENARIO = `
 name: planted
 durationSeconds: 60
 settleSeconds: 20
@@ -23,8 +23,8 @@
   - { tenant: desk, models: contract, arrivals: { type: poisson, perSecond: 2 }, keyedShare: 0.5 }
 `;
 
-/** What a defect needs besides the base scenario to show itself. */
-const FAULTS: Partial<Record<CheckerName, string>> = {
+/** Faults that a checker's scenario needs to expose the planted defect. */
+const FAULTS_BY_CHECKER: Partial<Record<CheckerName, string>> = {
   'answered-in-wait':
     '[{ type: cut-zone, at: 2, durationSeconds: 40, target: alpha }, { type: kill-worker, at: 1, durationSeconds: 50, target: alpha-w1 }, { type: kill-worker, at: 1, durationSeconds: 50, target: alpha-w2 }, { type: kill-worker, at: 1, durationSeconds: 50, target: alpha-w3 }]',
   'stream-order':
@@ -37,9 +37,10 @@
 };
 
 function scenarioFor(checker: CheckerName): Scenario {
-  const faults = FAULTS[checker];
-  const memory = checker === 'memory-commit' ? BASE.replace('memoryGib: 80', 'memoryGib: 40') : BASE;
-  // Long answers are in progress when a daemon stops, or a worker is killed.
+  const faults = FAULTS_BY_CHECKER[checker];
+  const memory =
+    checker === 'memory-commit' ? BASE_SCENARIO.replace('memoryGib: 80', 'memoryGib: 40') : BASE_SCENARIO;
+  // Long responses ensure that requests are in progress when a daemon stops or a worker is killed.
   const isLong = checker === 'planned-stop' || checker === 'stream-order';
   const text = isLong ? memory.replace('keyedShare: 0.5', 'tokens: [2000, 3000]') : memory;
   return parseScenario(faults === undefined ? text : `${text}faults: ${faults}\n`);
@@ -47,7 +48,7 @@
 
 describe('checkers', () => {
   for (const checker of CHECKER_NAMES) {
-    it(`${checker} is silent on the shipped code and finds its planted defect`, async () => {
+    it(`${checker} reports no violation in unmodified code and detects its planted defect`, async () => {
       const scenario = scenarioFor(checker);
       const clean = await runSimulation({ scenario, seed: 1 });
       expect(clean.summary.violations).to.deep.equal([]);
--- a/packages/lab/test/operators.test.ts
+++ b/packages/lab/test/operators.test.ts
@@ -13,7 +13,7 @@
 traffic: []
 `);
 
-interface Answer {
+interface ApiResponse {
   readonly status: number;
   readonly body: Record<string, unknown> & {
     error?: { code: string; details?: { current?: { revision: number } } };
@@ -28,13 +28,18 @@
     await this.deployment.world.run(15_000);
   }
 
-  /** Sends a request and lets virtual time pass until it is answered. */
-  async send(daemon: string, listener: 'callers' | 'operators', token: string, call: Call): Promise<Answer> {
+  /** Sends a request and advances virtual time until the response is complete. */
+  async send(
+    daemon: string,
+    listener: 'callers' | 'operators',
+    token: string,
+    call: Call,
+  ): Promise<ApiResponse> {
     const { deployment } = this;
     const origin =
       listener === 'callers' ? deployment.callerOrigin(daemon) : deployment.operatorOrigin(daemon);
     const zone = deployment.slot(daemon).plan.zone;
-    let answer: Answer | undefined;
+    let answer: ApiResponse | undefined;
     const sending = deployment
       .clientIn(zone)
       .send({
@@ -47,16 +52,16 @@
       .then(async (response) => {
         answer = {
           status: response.status,
-          body: JSON.parse(await readText(response.body)) as Answer['body'],
+          body: JSON.parse(await readText(response.body)) as ApiResponse['body'],
         };
       });
     await deployment.world.run(deployment.world.now + 60_000, () => answer !== undefined);
     await sending;
-    if (answer === undefined) throw new Error('no answer');
+    if (answer === undefined) throw new Error('no response within 60 s of virtual time');
     return answer;
   }
 
-  operator(daemon: string, call: Call, partner = 'quetzal'): Promise<Answer> {
+  operator(daemon: string, call: Call, partner = 'quetzal'): Promise<ApiResponse> {
     return this.send(daemon, 'operators', `${partner}-operator-token`, call);
   }
 }
@@ -73,7 +78,7 @@
 }
 
 describe("operators' API", () => {
-  it('puts a change in force everywhere, and answers a lost race with the newer value', async () => {
+  it('applies a change on all daemons, and returns the current revision on a write conflict', async () => {
     const test = new OperatorTest();
     await test.start();
     const shown = await test.operator('alpha-d1', { path: '/templates/desk' });
@@ -89,7 +94,7 @@
     expect(history.body['items']).to.have.length(2);
   });
 
-  it("hides a partner's objects from the other, and refuses what a token may not do", async () => {
+  it('hides objects of other partners, and refuses operations that a token does not permit', async () => {
     const test = new OperatorTest();
     await test.start();
     expect((await test.operator('alpha-d1', { path: '/templates/credit' })).status).to.equal(404);
@@ -124,7 +129,7 @@
     for (const entry of models.body['models'] as { model: string }[]) expect(entry.model).to.match(/^desk\//);
   });
 
-  it('checks what is written and changes nothing on a dry run', async () => {
+  it('validates written objects, and changes nothing on a dry run', async () => {
     const test = new OperatorTest();
     await test.start();
     const before = test.deployment.platform.currentRevision;
@@ -154,7 +159,7 @@
     expect(test.deployment.platform.currentRevision).to.equal(before);
   });
 
-  it('refuses writes with a clear kind while the platform is down, and establishes those whose answer was lost', async () => {
+  it('refuses writes with platform_unavailable while the platform is down, and confirms a write whose response was lost', async () => {
     const test = new OperatorTest();
     await test.start();
     const revision = (await test.operator('alpha-d1', { path: '/templates/desk' })).body['revision'];
@@ -179,24 +184,24 @@
 describe('jobs', () => {
   const body = { model: 'contract-1', max_tokens: 4, messages: [{ role: 'user', content: 'x #job' }] };
 
-  async function result(test: OperatorTest, daemon: string, id: string): Promise<Answer> {
+  async function pollJobResult(test: OperatorTest, daemon: string, id: string): Promise<ApiResponse> {
     for (let poll = 0; poll < 60; poll += 1) {
       const path = `/v1/jobs/${encodeURIComponent(id)}/result`;
       const answer = await test.send(daemon, 'callers', 'desk-caller-token', { path });
       if (answer.status !== 202) return answer;
       await test.deployment.world.run(test.deployment.world.now + 1000);
     }
-    throw new Error('no result');
+    throw new Error('job has no result after 60 polls');
   }
 
-  it('are polled at any daemon, by their tenant only', async () => {
+  it('can be polled at any daemon, but only by their own tenant', async () => {
     const test = new OperatorTest();
     await test.start();
     const call = { method: 'POST', path: '/v1/jobs', body };
     const taken = await test.send('alpha-d1', 'callers', 'desk-caller-token', call);
     expect(taken.status).to.equal(202);
     const id = String(taken.body['id']);
-    const answer = await result(test, 'beta-d2', id);
+    const answer = await pollJobResult(test, 'beta-d2', id);
     expect(JSON.stringify(answer.body)).to.contain('job:3');
     const stranger = await test.send('beta-d2', 'callers', 'credit-caller-token', {
       path: `/v1/jobs/${encodeURIComponent(id)}`,
@@ -204,7 +209,7 @@
     expect(stranger.status).to.equal(404);
   });
 
-  it('outlive the daemon that took them, and run once', async () => {
+  it('survive a crash of the daemon that accepted them, and run at most once', async () => {
     const test = new OperatorTest();
     await test.start();
     let runs = 0;
@@ -212,9 +217,9 @@
     const call = { method: 'POST', path: '/v1/jobs', body };
     const taken = await test.send('beta-d1', 'callers', 'desk-caller-token', call);
     test.deployment.killDaemon('beta-d1', 1_000_000);
-    const answer = await result(test, 'alpha-d3', String(taken.body['id']));
+    const answer = await pollJobResult(test, 'alpha-d3', String(taken.body['id']));
     expect(runs).to.be.at.most(1);
-    // Either the next keeper ran it, or it says truthfully that the outcome is not known.
+    // The next daemon either ran the job or reports that its outcome is unknown.
     expect(JSON.stringify(answer.body)).to.match(/job:3|outcome_unknown|already_running/);
   });
 });
--- a/packages/lab/test/planted-defects.ts
+++ b/packages/lab/test/planted-defects.ts
@@ -1,4 +1,4 @@
-/** Defects planted into the shipped classes, one for each checker, by replacing a method for the length of a test. */
+/** Defects planted into production classes, one per checker, by replacing a method during a test. */
 import { ConfigurationRelay, ConfigurationStore } from '@woodbarrow/configuration';
 import { Daemon } from '@woodbarrow/daemon';
 import { EngineClient, type CompletionCall, type CompletionStart } from '@woodbarrow/engine';
@@ -6,12 +6,12 @@
 import { CompletionStream, Router } from '@woodbarrow/routing';
 import type { CheckerName } from '../src/index.js';
 
-/** Takes a defect out again. */
+/** Removes a planted defect. */
 type Restore = () => void;
 
 function replaceMember(prototype: object, name: string, descriptor: PropertyDescriptor): Restore {
   const original = Object.getOwnPropertyDescriptor(prototype, name);
-  if (original === undefined) throw new Error(`nothing named ${name} to replace`);
+  if (original === undefined) throw new Error(`prototype has no member ${name} to replace`);
   Object.defineProperty(prototype, name, { configurable: true, ...descriptor });
   return () => {
     Object.defineProperty(prototype, name, original);
@@ -33,15 +33,15 @@
   }
 }
 
-/** Plants the defect that the named checker must find. */
+/** Functions that plant the defect that each checker must detect. */
 export const PLANTED_DEFECTS: Readonly<Record<CheckerName, () => Restore>> = {
-  // The coordinator forgets what workers hold.
+  // The coordinator ignores the replicas that workers hold.
   'replica-limit': () => replaceMember(WorkerView.prototype, 'holdings', { value: () => [] }),
-  // The coordinator counts every worker as empty.
+  // The coordinator treats all memory of every worker as free.
   'memory-commit': () => replaceMember(WorkerView.prototype, 'freeGib', { get: () => 1_000_000 }),
-  // The router forgets the deadline.
+  // The router ignores the deadline.
   'answered-in-wait': () => replaceMember(Router.prototype, 'remaining', { value: () => 100_000 }),
-  // Streams lose their beginning.
+  // Streams lose their first chunk.
   'whole-answer': () =>
     replaceComplete(
       (original) =>
@@ -51,7 +51,7 @@
           return { ...start, response: { ...start.response, body: withoutFirstChunk(start.response.body) } };
         },
     ),
-  // Streams are passed on as their bytes come, unfinished events too.
+  // Stream chunks are forwarded unbuffered, including incomplete events.
   'stream-order': () => {
     const original = Object.getOwnPropertyDescriptor(CompletionStream.prototype, 'push')
       ?.value as CompletionStream['push'];
@@ -62,7 +62,7 @@
       },
     });
   },
-  // A started request is taken for one that was not run.
+  // A started request is reported as not run.
   'not-run-means-not-run': () =>
     replaceComplete(
       (original) =>
@@ -80,11 +80,11 @@
           return original.call(this, call);
         },
     ),
-  // A worker's leaving is not noticed.
+  // The coordinator ignores that a worker is leaving.
   'leaving-drained': () => replaceMember(WorkerView.prototype, 'leaving', { get: () => false }),
   // A planned stop does not wait for requests in progress.
   'planned-stop': () => replaceMember(Daemon.prototype, 'requestsInProgress', { value: () => 0 }),
-  // After each change the store steps back.
+  // The store reports an older revision after each change.
   'configuration-monotone': () => {
     const original = Object.getOwnPropertyDescriptor(ConfigurationStore.prototype, 'apply')
       ?.value as ConfigurationStore['apply'];
@@ -102,7 +102,7 @@
       },
     });
   },
-  // Pushes and repairs are dropped.
+  // Pushed and pulled configuration updates are dropped.
   'configuration-in-force': () => {
     const restorePush = replaceMember(ConfigurationRelay.prototype, 'onPush', { value: () => undefined });
     const restorePull = replaceMember(ConfigurationRelay.prototype, 'pullFrom', {
@@ -113,7 +113,7 @@
       restorePull();
     };
   },
-  // Every daemon reads the platform, lease or not.
+  // Every daemon reads the platform, with or without the lease.
   'platform-readers': () => {
     const prototype = ConfigurationRelay.prototype as unknown as { readPlatform: () => Promise<void> };
     return replaceMember(ConfigurationRelay.prototype, 'bootstrap', {
--- a/packages/lab/test/simulation.test.ts
+++ b/packages/lab/test/simulation.test.ts
@@ -5,7 +5,7 @@
 import { allScenarioFiles, scenarioFile } from '../src/scenario/scenario-files.js';
 
 describe('simulation', () => {
-  it('gives the same digest for the same seed, in this thread and in another', async () => {
+  it('produces the same summary for the same seed, in this thread and in a worker thread', async () => {
     const file = scenarioFile('small');
     const scenario = loadScenario(file);
     const first = await runSimulation({ scenario, seed: 5 });
@@ -15,14 +15,14 @@
     expect(third?.summary).to.deep.equal(first.summary);
   });
 
-  it('gives another digest for another seed', async () => {
+  it('produces a different digest for a different seed', async () => {
     const scenario = loadScenario(scenarioFile('small'));
     const first = await runSimulation({ scenario, seed: 1 });
     const second = await runSimulation({ scenario, seed: 2 });
     expect(second.summary.digest).not.to.equal(first.summary.digest);
   });
 
-  it('loads a cold model once for a burst at every daemon', async () => {
+  it('loads a cold model once when a burst reaches every daemon', async () => {
     const scenario = parseScenario(`
 name: burst
 durationSeconds: 10
@@ -40,7 +40,7 @@
     expect(summary.loads).to.equal(1);
   });
 
-  const OUTAGE = `
+  const BASE_DEPLOYMENT = `
 settleSeconds: 30
 zones: [{ name: alpha, daemons: 3 }]
 workers: [{ zone: alpha, count: 2, memoryGib: 80, diskCacheShare: 1 }]
@@ -51,8 +51,8 @@
     parameters: { priorityClasses: [{ name: standard, priority: 50, defaultWaitSeconds: 4 }] }
 `;
 
-  it('lets answers go out to the last byte in a planned stop, to callers far away', async () => {
-    const scenario = parseScenario(`${OUTAGE}
+  it('completes responses to high-latency callers during a planned stop', async () => {
+    const scenario = parseScenario(`${BASE_DEPLOYMENT}
 name: far-callers
 durationSeconds: 60
 latency: { clientMs: 300 }
@@ -67,13 +67,13 @@
     }
   });
 
-  it('refuses within the allowed wait what cannot reach an engine, whole answers too', async () => {
+  it('refuses non-streamed requests within the allowed wait when no engine is reachable', async () => {
     const cuts = Array.from(
       { length: 12 },
       (_, index) =>
         `  - { type: cut-daemon, at: ${String(5 + index * 9)}, target: alpha-d${String((index % 3) + 1)}, durationSeconds: 6 }`,
     );
-    const scenario = parseScenario(`${OUTAGE}
+    const scenario = parseScenario(`${BASE_DEPLOYMENT}
 name: cut-engines
 durationSeconds: 120
 traffic: [{ tenant: desk, models: contract, arrivals: { type: poisson, perSecond: 4 }, streamingShare: 0, tokens: 10 }]
@@ -88,12 +88,12 @@
     }
   });
 
-  it('reads every shipped scenario and names what is wrong in a bad one', () => {
+  it('loads every shipped scenario and names the invalid fields of a malformed one', () => {
     for (const file of allScenarioFiles()) expect(loadScenario(file).name).to.be.a('string');
     expect(() => parseScenario('name: x\ndurationSeconds: -1\n')).to.throw(/durationSeconds.*\n?.*zones/s);
   });
 
-  it('reads ranges of seeds', () => {
+  it('parses seeds and seed ranges, and rejects malformed ones', () => {
     expect(parseSeeds('3..5')).to.deep.equal([3, 4, 5]);
     expect(parseSeeds('7')).to.deep.equal([7]);
     expect(() => parseSeeds('a')).to.throw();
