--- a/packages/cli/src/explain/request-timeline.ts
+++ b/packages/cli/src/explain/request-timeline.ts
@@ -96,25 +96,25 @@
 
 function causeOf(steps: readonly LogLine[], surroundings: readonly LogLine[]): string {
   const last = steps[steps.length - 1] as LogLine;
-  const find = (event: string): LogLine | undefined =>
+  const lastStepOf = (event: string): LogLine | undefined =>
     [...steps].reverse().find((step) => step.event === event);
-  const refused = find('request_refused');
-  const failed = find('request_failed');
-  const abandoned = find('request_abandoned');
-  const declined = find('request_declined');
+  const refused = lastStepOf('request_refused');
+  const failed = lastStepOf('request_failed');
+  const abandoned = lastStepOf('request_abandoned');
+  const declined = lastStepOf('request_declined');
   if (refused !== undefined) return refusalCause(refused, surroundings);
   if (failed !== undefined) return failureCause(failed, declined);
   if (abandoned !== undefined) return abandonedCause(steps, surroundings);
-  const answered = find('request_answered');
+  const answered = lastStepOf('request_answered');
   if (answered !== undefined) {
-    return `Answered ${text(answered, 'status')} by ${text(answered, 'backEnd')} after ${text(answered, 'tookMs')} ms.`;
+    return `Answered ${detailText(answered, 'status')} by ${detailText(answered, 'backEnd')} after ${detailText(answered, 'tookMs')} ms.`;
   }
   return `No end is logged; the last word is ${last.event} on ${last.daemon}. Lines may have been dropped, or the daemon ended.`;
 }
 
 function refusalCause(refused: LogLine, surroundings: readonly LogLine[]): string {
-  const cause = text(refused, 'cause');
-  const after = `refused as not run after ${text(refused, 'waitedMs')} ms`;
+  const cause = detailText(refused, 'cause');
+  const after = `refused as not run after ${detailText(refused, 'waitedMs')} ms`;
   if (cause === 'model_unavailable' || cause === 'model_too_late')
     return `The model was not resident; ${unavailableCause(surroundings)}: ${after}.`;
   if (cause === 'all_excluded')
@@ -126,46 +126,46 @@
 
 /** Returns why a model was not made resident, from the coordinators' decisions or their responses. */
 function unavailableCause(surroundings: readonly LogLine[]): string {
-  const last = (event: string): LogLine | undefined =>
+  const lastEventOf = (event: string): LogLine | undefined =>
     surroundings.filter((line) => line.event === event).pop();
-  const refused = last('demand_refused');
+  const refused = lastEventOf('demand_refused');
   if (refused?.details['readyMs'] !== undefined)
-    return `in zone ${text(refused, 'zone')} it would have been resident in ${text(refused, 'readyMs')} ms, with ${text(refused, 'leftMs')} ms left`;
-  if (refused !== undefined) return `in zone ${text(refused, 'zone')} no worker could make room for it`;
-  const load = last('load_decided');
+    return `in zone ${detailText(refused, 'zone')} it would have been resident in ${detailText(refused, 'readyMs')} ms, with ${detailText(refused, 'leftMs')} ms left`;
+  if (refused !== undefined) return `in zone ${detailText(refused, 'zone')} no worker could make room for it`;
+  const load = lastEventOf('load_decided');
   if (load !== undefined)
-    return `in zone ${text(load, 'zone')} a load from ${text(load, 'source')} was to take ${text(load, 'readyMs')} ms`;
-  const answered = last('demand_answered');
+    return `in zone ${detailText(load, 'zone')} a load from ${detailText(load, 'source')} was to take ${detailText(load, 'readyMs')} ms`;
+  const answered = lastEventOf('demand_answered');
   if (answered !== undefined)
-    return `the coordinator of zone ${text(answered, 'zone')} (${text(answered, 'coordinator')}) said ${text(answered, 'reason')}`;
+    return `the coordinator of zone ${detailText(answered, 'zone')} (${detailText(answered, 'coordinator')}) said ${detailText(answered, 'reason')}`;
   return 'it was resident nowhere and no coordinator decided on a load';
 }
 
 function failureCause(failed: LogLine, declined: LogLine | undefined): string {
-  const answer = text(failed, 'answer');
+  const answer = detailText(failed, 'answer');
   const where =
     declined === undefined
       ? ''
-      : ` Back end ${text(declined, 'backEnd')}: ${text(declined, 'verdict')}, ${text(declined, 'detail')}.`;
+      : ` Back end ${detailText(declined, 'backEnd')}: ${detailText(declined, 'verdict')}, ${detailText(declined, 'detail')}.`;
   if (answer === 'broken_off')
-    return `The stream broke off (${text(failed, 'cause')}); the client saw it cut, not complete.${where}`;
+    return `The stream broke off (${detailText(failed, 'cause')}); the client saw it cut, not complete.${where}`;
   if (answer === 'backend_broken')
     return `It may have run: no whole answer came, and it must not run again.${where}`;
   if (answer === 'request_timeout')
     return `Time was up while a back end worked on it; it may have run.${where}`;
-  return `${answer}: ${text(failed, 'cause')}.${where}`;
+  return `${answer}: ${detailText(failed, 'cause')}.${where}`;
 }
 
 function abandonedCause(steps: readonly LogLine[], surroundings: readonly LogLine[]): string {
   const sent = steps.filter((step) => step.event === 'request_sent');
   const lastSent = sent[sent.length - 1];
-  if (lastSent !== undefined) return `The client left while ${text(lastSent, 'backEnd')} worked on it.`;
+  if (lastSent !== undefined) return `The client left while ${detailText(lastSent, 'backEnd')} worked on it.`;
   const load = surroundings.filter((line) => line.event === 'load_decided').pop();
   if (load === undefined) return 'The client left before any back end could take it.';
-  return `The client left while its model was waited for: zone ${text(load, 'zone')}, load of ${text(load, 'readyMs')} ms.`;
+  return `The client left while its model was waited for: zone ${detailText(load, 'zone')}, load of ${detailText(load, 'readyMs')} ms.`;
 }
 
-function text(line: LogLine, field: string): string {
+function detailText(line: LogLine, field: string): string {
   const value = line.details[field];
   if (typeof value === 'string') return value;
   return value === undefined ? 'unknown' : JSON.stringify(value);
--- a/packages/cli/src/operator-client.ts
+++ b/packages/cli/src/operator-client.ts
@@ -29,8 +29,8 @@
   readonly value: Record<string, unknown>;
 }
 
-const TIMEOUT_MS = 30_000;
-const EXIT_BY_STATUS: Readonly<Record<number, number>> = {
+const REQUEST_TIMEOUT_MS = 30_000;
+const EXIT_CODE_BY_STATUS: Readonly<Record<number, number>> = {
   401: EXIT_CODES.denied,
   403: EXIT_CODES.denied,
   409: EXIT_CODES.conflict,
@@ -57,7 +57,7 @@
     if (response.status < 400) return answer;
     const error = (answer as { error?: { message?: string; code?: string } } | undefined)?.error;
     const message = `${error?.code ?? String(response.status)}: ${error?.message ?? 'no message'}`;
-    throw new CommandError(message, EXIT_BY_STATUS[response.status] ?? EXIT_CODES.failure, answer);
+    throw new CommandError(message, EXIT_CODE_BY_STATUS[response.status] ?? EXIT_CODES.failure, answer);
   }
 
   /** Opens a streamed response. @throws CommandError when the status is not 200 or the daemon is unreachable. */
@@ -66,7 +66,7 @@
     if (response.status !== 200 || response.body instanceof Uint8Array) {
       throw new CommandError(
         `status ${String(response.status)}`,
-        EXIT_BY_STATUS[response.status] ?? EXIT_CODES.failure,
+        EXIT_CODE_BY_STATUS[response.status] ?? EXIT_CODES.failure,
       );
     }
     return response.body;
@@ -89,7 +89,7 @@
         origin: this.origin,
         path,
         headers: { authorization: `Bearer ${this.token}`, 'content-type': 'application/json', ...headers },
-        timeoutMs: TIMEOUT_MS,
+        timeoutMs: REQUEST_TIMEOUT_MS,
         ...(body === undefined ? {} : { body: encodeText(JSON.stringify(body)) }),
       });
     } catch (error) {
--- a/packages/cli/src/status-command.ts
+++ b/packages/cli/src/status-command.ts
@@ -20,18 +20,18 @@
     output.print(JSON.stringify(answer, null, 2));
     return;
   }
-  const rows = (answer[section] as Row[]).flatMap((row) => flatten(section, row));
+  const rows = (answer[section] as Row[]).flatMap((row) => tableRowsOf(section, row));
   const headings = rows[0] === undefined ? ['NOTHING'] : Object.keys(rows[0]).map((key) => key.toUpperCase());
   output.print(
     formatTable(
       headings,
-      rows.map((row) => Object.values(row).map(text)),
+      rows.map((row) => Object.values(row).map(cellText)),
     ),
   );
 }
 
 /** Converts a status entry to table rows: one row per daemon of a zone, and replicas joined in one cell. */
-function flatten(section: StatusSection, row: Row): Row[] {
+function tableRowsOf(section: StatusSection, row: Row): Row[] {
   if (section === 'zones') {
     const { zone, coordinator, daemons } = row as {
       zone: string;
@@ -47,6 +47,6 @@
   return [row];
 }
 
-function text(value: unknown): string {
+function cellText(value: unknown): string {
   return typeof value === 'string' ? value : JSON.stringify(value);
 }
--- a/packages/lab/src/commands/simulate.ts
+++ b/packages/lab/src/commands/simulate.ts
@@ -71,19 +71,19 @@
 function printTotals(results: readonly CampaignResult[]): void {
   const virtual = results.reduce((total, { summary }) => total + summary.virtualSeconds, 0);
   const cpuSeconds = results.reduce((total, { wallMs }) => total + wallMs / 1000, 0);
-  const failing = results.filter(({ summary }) => !isClean(summary)).length;
+  const failing = results.filter(({ summary }) => !hasPassed(summary)).length;
   const speed = Math.round(virtual / cpuSeconds);
   print(
     `${String(results.length)} runs, ${String(failing)} failing, ${String(speed)} virtual seconds a thread second`,
   );
 }
 
-function isClean(summary: CampaignResult['summary']): boolean {
+function hasPassed(summary: CampaignResult['summary']): boolean {
   return summary.violations.length === 0 && summary.requests.unanswered === 0;
 }
 
 function exitCodeOf(results: readonly CampaignResult[]): number {
-  const failing = results.filter(({ summary }) => !isClean(summary));
+  const failing = results.filter(({ summary }) => !hasPassed(summary));
   for (const { scenarioFile: file, seed } of failing) {
     print(`replay: woodbarrow-lab simulate ${basename(file, '.yaml')} --seeds ${String(seed)} --trace`);
   }
@@ -107,5 +107,5 @@
   const { summary, trace } = await runSimulation({ scenario: loadScenario(file), seed, keepTrace: true });
   for (const { atMs, text } of trace) print(`${(atMs / 1000).toFixed(3).padStart(10)}  ${text}`);
   print(JSON.stringify(summary, null, 2));
-  return isClean(summary) ? 0 : 1;
+  return hasPassed(summary) ? 0 : 1;
 }
--- a/packages/lab/src/simulation/fault-injector.ts
+++ b/packages/lab/src/simulation/fault-injector.ts
@@ -76,13 +76,13 @@
         deployment.reclaimWorker(target, fault.durationMs);
         return;
       case 'cut-zone':
-        this.cut(fault, (from, to) => (from.zone === target) !== (to.zone === target));
+        this.cutConnections(fault, (from, to) => (from.zone === target) !== (to.zone === target));
         return;
       case 'cut-daemon':
-        this.cut(fault, (from, to) => from.name === target || to.name === target);
+        this.cutConnections(fault, (from, to) => from.name === target || to.name === target);
         return;
       case 'cut-one-way':
-        this.cut(fault, (from) => from.name === target);
+        this.cutConnections(fault, (from) => from.name === target);
         return;
       case 'platform-down':
         this.platformOutageCount += 1;
@@ -116,15 +116,15 @@
   }
 
   /** Cuts traffic between daemons, engines and the platform; callers can still reach their daemon. */
-  private cut(
+  private cutConnections(
     fault: PlannedFault,
     predicate: (from: SimulatedProcess, to: SimulatedProcess) => boolean,
   ): void {
     const { deployment } = this;
-    const heal = deployment.network.cut(
+    const restoreConnections = deployment.network.cut(
       (from, to) => !deployment.isClient(from) && !deployment.isClient(to) && predicate(from, to),
     );
-    this.scheduleEnd(fault, heal);
+    this.scheduleEnd(fault, restoreConnections);
   }
 
   private scheduleEnd(fault: PlannedFault, end: () => void): void {
--- a/packages/lab/src/simulation/simulation-summary.ts
+++ b/packages/lab/src/simulation/simulation-summary.ts
@@ -63,8 +63,8 @@
 /** Returns the summary of a finished run. */
 export function summarize(input: SummaryInput): SimulationSummary {
   const { deployment, traffic, violations, meter, inForceTimes, seed } = input;
-  const served = traffic.stories.filter((story) => story.attempts.at(-1)?.outcome === 'served');
-  const urgent = served.filter((story) => !isDeferrable(story.planned.request, deployment.plan));
+  const served = traffic.stories.filter((history) => history.attempts.at(-1)?.outcome === 'served');
+  const urgent = served.filter((history) => !isDeferrable(history.planned.request, deployment.plan));
   const engines = [...deployment.workers.values()].map((slot) => slot.engine.record);
   return {
     seed,
@@ -73,9 +73,11 @@
     events: deployment.world.eventCount,
     violations,
     requests: countRequests(traffic, violations),
-    coldStartMs: distributionOf(urgent.filter((story) => story.cold).map(firstTokenTime)),
-    deferredStartMs: distributionOf(served.filter((story) => !urgent.includes(story)).map(firstTokenTime)),
-    firstTokenMs: distributionOf(urgent.map(firstTokenTime)),
+    coldStartMs: distributionOf(urgent.filter((history) => history.cold).map(timeToFirstTokenMs)),
+    deferredStartMs: distributionOf(
+      served.filter((history) => !urgent.includes(history)).map(timeToFirstTokenMs),
+    ),
+    firstTokenMs: distributionOf(urgent.map(timeToFirstTokenMs)),
     idleAcceleratorHours: round(meter.idleHours),
     busyAcceleratorHours: round(meter.busyHours),
     loads: engines.reduce((total, record) => total + record.loads, 0),
@@ -96,8 +98,8 @@
   return { count: sorted.length, p50: at(0.5), p95: at(0.95), p99: at(0.99), max: at(1) };
 }
 
-function firstTokenTime(story: RequestHistory): number {
-  return (story.attempts.at(-1)?.answeredAtMs ?? story.firstSentAtMs) - story.firstSentAtMs;
+function timeToFirstTokenMs(history: RequestHistory): number {
+  return (history.attempts.at(-1)?.answeredAtMs ?? history.firstSentAtMs) - history.firstSentAtMs;
 }
 
 function countRequests(traffic: TrafficDriver, violations: readonly Violation[]): RequestCounts {
--- a/packages/lab/src/simulation/traffic-driver.ts
+++ b/packages/lab/src/simulation/traffic-driver.ts
@@ -38,57 +38,57 @@
 
   /** Number of requests that have not ended. */
   get unfinished(): number {
-    return this.stories.filter((story) => !story.done).length;
+    return this.stories.filter((history) => !history.done).length;
   }
 
   private async send(planned: PlannedRequest): Promise<void> {
     const { world } = this.deployment;
-    const story: RequestHistory = {
+    const history: RequestHistory = {
       planned,
       cold: !this.isWarm(planned.request),
       firstSentAtMs: world.now,
       attempts: [],
       done: false,
     };
-    this.stories.push(story);
+    this.stories.push(history);
     const caller = new Caller(this.deployment.clientIn(planned.zone), () => world.now);
     for (let left = planned.retries; ; left -= 1) {
-      const attempt = await this.attempt(caller, story);
+      const attempt = await this.attempt(caller, history);
       if (left <= 0 || !shouldRetry(attempt)) break;
-      await this.pause((attempt.retryAfterSeconds ?? 0) * 1000 + RETRY_DELAY_MS);
+      await this.delay((attempt.retryAfterSeconds ?? 0) * 1000 + RETRY_DELAY_MS);
     }
-    story.done = true;
+    history.done = true;
   }
 
-  private async attempt(caller: Caller, story: RequestHistory): Promise<Attempt> {
+  private async attempt(caller: Caller, history: RequestHistory): Promise<Attempt> {
     const { world, observers } = this.deployment;
-    const origin = this.pickDaemon(story);
+    const origin = this.pickDaemon(history);
     const attempt = await caller.send(
-      story.planned.request,
+      history.planned.request,
       origin,
-      world.now - story.firstSentAtMs,
+      world.now - history.firstSentAtMs,
       (started) => {
-        story.attempts.push(started);
+        history.attempts.push(started);
         for (const observer of observers) observer.onAttemptStart?.(started);
       },
     );
-    world.record(`${story.planned.request.marker} ${String(attempt.outcome)} ${attempt.code ?? ''}`);
+    world.record(`${history.planned.request.marker} ${String(attempt.outcome)} ${attempt.code ?? ''}`);
     for (const observer of observers) observer.onAttemptEnd?.(attempt);
     return attempt;
   }
 
   /** Returns the origin of a daemon in the caller's zone, other than that of the last attempt if possible. */
-  private pickDaemon(story: RequestHistory): string {
+  private pickDaemon(history: RequestHistory): string {
     const slots = [...this.deployment.daemons.values()].filter(
-      (slot) => slot.plan.zone === story.planned.zone,
+      (slot) => slot.plan.zone === history.planned.zone,
     );
-    const last = story.attempts.at(-1)?.origin;
+    const last = history.attempts.at(-1)?.origin;
     const origins = slots.map((slot) => this.deployment.callerOrigin(slot.plan.id));
     const others = origins.filter((origin) => origin !== last);
     return this.random.pick(others.length > 0 ? others : origins) ?? '';
   }
 
-  private pause(durationMs: number): Promise<void> {
+  private delay(durationMs: number): Promise<void> {
     return new Promise((resolve) => {
       this.deployment.world.schedule(durationMs, resolve);
     });
--- a/packages/lab/src/traffic/workload.ts
+++ b/packages/lab/src/traffic/workload.ts
@@ -70,7 +70,7 @@
     const requests: PlannedRequest[] = [];
     for (let second = this.random.exponential(1 / highest); second < this.scenario.durationSeconds;) {
       if (this.random.next() * highest < rateAt(second))
-        requests.push(this.generate(second * 1000, this.pickModel()));
+        requests.push(this.generateOne(second * 1000, this.pickModel()));
       second += this.random.exponential(1 / highest);
     }
     return requests;
@@ -81,7 +81,7 @@
     for (let second = this.random.exponential(everySeconds); second < this.scenario.durationSeconds;) {
       const model = this.pickModel();
       for (let index = 0; index < size; index += 1) {
-        requests.push(this.generate(second * 1000 + this.random.next() * withinMs, model));
+        requests.push(this.generateOne(second * 1000 + this.random.next() * withinMs, model));
       }
       second += this.random.exponential(everySeconds);
     }
@@ -98,7 +98,7 @@
     return this.models[0] ?? '';
   }
 
-  private generate(atMs: number, model: string): PlannedRequest {
+  private generateOne(atMs: number, model: string): PlannedRequest {
     const { traffic, random, tenant } = this;
     this.count += 1;
     const marker = `${this.label}-${String(this.count)}`;
--- a/packages/lab/test/operators.test.ts
+++ b/packages/lab/test/operators.test.ts
@@ -33,7 +33,7 @@
     daemon: string,
     listener: 'callers' | 'operators',
     token: string,
-    call: Call,
+    call: ApiCall,
   ): Promise<ApiResponse> {
     const { deployment } = this;
     const origin =
@@ -61,12 +61,12 @@
     return answer;
   }
 
-  operator(daemon: string, call: Call, partner = 'quetzal'): Promise<ApiResponse> {
+  operator(daemon: string, call: ApiCall, partner = 'quetzal'): Promise<ApiResponse> {
     return this.send(daemon, 'operators', `${partner}-operator-token`, call);
   }
 }
 
-interface Call {
+interface ApiCall {
   readonly path: string;
   readonly method?: string;
   readonly body?: unknown;
