--- a/packages/cli/src/explain/request-course.ts
+++ b/packages/cli/src/explain/request-timeline.ts
@@ -1,20 +1,20 @@
-/** The course of one request over all daemons, and its cause in a sentence. */
+/** Collects the log lines of one request over all daemons and derives the cause of its outcome. */
 import type { LogLine } from './log-line.js';
 
-/** What is known of a request. */
-export interface RequestCourse {
+/** Log lines of a request with related decisions and the cause of its outcome. */
+export interface RequestTimeline {
   readonly request: string;
-  /** In the order of the daemons' clocks. */
+  /** Log lines that name the request, sorted by the daemons' clocks. */
   readonly steps: readonly LogLine[];
-  /** What the daemons believed and decided about its model and its back ends meanwhile. */
+  /** Observations and decisions of daemons about the request's model and back ends at that time. */
   readonly surroundings: readonly LogLine[];
   readonly cause: string;
 }
 
-/** Milliseconds around the course from which beliefs are shown; daemons' clocks may differ by some. */
-const SURROUNDINGS_MS = 5000;
-/** Events that change what is believed of a model or a back end. */
-const BELIEFS: ReadonlySet<string> = new Set([
+/** Time before and after the request from which context is shown; allows for clock skew between daemons. */
+const CONTEXT_WINDOW_MS = 5000;
+/** Events that change the observed state of a model or a back end. */
+const CONTEXT_EVENTS: ReadonlySet<string> = new Set([
   'back_end_seen',
   'back_end_changed',
   'back_end_gone',
@@ -31,49 +31,52 @@
   'store_regained',
   'daemon_stopping',
 ]);
-/** Beliefs kept while reading; the oldest are dropped. */
-const KEPT_BELIEFS = 200_000;
+/** Number of latest context lines that are always retained while reading; up to twice as many may be held. */
+const RETAINED_CONTEXT_LINES = 200_000;
 
-/** Collects the lines of one request while logs are read. */
-export class CourseCollector {
+/** Collects the log lines of one request and its context while logs are read. */
+export class RequestTimelineCollector {
   private readonly steps: LogLine[] = [];
-  private readonly beliefs: LogLine[] = [];
+  private readonly contextLines: LogLine[] = [];
 
   constructor(private readonly request: string) {}
 
-  /** Takes a line if it matters. */
+  /** Adds a line if it names the request or may be context. */
   add(line: LogLine): void {
     if (line.details['request'] === this.request) this.steps.push(line);
-    else if (BELIEFS.has(line.event)) this.keepBelief(line);
+    else if (CONTEXT_EVENTS.has(line.event)) this.retainContextLine(line);
   }
 
-  /** The course, or undefined when no line names the request. */
-  course(): RequestCourse | undefined {
+  /** Returns the timeline, or undefined when no line names the request. */
+  timeline(): RequestTimeline | undefined {
     const steps = [...this.steps].sort((left, right) => left.time - right.time);
     const [first] = steps;
     const last = steps[steps.length - 1];
     if (first === undefined || last === undefined) return undefined;
-    const names = namesIn(steps);
-    const surroundings = this.beliefs
-      .filter((line) => line.time >= first.time - SURROUNDINGS_MS && line.time <= last.time + SURROUNDINGS_MS)
-      .filter((line) => concerns(line, names))
+    const names = relatedNamesOf(steps);
+    const surroundings = this.contextLines
+      .filter(
+        (line) => line.time >= first.time - CONTEXT_WINDOW_MS && line.time <= last.time + CONTEXT_WINDOW_MS,
+      )
+      .filter((line) => isRelated(line, names))
       .sort((left, right) => left.time - right.time);
     return { request: this.request, steps, surroundings, cause: causeOf(steps, surroundings) };
   }
 
-  private keepBelief(line: LogLine): void {
-    this.beliefs.push(line);
-    if (this.beliefs.length > KEPT_BELIEFS * 2) this.beliefs.splice(0, KEPT_BELIEFS);
+  private retainContextLine(line: LogLine): void {
+    this.contextLines.push(line);
+    if (this.contextLines.length > RETAINED_CONTEXT_LINES * 2)
+      this.contextLines.splice(0, RETAINED_CONTEXT_LINES);
   }
 }
 
-interface Names {
+interface RelatedNames {
   readonly models: ReadonlySet<string>;
   readonly backEnds: ReadonlySet<string>;
   readonly daemons: ReadonlySet<string>;
 }
 
-function namesIn(steps: readonly LogLine[]): Names {
+function relatedNamesOf(steps: readonly LogLine[]): RelatedNames {
   const texts = (field: string): Set<string> =>
     new Set(steps.map((step) => step.details[field]).filter((value) => typeof value === 'string'));
   return {
@@ -83,7 +86,7 @@
   };
 }
 
-function concerns(line: LogLine, names: Names): boolean {
+function isRelated(line: LogLine, names: RelatedNames): boolean {
   const { model, backEnd, target } = line.details;
   if (typeof model === 'string' && names.models.has(model)) return true;
   if (typeof target === 'string' && names.models.has(target.split('/')[0] ?? '')) return true;
@@ -93,25 +96,25 @@
 
 function causeOf(steps: readonly LogLine[], surroundings: readonly LogLine[]): string {
   const last = steps[steps.length - 1] as LogLine;
-  const find = (event: string): LogLine | undefined =>
+  const lastStepOf = (event: string): LogLine | undefined =>
     [...steps].reverse().find((step) => step.event === event);
-  const refused = find('request_refused');
-  const failed = find('request_failed');
-  const abandoned = find('request_abandoned');
-  const declined = find('request_declined');
+  const refused = lastStepOf('request_refused');
+  const failed = lastStepOf('request_failed');
+  const abandoned = lastStepOf('request_abandoned');
+  const declined = lastStepOf('request_declined');
   if (refused !== undefined) return refusalCause(refused, surroundings);
   if (failed !== undefined) return failureCause(failed, declined);
   if (abandoned !== undefined) return abandonedCause(steps, surroundings);
-  const answered = find('request_answered');
+  const answered = lastStepOf('request_answered');
   if (answered !== undefined) {
-    return `Answered ${text(answered, 'status')} by ${text(answered, 'backEnd')} after ${text(answered, 'tookMs')} ms.`;
+    return `Answered ${detailText(answered, 'status')} by ${detailText(answered, 'backEnd')} after ${detailText(answered, 'tookMs')} ms.`;
   }
   return `No end is logged; the last word is ${last.event} on ${last.daemon}. Lines may have been dropped, or the daemon ended.`;
 }
 
 function refusalCause(refused: LogLine, surroundings: readonly LogLine[]): string {
-  const cause = text(refused, 'cause');
-  const after = `refused as not run after ${text(refused, 'waitedMs')} ms`;
+  const cause = detailText(refused, 'cause');
+  const after = `refused as not run after ${detailText(refused, 'waitedMs')} ms`;
   if (cause === 'model_unavailable' || cause === 'model_too_late')
     return `The model was not resident; ${unavailableCause(surroundings)}: ${after}.`;
   if (cause === 'all_excluded')
@@ -121,48 +124,48 @@
   return `${cause}: ${after}.`;
 }
 
-/** Why a model was not made resident, from what the coordinators logged, or what was answered. */
+/** Returns why a model was not made resident, from the coordinators' decisions or their responses. */
 function unavailableCause(surroundings: readonly LogLine[]): string {
-  const last = (event: string): LogLine | undefined =>
+  const lastEventOf = (event: string): LogLine | undefined =>
     surroundings.filter((line) => line.event === event).pop();
-  const refused = last('demand_refused');
+  const refused = lastEventOf('demand_refused');
   if (refused?.details['readyMs'] !== undefined)
-    return `in zone ${text(refused, 'zone')} it would have been resident in ${text(refused, 'readyMs')} ms, with ${text(refused, 'leftMs')} ms left`;
-  if (refused !== undefined) return `in zone ${text(refused, 'zone')} no worker could make room for it`;
-  const load = last('load_decided');
+    return `in zone ${detailText(refused, 'zone')} it would have been resident in ${detailText(refused, 'readyMs')} ms, with ${detailText(refused, 'leftMs')} ms left`;
+  if (refused !== undefined) return `in zone ${detailText(refused, 'zone')} no worker could make room for it`;
+  const load = lastEventOf('load_decided');
   if (load !== undefined)
-    return `in zone ${text(load, 'zone')} a load from ${text(load, 'source')} was to take ${text(load, 'readyMs')} ms`;
-  const told = last('demand_answered');
-  if (told !== undefined)
-    return `the coordinator of zone ${text(told, 'zone')} (${text(told, 'coordinator')}) said ${text(told, 'reason')}`;
+    return `in zone ${detailText(load, 'zone')} a load from ${detailText(load, 'source')} was to take ${detailText(load, 'readyMs')} ms`;
+  const answered = lastEventOf('demand_answered');
+  if (answered !== undefined)
+    return `the coordinator of zone ${detailText(answered, 'zone')} (${detailText(answered, 'coordinator')}) said ${detailText(answered, 'reason')}`;
   return 'it was resident nowhere and no coordinator decided on a load';
 }
 
 function failureCause(failed: LogLine, declined: LogLine | undefined): string {
-  const answer = text(failed, 'answer');
+  const answer = detailText(failed, 'answer');
   const where =
     declined === undefined
       ? ''
-      : ` Back end ${text(declined, 'backEnd')}: ${text(declined, 'verdict')}, ${text(declined, 'detail')}.`;
+      : ` Back end ${detailText(declined, 'backEnd')}: ${detailText(declined, 'verdict')}, ${detailText(declined, 'detail')}.`;
   if (answer === 'broken_off')
-    return `The stream broke off (${text(failed, 'cause')}); the client saw it cut, not complete.${where}`;
+    return `The stream broke off (${detailText(failed, 'cause')}); the client saw it cut, not complete.${where}`;
   if (answer === 'backend_broken')
     return `It may have run: no whole answer came, and it must not run again.${where}`;
   if (answer === 'request_timeout')
     return `Time was up while a back end worked on it; it may have run.${where}`;
-  return `${answer}: ${text(failed, 'cause')}.${where}`;
+  return `${answer}: ${detailText(failed, 'cause')}.${where}`;
 }
 
 function abandonedCause(steps: readonly LogLine[], surroundings: readonly LogLine[]): string {
   const sent = steps.filter((step) => step.event === 'request_sent');
   const lastSent = sent[sent.length - 1];
-  if (lastSent !== undefined) return `The client left while ${text(lastSent, 'backEnd')} worked on it.`;
+  if (lastSent !== undefined) return `The client left while ${detailText(lastSent, 'backEnd')} worked on it.`;
   const load = surroundings.filter((line) => line.event === 'load_decided').pop();
   if (load === undefined) return 'The client left before any back end could take it.';
-  return `The client left while its model was waited for: zone ${text(load, 'zone')}, load of ${text(load, 'readyMs')} ms.`;
+  return `The client left while its model was waited for: zone ${detailText(load, 'zone')}, load of ${detailText(load, 'readyMs')} ms.`;
 }
 
-function text(line: LogLine, field: string): string {
+function detailText(line: LogLine, field: string): string {
   const value = line.details[field];
   if (typeof value === 'string') return value;
   return value === undefined ? 'unknown' : JSON.stringify(value);
--- a/packages/cli/src/operator-client.ts
+++ b/packages/cli/src/operator-client.ts
@@ -1,4 +1,4 @@
-/** Client of the operators' API. */
+/** HTTP client of a daemon's API for operators. */
 import {
   HttpNotSentError,
   encodeText,
@@ -8,35 +8,35 @@
 } from '@woodbarrow/runtime';
 import { EXIT_CODES } from './exit-codes.js';
 
-/** A request that did not succeed, with the exit code to end with. */
+/** A failed command with its exit code. */
 export class CommandError extends Error {
   override readonly name = 'CommandError';
 
   constructor(
     message: string,
     readonly exitCode: number,
-    /** What the daemon answered. */
+    /** Response body of the daemon, if any. */
     readonly body?: unknown,
   ) {
     super(message);
   }
 }
 
-/** An object as listed or shown. */
+/** A configuration object with its revision. */
 export interface StoredObject {
   readonly name: string;
   readonly revision: number;
   readonly value: Record<string, unknown>;
 }
 
-const TIMEOUT_MS = 30_000;
-const EXIT_BY_STATUS: Readonly<Record<number, number>> = {
+const REQUEST_TIMEOUT_MS = 30_000;
+const EXIT_CODE_BY_STATUS: Readonly<Record<number, number>> = {
   401: EXIT_CODES.denied,
   403: EXIT_CODES.denied,
   409: EXIT_CODES.conflict,
 };
 
-/** Sends operators' requests to one daemon. */
+/** Sends requests to the operators' API of one daemon. */
 export class OperatorClient {
   private readonly http = new UndiciHttpClient();
 
@@ -45,7 +45,7 @@
     private readonly token: string,
   ) {}
 
-  /** Sends a request and returns the JSON answer. @throws CommandError */
+  /** Sends a request and returns the JSON response. @throws CommandError when it fails or is refused. */
   async request(
     method: string,
     path: string,
@@ -57,22 +57,22 @@
     if (response.status < 400) return answer;
     const error = (answer as { error?: { message?: string; code?: string } } | undefined)?.error;
     const message = `${error?.code ?? String(response.status)}: ${error?.message ?? 'no message'}`;
-    throw new CommandError(message, EXIT_BY_STATUS[response.status] ?? EXIT_CODES.failure, answer);
+    throw new CommandError(message, EXIT_CODE_BY_STATUS[response.status] ?? EXIT_CODES.failure, answer);
   }
 
-  /** Sends a request whose answer is a stream. @throws CommandError */
+  /** Opens a streamed response. @throws CommandError when the status is not 200 or the daemon is unreachable. */
   async stream(path: string): Promise<AsyncIterable<Uint8Array>> {
     const response = await this.send('GET', path, undefined, {});
     if (response.status !== 200 || response.body instanceof Uint8Array) {
       throw new CommandError(
         `status ${String(response.status)}`,
-        EXIT_BY_STATUS[response.status] ?? EXIT_CODES.failure,
+        EXIT_CODE_BY_STATUS[response.status] ?? EXIT_CODES.failure,
       );
     }
     return response.body;
   }
 
-  /** Ends all connections. */
+  /** Closes all connections. */
   async close(): Promise<void> {
     await this.http.close();
   }
@@ -89,11 +89,11 @@
         origin: this.origin,
         path,
         headers: { authorization: `Bearer ${this.token}`, 'content-type': 'application/json', ...headers },
-        timeoutMs: TIMEOUT_MS,
+        timeoutMs: REQUEST_TIMEOUT_MS,
         ...(body === undefined ? {} : { body: encodeText(JSON.stringify(body)) }),
       });
     } catch (error) {
-      const reason = error instanceof HttpNotSentError ? 'is not reachable' : 'gave no answer';
+      const reason = error instanceof HttpNotSentError ? 'is not reachable' : 'did not respond';
       throw new CommandError(`${this.origin} ${reason}`, EXIT_CODES.unreachable);
     }
   }
--- a/packages/lab/src/commands/compare.ts
+++ b/packages/lab/src/commands/compare.ts
@@ -1,4 +1,4 @@
-/** `woodbarrow-lab compare`: baselines and the product on the same arrivals, by the two measures. */
+/** `woodbarrow-lab compare`: compares baseline policies and the product on the same arrivals. */
 import { runCampaign } from '../campaign/campaign.js';
 import { parseSeeds } from '../campaign/seed-range.js';
 import { BASELINES, runBaseline, type PolicyOutcome } from '../policies/policy-simulator.js';
@@ -14,16 +14,16 @@
   readonly json: boolean;
 }
 
-const PRODUCT = 'woodbarrow';
+const PRODUCT_POLICY = 'woodbarrow';
 
-/** Compares; resolves with the exit code. */
+/** Runs all policies and prints one line per policy. Resolves with the exit code. */
 export async function compare(options: CompareOptions): Promise<number> {
   const file = scenarioFile(options.scenario);
   const scenario = loadScenario(file);
   const seeds = parseSeeds(options.seeds);
   const outcomes: PolicyOutcome[] = [];
   for (const seed of seeds) {
-    // The same draws, in the same order, as a simulation makes.
+    // Draws random values in the same order as a simulation, so that both get the same workload.
     const deployment = new SimulatedDeployment({ scenario, seed });
     const workload = planWorkload(scenario, deployment.plan, deployment.random.fork());
     const input = { scenario, plan: deployment.plan, workload, seed };
@@ -33,16 +33,26 @@
   for (const { seed, summary } of await runCampaign(jobs, () => undefined)) {
     const { coldStartMs, firstTokenMs, idleAcceleratorHours, loads, requests } = summary;
     const late = requests.sent - requests.served;
-    outcomes.push({ policy: PRODUCT, seed, coldStartMs, firstTokenMs, idleAcceleratorHours, loads, late });
+    outcomes.push({
+      policy: PRODUCT_POLICY,
+      seed,
+      coldStartMs,
+      firstTokenMs,
+      idleAcceleratorHours,
+      loads,
+      late,
+    });
   }
-  for (const policy of [...BASELINES, PRODUCT]) {
-    const own = outcomes.filter((outcome) => outcome.policy === policy);
-    process.stdout.write(`${options.json ? JSON.stringify(own) : line(policy, own)}\n`);
+  for (const policy of [...BASELINES, PRODUCT_POLICY]) {
+    const policyOutcomes = outcomes.filter((outcome) => outcome.policy === policy);
+    process.stdout.write(
+      `${options.json ? JSON.stringify(policyOutcomes) : formatPolicyLine(policy, policyOutcomes)}\n`,
+    );
   }
   return 0;
 }
 
-function line(policy: string, outcomes: readonly PolicyOutcome[]): string {
+function formatPolicyLine(policy: string, outcomes: readonly PolicyOutcome[]): string {
   const spread = (pick: (outcome: PolicyOutcome) => number): string => {
     const values = outcomes.map(pick).sort((left, right) => left - right);
     const middle = values[Math.floor(values.length / 2)] ?? 0;
--- a/packages/lab/src/commands/experiment.ts
+++ b/packages/lab/src/commands/experiment.ts
@@ -1,4 +1,4 @@
-/** `woodbarrow-lab experiment`: failures on loopback, with every daemon in a process of its own. */
+/** `woodbarrow-lab experiment`: injects failures on loopback, with every daemon in its own process. */
 import { Random, readJson, sleep } from '@woodbarrow/runtime';
 import { loadScenario } from '../scenario/load-scenario.js';
 import { scenarioFile } from '../scenario/scenario-files.js';
@@ -9,7 +9,7 @@
 import { RealTraffic } from '../real/real-traffic.js';
 import { print } from './print.js';
 
-/** What one experiment works with. */
+/** Deployment, traffic and random source that an experiment uses. */
 interface ExperimentContext {
   readonly deployment: RealDeployment;
   readonly traffic: RealTraffic;
@@ -19,7 +19,7 @@
 
 type Experiment = (context: ExperimentContext) => Promise<readonly string[]>;
 
-/** Experiments by name. Each returns what was broken besides the promises that every run checks. */
+/** Experiments by name. Each returns its own violations, in addition to the checks of every run. */
 const EXPERIMENTS: Readonly<Record<string, Experiment>> = {
   burst,
   'kill-worker': killWorkerMidLoad,
@@ -28,22 +28,21 @@
   'platform-outage': platformOutage,
 };
 
-/** Names of the experiments. */
 export const EXPERIMENT_NAMES = Object.keys(EXPERIMENTS);
 
 /** Options of {@link experiment}. */
 export interface ExperimentOptions {
   readonly name: string;
   readonly deployment: string;
-  /** Seconds that the platform is down in that experiment. */
+  /** Length of the platform outage in seconds; used by `platform-outage` only. */
   readonly outageSeconds: number;
 }
 
 const SEED = 7;
 const LOAD_TIME_FACTOR = 0.15;
-const GRACE_SECONDS = 40;
+const SHUTDOWN_GRACE_SECONDS = 40;
 const BURST_SIZE = 48;
-const MID_LOAD_MS = 300;
+const DELAY_INTO_LOAD_MS = 300;
 const STATUS_ATTEMPTS = 20;
 const STATUS_RETRY_MS = 50;
 let outageSeconds = 60;
@@ -54,23 +53,24 @@
   const names = options.name === 'all' ? EXPERIMENT_NAMES : [options.name];
   let failures = 0;
   for (const name of names) {
-    const broken = await runExperiment(name, options.deployment);
-    print(broken.length === 0 ? '  every promise held\n' : `  BROKEN: ${broken.join('; ')}\n`);
-    failures += broken.length;
+    const violations = await runExperiment(name, options.deployment);
+    print(violations.length === 0 ? '  every promise held\n' : `  BROKEN: ${violations.join('; ')}\n`);
+    failures += violations.length;
   }
   return failures === 0 ? 0 : 1;
 }
 
 async function runExperiment(name: string, deploymentName: string): Promise<readonly string[]> {
   const run = EXPERIMENTS[name];
-  if (run === undefined) throw new Error(`no experiment ${name}: ${EXPERIMENT_NAMES.join(', ')}`);
+  if (run === undefined)
+    throw new Error(`unknown experiment ${name}; available: ${EXPERIMENT_NAMES.join(', ')}`);
   const scenario = loadScenario(scenarioFile(deploymentName));
   const deployment = new RealDeployment({
     scenario,
     seed: SEED,
     separateProcesses: true,
     loadTimeFactor: LOAD_TIME_FACTOR,
-    graceSeconds: GRACE_SECONDS,
+    graceSeconds: SHUTDOWN_GRACE_SECONDS,
   });
   try {
     await deployment.start();
@@ -79,17 +79,17 @@
     );
     const random = new Random(SEED);
     const traffic = new RealTraffic(deployment, random.fork());
-    const own = await run({ deployment, traffic, scenario, random });
+    const experimentViolations = await run({ deployment, traffic, scenario, random });
     await traffic.settle();
     const report = reportOf(deployment, traffic.totals());
     print(formatRows(report.rows));
-    return [...report.broken, ...own];
+    return [...report.broken, ...experimentViolations];
   } finally {
     await deployment.stop();
   }
 }
 
-/** A burst for one cold model at every daemon at once loads it once. */
+/** Verifies that a simultaneous burst for one cold model at every daemon causes one load. */
 async function burst(context: ExperimentContext): Promise<readonly string[]> {
   const { deployment, traffic } = context;
   const model = coldModel(context);
@@ -103,7 +103,7 @@
   return loads === 1 ? [] : [`${String(loads)} loads of one model`];
 }
 
-/** Loads of a model of the first tenant that engines have begun. Other models' checkpoints may be brought near meanwhile. */
+/** Returns the number of loads of one model of the first tenant; loads of other models don't count. */
 function loadsOf(deployment: RealDeployment, model: string): number {
   const id = `${deployment.plan.tenants[0]?.name ?? ''}/${model}`;
   return deployment.engineRecords.reduce((total, record) => total + (record.loadsByModel.get(id) ?? 0), 0);
@@ -113,7 +113,7 @@
   const { deployment } = context;
   const model = coldModel(context);
   sendBurst(context, model);
-  const loading = await whileLoading(deployment);
+  const loading = await waitForLoadingWorker(deployment);
   print(`  ${loading.plan.id} killed while loading ${model}`);
   await deployment.killWorker(loading);
   await sleep(deployment.clock, 3000);
@@ -125,7 +125,7 @@
   const { deployment } = context;
   const model = coldModel(context);
   sendBurst(context, model);
-  const loading = await whileLoading(deployment);
+  const loading = await waitForLoadingWorker(deployment);
   const victim = await coordinatorOf(deployment, loading.plan.zone);
   print(`  ${victim.plan.id}, which coordinates ${loading.plan.zone}, killed while ${model} loads`);
   deployment.killDaemon(victim);
@@ -135,7 +135,7 @@
   return [];
 }
 
-/** Every daemon is replaced, one after another, under load; nothing may be cut off. */
+/** Replaces every daemon in turn under load and verifies that no request fails. */
 async function rollingRestart(context: ExperimentContext): Promise<readonly string[]> {
   const { deployment, traffic } = context;
   const sending = traffic.send(steadyLoad(context, deployment.daemons.length * 14));
@@ -168,13 +168,13 @@
   return planWorkload({ ...scenario, durationSeconds: seconds }, deployment.plan, random.fork());
 }
 
-/** A model of the first tenant; nothing is loaded when an experiment begins. */
+/** Returns the first model of the first tenant; no model is loaded when an experiment starts. */
 function coldModel({ deployment }: ExperimentContext): string {
   const models = deployment.plan.tenants[0]?.parameters.models ?? [];
   return models[0]?.name ?? '';
 }
 
-/** One request after another at each daemon in turn, without waiting for answers. */
+/** Sends requests to the daemons round-robin without waiting for responses. */
 function sendBurst({ deployment, traffic }: ExperimentContext, model: string, size = BURST_SIZE): void {
   const [tenant] = deployment.plan.tenants;
   for (let index = 0; index < size; index += 1) {
@@ -202,26 +202,26 @@
   }
 }
 
-async function whileLoading(deployment: RealDeployment): Promise<RealDeployment['workers'][number]> {
+async function waitForLoadingWorker(deployment: RealDeployment): Promise<RealDeployment['workers'][number]> {
   for (;;) {
     const found = deployment.workers.find(({ engine }) =>
       engine.loaded().some(({ state }) => state === 'loading'),
     );
     if (found !== undefined) {
-      await sleep(deployment.clock, MID_LOAD_MS);
+      await sleep(deployment.clock, DELAY_INTO_LOAD_MS);
       return found;
     }
     await sleep(deployment.clock, 10);
   }
 }
 
-/** The daemon that coordinates a zone. @throws Error when the zone names none in several tries. */
+/** Returns the coordinator of a zone. @throws Error when none is reported within `STATUS_ATTEMPTS` polls. */
 async function coordinatorOf(deployment: RealDeployment, zone: string): Promise<RealDaemon> {
   for (let attempt = 0; attempt < STATUS_ATTEMPTS; attempt += 1) {
-    const asked = deployment.daemons[attempt % deployment.daemons.length];
+    const queriedDaemon = deployment.daemons[attempt % deployment.daemons.length];
     const response = await deployment.http.send({
       method: 'GET',
-      origin: asked?.operatorOrigin ?? '',
+      origin: queriedDaemon?.operatorOrigin ?? '',
       path: '/status/zones',
       headers: { authorization: `Bearer ${deployment.plan.administratorToken}` },
     });
@@ -233,5 +233,5 @@
     if (found !== undefined) return found;
     await sleep(deployment.clock, STATUS_RETRY_MS);
   }
-  throw new Error(`no coordinator of ${zone}`);
+  throw new Error(`zone ${zone} reports no coordinator`);
 }
--- a/packages/lab/src/commands/quickstart.ts
+++ b/packages/lab/src/commands/quickstart.ts
@@ -1,4 +1,4 @@
-/** `woodbarrow-lab quickstart`: a whole deployment on loopback in one process, with a small load. */
+/** `woodbarrow-lab quickstart`: runs a complete deployment on loopback in one process under light load. */
 import { Random, TaskGroup } from '@woodbarrow/runtime';
 import { scenarioFile } from '../scenario/scenario-files.js';
 import { loadScenario } from '../scenario/load-scenario.js';
@@ -11,16 +11,16 @@
 /** Options of {@link quickstart}. */
 export interface QuickstartOptions {
   readonly deployment: string;
-  /** Ends after the table instead of staying up. */
+  /** Exits after the report instead of running until interrupted. */
   readonly once: boolean;
 }
 
 const LOAD_SECONDS = 20;
 const LOAD_TIME_FACTOR = 0.1;
 const SEED = 1;
-const PROGRESS_MS = 500;
+const PROGRESS_INTERVAL_MS = 500;
 
-/** Runs a deployment; resolves with the exit code. */
+/** Runs a deployment and prints its report. Resolves with the exit code. */
 export async function quickstart(options: QuickstartOptions): Promise<number> {
   const full = loadScenario(scenarioFile(options.deployment));
   const scenario = { ...full, durationSeconds: LOAD_SECONDS };
@@ -38,7 +38,7 @@
   const display = new TaskGroup(deployment.clock, () => undefined);
   display.loop(
     'quickstart.progress',
-    () => PROGRESS_MS,
+    () => PROGRESS_INTERVAL_MS,
     () => {
       showProgress(traffic);
       return Promise.resolve();
@@ -53,7 +53,7 @@
   print(report.broken.length === 0 ? 'every promise held' : `BROKEN: ${report.broken.join('; ')}`);
   if (!options.once) {
     print('the deployment stays up; press Ctrl-C to end it');
-    await interrupted();
+    await waitForTermination();
   }
   await deployment.stop();
   return report.broken.length === 0 ? 0 : 1;
@@ -83,7 +83,7 @@
   process.stdout.write(`\r  ${String(sent)} sent, ${String(ended)} ended   `);
 }
 
-function interrupted(): Promise<void> {
+function waitForTermination(): Promise<void> {
   return new Promise((resolve) => {
     process.once('SIGINT', () => {
       resolve();
--- a/packages/lab/src/commands/simulate.ts
+++ b/packages/lab/src/commands/simulate.ts
@@ -1,4 +1,4 @@
-/** `woodbarrow-lab simulate` and `simulate-all`. */
+/** `woodbarrow-lab simulate` and `simulate-all`: run scenarios on the virtual clock. */
 import { basename } from 'node:path';
 import { runCampaign, type CampaignJob, type CampaignResult } from '../campaign/campaign.js';
 import { parseSeeds } from '../campaign/seed-range.js';
@@ -13,17 +13,17 @@
   readonly scenario: string;
   readonly seeds: string;
   readonly json: boolean;
-  /** Prints a timeline of the first seed. */
+  /** Runs only the first seed and prints its timeline. */
   readonly trace: boolean;
   readonly shrink: boolean;
-  /** Threads to use; all cores when absent. */
+  /** Number of threads; one per core when absent. */
   readonly threads?: number | undefined;
 }
 
-/** Seeds of each scenario that every check runs. Those with faults find more, so they get more. */
+/** Seed ranges that `simulate-all` runs for scenarios without and with faults. */
 const CHECK_SEEDS = { plain: '1..2', faults: '1..16' } as const;
 
-/** Runs a scenario; resolves with the exit code. */
+/** Runs one scenario under each seed. Resolves with the exit code. */
 export async function simulate(options: SimulateOptions): Promise<number> {
   const file = scenarioFile(options.scenario);
   const seeds = parseSeeds(options.seeds);
@@ -31,16 +31,16 @@
   const jobs = seeds.map((seed) => ({ scenarioFile: file, seed }));
   const results = await runJobs(jobs, options.json, options.threads);
   if (options.shrink) await shrinkFirstFailure(results);
-  return verdict(results);
+  return exitCodeOf(results);
 }
 
-/** Runs the fixed seeds of all shipped scenarios; resolves with the exit code. */
+/** Runs fixed seeds of all shipped scenarios. Resolves with the exit code. */
 export async function simulateAll(): Promise<number> {
   const jobs = allScenarioFiles().flatMap((file) => {
     const seeds = parseSeeds(file.endsWith('-faults.yaml') ? CHECK_SEEDS.faults : CHECK_SEEDS.plain);
     return seeds.map((seed) => ({ scenarioFile: file, seed }));
   });
-  return verdict(await runJobs(jobs, false));
+  return exitCodeOf(await runJobs(jobs, false));
 }
 
 async function runJobs(
@@ -48,15 +48,15 @@
   json: boolean,
   threads?: number,
 ): Promise<CampaignResult[]> {
-  const show = (result: CampaignResult): void => {
-    print(json ? JSON.stringify(result.summary) : line(result));
+  const printResult = (result: CampaignResult): void => {
+    print(json ? JSON.stringify(result.summary) : formatResult(result));
   };
-  const results = await runCampaign(jobs, show, threads);
+  const results = await runCampaign(jobs, printResult, threads);
   if (!json) printTotals(results);
   return results;
 }
 
-function line({ scenarioFile: file, seed, summary, wallMs }: CampaignResult): string {
+function formatResult({ scenarioFile: file, seed, summary, wallMs }: CampaignResult): string {
   const { requests, coldStartMs, violations, digest, virtualSeconds } = summary;
   const name = basename(file, '.yaml').padEnd(22);
   const speed = Math.round(virtualSeconds / (wallMs / 1000));
@@ -71,19 +71,19 @@
 function printTotals(results: readonly CampaignResult[]): void {
   const virtual = results.reduce((total, { summary }) => total + summary.virtualSeconds, 0);
   const cpuSeconds = results.reduce((total, { wallMs }) => total + wallMs / 1000, 0);
-  const failing = results.filter(({ summary }) => !isClean(summary)).length;
+  const failing = results.filter(({ summary }) => !hasPassed(summary)).length;
   const speed = Math.round(virtual / cpuSeconds);
   print(
     `${String(results.length)} runs, ${String(failing)} failing, ${String(speed)} virtual seconds a thread second`,
   );
 }
 
-function isClean(summary: CampaignResult['summary']): boolean {
+function hasPassed(summary: CampaignResult['summary']): boolean {
   return summary.violations.length === 0 && summary.requests.unanswered === 0;
 }
 
-function verdict(results: readonly CampaignResult[]): number {
-  const failing = results.filter(({ summary }) => !isClean(summary));
+function exitCodeOf(results: readonly CampaignResult[]): number {
+  const failing = results.filter(({ summary }) => !hasPassed(summary));
   for (const { scenarioFile: file, seed } of failing) {
     print(`replay: woodbarrow-lab simulate ${basename(file, '.yaml')} --seeds ${String(seed)} --trace`);
   }
@@ -107,5 +107,5 @@
   const { summary, trace } = await runSimulation({ scenario: loadScenario(file), seed, keepTrace: true });
   for (const { atMs, text } of trace) print(`${(atMs / 1000).toFixed(3).padStart(10)}  ${text}`);
   print(JSON.stringify(summary, null, 2));
-  return isClean(summary) ? 0 : 1;
+  return hasPassed(summary) ? 0 : 1;
 }
--- a/packages/lab/src/simulation/fault-injector.ts
+++ b/packages/lab/src/simulation/fault-injector.ts
@@ -1,13 +1,13 @@
-/** Makes faults happen in a simulated deployment, and ends them. */
+/** Injects faults into a simulated deployment and ends them after their duration. */
 import { Random, encodeText, readJson, type SimulatedProcess } from '@woodbarrow/runtime';
 import type { PlannedFault } from './fault-plan.js';
 import type { SimulatedDeployment } from './simulated-deployment.js';
 
-const SLOW_PLATFORM_MS = 2500;
-const LOST_ANSWER_SHARE = 0.7;
-const SLOW_STORE_FACTOR = 5;
+const SLOW_PLATFORM_DELAY_MS = 2500;
+const LOST_RESPONSE_SHARE = 0.7;
+const WEIGHT_STORE_SLOWDOWN = 5;
 
-/** A span of virtual time in which something was wrong. */
+/** The interval of virtual time in which a fault was active. */
 export interface FaultSpan {
   readonly fault: PlannedFault;
   readonly fromMs: number;
@@ -15,15 +15,15 @@
   readonly target: string;
 }
 
-/** Injects faults. */
+/** Schedules planned faults and records when and where each was active. */
 export class FaultInjector {
-  /** Faults that have begun. */
+  /** Faults that have started. */
   readonly spans: FaultSpan[] = [];
-  private downCount = 0;
+  private platformOutageCount = 0;
 
   constructor(private readonly deployment: SimulatedDeployment) {}
 
-  /** Schedules all faults, `startMs` after now. */
+  /** Schedules all faults; their times count from `startMs` after now. */
   schedule(faults: readonly PlannedFault[], startMs: number): void {
     for (const fault of faults) {
       this.deployment.world.schedule(startMs + fault.atMs, () => {
@@ -76,71 +76,76 @@
         deployment.reclaimWorker(target, fault.durationMs);
         return;
       case 'cut-zone':
-        this.cut(fault, (from, to) => (from.zone === target) !== (to.zone === target));
+        this.cutConnections(fault, (from, to) => (from.zone === target) !== (to.zone === target));
         return;
       case 'cut-daemon':
-        this.cut(fault, (from, to) => from.name === target || to.name === target);
+        this.cutConnections(fault, (from, to) => from.name === target || to.name === target);
         return;
       case 'cut-one-way':
-        this.cut(fault, (from) => from.name === target);
+        this.cutConnections(fault, (from) => from.name === target);
         return;
       case 'platform-down':
-        this.downCount += 1;
+        this.platformOutageCount += 1;
         platform.faults.down = true;
-        this.after(fault, () => {
-          this.downCount -= 1;
-          platform.faults.down = this.downCount > 0;
+        this.scheduleEnd(fault, () => {
+          this.platformOutageCount -= 1;
+          platform.faults.down = this.platformOutageCount > 0;
         });
         return;
       case 'platform-slow':
-        platform.faults.delayMs = SLOW_PLATFORM_MS;
-        this.after(fault, () => {
+        platform.faults.delayMs = SLOW_PLATFORM_DELAY_MS;
+        this.scheduleEnd(fault, () => {
           platform.faults.delayMs = 0;
         });
         return;
       case 'platform-loses-answers':
-        platform.faults.loseAnswerShare = LOST_ANSWER_SHARE;
-        this.after(fault, () => {
+        platform.faults.loseAnswerShare = LOST_RESPONSE_SHARE;
+        this.scheduleEnd(fault, () => {
           platform.faults.loseAnswerShare = 0;
         });
         return;
       case 'weight-store-slow':
-        weights.slowdown = SLOW_STORE_FACTOR;
-        this.after(fault, () => {
+        weights.slowdown = WEIGHT_STORE_SLOWDOWN;
+        this.scheduleEnd(fault, () => {
           weights.slowdown = 1;
         });
         return;
       case 'operator-race':
-        void this.race(target, random);
+        void this.raceOperators(target, random);
     }
   }
 
-  /** Cuts traffic between daemons, engines and the platform; callers reach their daemon all the same. */
-  private cut(
+  /** Cuts traffic between daemons, engines and the platform; callers can still reach their daemon. */
+  private cutConnections(
     fault: PlannedFault,
     predicate: (from: SimulatedProcess, to: SimulatedProcess) => boolean,
   ): void {
     const { deployment } = this;
-    const heal = deployment.network.cut(
+    const restoreConnections = deployment.network.cut(
       (from, to) => !deployment.isClient(from) && !deployment.isClient(to) && predicate(from, to),
     );
-    this.after(fault, heal);
+    this.scheduleEnd(fault, restoreConnections);
   }
 
-  private after(fault: PlannedFault, end: () => void): void {
+  private scheduleEnd(fault: PlannedFault, end: () => void): void {
     this.deployment.world.schedule(fault.durationMs, end);
   }
 
-  /** Two operators change the same parameter from the same revision, at two daemons. */
-  private async race(tenant: string, random: Random): Promise<void> {
+  /** Changes one parameter concurrently at two daemons, from the same revision. */
+  private async raceOperators(tenant: string, random: Random): Promise<void> {
     const { deployment } = this;
     const plan = deployment.plan.tenants.find((candidate) => candidate.name === tenant);
     const token = deployment.plan.operatorTokens.get(plan?.partner ?? '') ?? '';
     const ids = random.shuffle([...deployment.daemons.keys()]).slice(0, 2);
-    await Promise.all(ids.map((id, index) => this.changeLimit(id, tenant, token, 400 + index)));
+    await Promise.all(ids.map((id, index) => this.changeQueueLimit(id, tenant, token, 400 + index)));
   }
 
-  private async changeLimit(daemonId: string, tenant: string, token: string, value: number): Promise<void> {
+  private async changeQueueLimit(
+    daemonId: string,
+    tenant: string,
+    token: string,
+    value: number,
+  ): Promise<void> {
     const { deployment } = this;
     const slot = deployment.slot(daemonId);
     const http = deployment.clientIn(slot.plan.zone);
@@ -153,7 +158,7 @@
       const withMatch = { ...headers, 'if-match': String(revision) };
       await http.send({ ...call, method: 'PATCH', headers: withMatch, body, timeoutMs: 20_000 });
     } catch {
-      // An operator whose daemon fails tries again another day.
+      // The daemon may be down or cut off; the race then has only one writer or none.
     }
   }
 }
--- a/packages/lab/src/simulation/simulation-summary.ts
+++ b/packages/lab/src/simulation/simulation-summary.ts
@@ -1,11 +1,11 @@
-/** The figures of one run. */
+/** Summarizes one simulation run. */
 import type { Violation, InForceTimes } from '../checkers/index.js';
 import { isDeferrable } from '../traffic/request-facts.js';
 import type { AcceleratorMeter } from './accelerator-meter.js';
 import type { SimulatedDeployment } from './simulated-deployment.js';
-import type { RequestStory, TrafficDriver } from './traffic-driver.js';
+import type { RequestHistory, TrafficDriver } from './traffic-driver.js';
 
-/** A distribution in milliseconds; all zero when nothing was counted. */
+/** Percentiles of a set of values, rounded; all zero for an empty set. */
 export interface Distribution {
   readonly count: number;
   readonly p50: number;
@@ -14,20 +14,20 @@
   readonly max: number;
 }
 
-/** Requests by how they ended. */
+/** Number of requests by outcome. */
 export interface RequestCounts {
   readonly sent: number;
   readonly served: number;
   readonly refused: number;
   readonly refusedByKind: Readonly<Record<string, number>>;
-  /** Ended in a visible error: an interrupted stream or a closed connection. */
+  /** Requests that ended in an interrupted stream, a closed connection or a corrupt response. */
   readonly failed: number;
   readonly unanswered: number;
-  /** Requests that must not run twice and did. */
+  /** Requests that ran twice although they must run at most once. */
   readonly doubled: number;
 }
 
-/** One line of `simulate --json`. */
+/** Result of one seed, as printed by `simulate --json`. */
 export interface SimulationSummary {
   readonly seed: number;
   readonly digest: string;
@@ -35,11 +35,11 @@
   readonly events: number;
   readonly violations: readonly Violation[];
   readonly requests: RequestCounts;
-  /** From a request's first sending to its first content, when no replica was ready for it and it could not be deferred. */
+  /** Time from first attempt to first content of served requests that found no ready replica and are not deferrable. */
   readonly coldStartMs: Distribution;
-  /** The same for deferrable requests, which are meant to wait. */
+  /** Time from first attempt to first content of served deferrable requests. */
   readonly deferredStartMs: Distribution;
-  /** From first sending to first content over all served requests that could not be deferred. */
+  /** Time from first attempt to first content of all served requests that are not deferrable. */
   readonly firstTokenMs: Distribution;
   readonly idleAcceleratorHours: number;
   readonly busyAcceleratorHours: number;
@@ -50,7 +50,7 @@
   readonly configurationInForceMs: Distribution;
 }
 
-/** What a summary is made from. */
+/** Inputs of {@link summarize}. */
 export interface SummaryInput {
   readonly deployment: SimulatedDeployment;
   readonly traffic: TrafficDriver;
@@ -60,11 +60,11 @@
   readonly seed: number;
 }
 
-/** Sums up a run. */
+/** Returns the summary of a finished run. */
 export function summarize(input: SummaryInput): SimulationSummary {
   const { deployment, traffic, violations, meter, inForceTimes, seed } = input;
-  const served = traffic.stories.filter((story) => story.attempts.at(-1)?.outcome === 'served');
-  const urgent = served.filter((story) => !isDeferrable(story.planned.request, deployment.plan));
+  const served = traffic.stories.filter((history) => history.attempts.at(-1)?.outcome === 'served');
+  const urgent = served.filter((history) => !isDeferrable(history.planned.request, deployment.plan));
   const engines = [...deployment.workers.values()].map((slot) => slot.engine.record);
   return {
     seed,
@@ -73,9 +73,11 @@
     events: deployment.world.eventCount,
     violations,
     requests: countRequests(traffic, violations),
-    coldStartMs: distributionOf(urgent.filter((story) => story.cold).map(firstTokenTime)),
-    deferredStartMs: distributionOf(served.filter((story) => !urgent.includes(story)).map(firstTokenTime)),
-    firstTokenMs: distributionOf(urgent.map(firstTokenTime)),
+    coldStartMs: distributionOf(urgent.filter((history) => history.cold).map(timeToFirstTokenMs)),
+    deferredStartMs: distributionOf(
+      served.filter((history) => !urgent.includes(history)).map(timeToFirstTokenMs),
+    ),
+    firstTokenMs: distributionOf(urgent.map(timeToFirstTokenMs)),
     idleAcceleratorHours: round(meter.idleHours),
     busyAcceleratorHours: round(meter.busyHours),
     loads: engines.reduce((total, record) => total + record.loads, 0),
@@ -86,7 +88,7 @@
   };
 }
 
-/** Percentiles of some numbers. */
+/** Returns the nearest-rank percentiles of `values`, in any unit. */
 export function distributionOf(values: readonly number[]): Distribution {
   const sorted = [...values].sort((left, right) => left - right);
   const at = (share: number): number => {
@@ -96,8 +98,8 @@
   return { count: sorted.length, p50: at(0.5), p95: at(0.95), p99: at(0.99), max: at(1) };
 }
 
-function firstTokenTime(story: RequestStory): number {
-  return (story.attempts.at(-1)?.answeredAtMs ?? story.firstSentAtMs) - story.firstSentAtMs;
+function timeToFirstTokenMs(history: RequestHistory): number {
+  return (history.attempts.at(-1)?.answeredAtMs ?? history.firstSentAtMs) - history.firstSentAtMs;
 }
 
 function countRequests(traffic: TrafficDriver, violations: readonly Violation[]): RequestCounts {
--- a/packages/lab/src/traffic/caller.ts
+++ b/packages/lab/src/traffic/caller.ts
@@ -1,18 +1,18 @@
-/** A caller: sends one request, follows its answer to the end, and notes what it was told. */
+/** A caller that sends a request, reads the response to its end and records the outcome. */
 import { decodeText, encodeText, readText, type HttpClient, type HttpResponse } from '@woodbarrow/runtime';
 import { REQUEST_ID_HEADER } from '@woodbarrow/gateway';
 import { tokenText } from '@woodbarrow/standins';
 import { TokenStream, type AnswerError } from './token-stream.js';
 
-/** What a caller wants. */
+/** A request that a caller sends. */
 export interface CallerRequest {
-  /** Unique text in the prompt, by which runs and answers are recognised. */
+  /** Unique text in the prompt that identifies the runs and responses of this request. */
   readonly marker: string;
   readonly tenant: string;
   readonly token: string;
   readonly model: string;
   readonly priorityClass: string | undefined;
-  /** Stated in the request when present. */
+  /** Allowed wait in milliseconds; not sent when undefined. */
   readonly waitMs: number | undefined;
   readonly tokens: number;
   readonly streaming: boolean;
@@ -20,35 +20,35 @@
   readonly notRepeatable: boolean;
 }
 
-/** How an attempt ended. */
+/** Outcome of an attempt. */
 export type AttemptOutcome =
   | 'served'
   | 'refused'
-  /** The stream ended in an explicit error. */
+  /** The stream ended with an explicit error. */
   | 'interrupted'
-  /** The connection could not be made or was closed without an answer. */
+  /** The connection failed or was closed without a response. */
   | 'disconnected'
-  /** A 200 whose content is not the answer to this request: always a defect. */
+  /** A response with status 200 and wrong content; always a defect. */
   | 'corrupt';
 
-/** One attempt at one daemon. */
+/** One attempt of a request at one daemon. Times are in milliseconds of the caller's clock. */
 export interface Attempt {
   readonly request: CallerRequest;
   readonly origin: string;
   readonly sentAtMs: number;
   outcome: AttemptOutcome | undefined;
-  /** Id that the answer carries. */
+  /** Request id from the response headers. */
   requestId: string | undefined;
   /** Error kind of a refusal. */
   code: string | undefined;
   ran: 'no' | 'maybe' | 'yes' | undefined;
   retryAfterSeconds: number | undefined;
-  /** Time of the answer's first content, or of the refusal. */
+  /** Time of the first content or of the refusal. */
   answeredAtMs: number | undefined;
   endedAtMs: number | undefined;
-  /** Whether the answer was stored from an earlier run. */
+  /** Whether the response was replayed from an earlier run. */
   replayed: boolean;
-  /** What is wrong with the stream as far as it came, however it ended. */
+  /** First fault in the received part of the stream, whatever the outcome. */
   streamFault: string | undefined;
 }
 
@@ -63,7 +63,7 @@
     private readonly now: () => number,
   ) {}
 
-  /** Sends a request, whose key was made `keyAgeMs` ago, to a daemon; resolves when all is known of it. */
+  /** Sends a request whose idempotency key is `keyAgeMs` old; resolves with the attempt when it has ended. */
   async send(
     request: CallerRequest,
     origin: string,
@@ -95,9 +95,9 @@
       });
       attempt.requestId = response.headers[REQUEST_ID_HEADER];
       attempt.replayed = response.headers['x-woodbarrow-replayed'] === 'true';
-      if (response.status !== 200) await this.takeRefusal(attempt, response);
-      else if (request.streaming) await this.takeStream(attempt, response);
-      else await this.takeWhole(attempt, response);
+      if (response.status !== 200) await this.readRefusal(attempt, response);
+      else if (request.streaming) await this.readStream(attempt, response);
+      else await this.readWholeResponse(attempt, response);
     } catch {
       attempt.outcome ??= 'disconnected';
     }
@@ -105,7 +105,7 @@
     return attempt;
   }
 
-  private async takeRefusal(attempt: Attempt, response: HttpResponse): Promise<void> {
+  private async readRefusal(attempt: Attempt, response: HttpResponse): Promise<void> {
     attempt.answeredAtMs = this.now();
     const body = JSON.parse(await readText(response.body)) as ErrorAnswer;
     attempt.code = body.error?.code;
@@ -115,7 +115,7 @@
     attempt.outcome = 'refused';
   }
 
-  private async takeStream(attempt: Attempt, response: HttpResponse): Promise<void> {
+  private async readStream(attempt: Attempt, response: HttpResponse): Promise<void> {
     const { marker, tokens } = attempt.request;
     const stream = new TokenStream(marker, tokens);
     const body = response.body instanceof Uint8Array ? [response.body] : response.body;
@@ -133,7 +133,7 @@
     else attempt.outcome = stream.error === undefined ? 'served' : 'interrupted';
   }
 
-  private async takeWhole(attempt: Attempt, response: HttpResponse): Promise<void> {
+  private async readWholeResponse(attempt: Attempt, response: HttpResponse): Promise<void> {
     const text = await readText(response.body);
     attempt.answeredAtMs = this.now();
     const body = JSON.parse(text) as { choices?: { message?: { content?: string } }[] };
@@ -142,14 +142,14 @@
   }
 }
 
-/** Callers send again what certainly did not run, and with a key also what may have. */
+/** Returns whether to retry: what certainly did not run, and with an idempotency key also what may have run. */
 export function shouldRetry(attempt: Attempt): boolean {
   if (attempt.outcome === 'refused' && attempt.ran === 'no') return attempt.retryAfterSeconds !== undefined;
   const unclear = attempt.outcome === 'disconnected' || attempt.code === 'already_running';
   return attempt.request.idempotencyKey !== undefined && unclear;
 }
 
-/** The answer that an engine gives to a request. */
+/** Returns the content that a stand-in engine generates for a request. */
 export function expectedContent(request: CallerRequest): string {
   return Array.from({ length: request.tokens }, (_, index) => tokenText(request.marker, index)).join('');
 }
--- a/packages/lab/src/traffic/token-stream.ts
+++ b/packages/lab/src/traffic/token-stream.ts
@@ -1,7 +1,7 @@
-/** A caller's stream of tokens, judged as it comes: in order, each token once, complete only when all have come. */
+/** Verifies a token stream incrementally: in order, without gaps or duplicates, and complete. */
 import { tokenText } from '@woodbarrow/standins';
 
-/** What a daemon says of a failure. */
+/** Error object in a daemon's response. */
 export interface AnswerError {
   readonly code?: string;
   readonly ran?: 'no' | 'maybe' | 'yes';
@@ -12,69 +12,69 @@
   readonly error?: AnswerError;
 }
 
-const DATA = 'data: ';
+const DATA_PREFIX = 'data: ';
 const END_MARK = '[DONE]';
 const EVENT_END = /\r?\n\r?\n/;
 
-/** Stream of the tokens that an engine gives to one prompt. */
+/** Parses a server-sent event stream and compares it with the tokens expected for one prompt. */
 export class TokenStream {
-  private rest = '';
+  private buffered = '';
   private tokens = 0;
   private firstFault: string | undefined;
   private lastError: AnswerError | undefined;
   private hasEndMark = false;
 
-  /** @param expected Number of tokens of the whole answer. */
+  /** @param expected Number of tokens of the complete response. */
   constructor(
     private readonly marker: string,
     private readonly expected: number,
   ) {}
 
-  /** The first thing that is wrong with it, or undefined. */
+  /** The first fault of the stream, or undefined. */
   get fault(): string | undefined {
     return this.firstFault;
   }
 
-  /** The error that it has brought, if any. */
+  /** The error event that ended the stream, if any. */
   get error(): AnswerError | undefined {
     return this.lastError;
   }
 
-  /** Takes text as it comes. */
+  /** Processes the next part of the stream; events may be split over parts. */
   add(text: string): void {
-    const events = (this.rest + text).split(EVENT_END);
-    this.rest = events.pop() ?? '';
-    for (const event of events) this.takeEvent(event);
+    const events = (this.buffered + text).split(EVENT_END);
+    this.buffered = events.pop() ?? '';
+    for (const event of events) this.processEvent(event);
   }
 
-  /** The stream has ended regularly: either it is whole, or an error has said that it is not. */
+  /** Verifies that a stream that was closed normally ends with an end mark or an error event. */
   end(): void {
-    if (this.rest !== '') this.note('ended inside an event');
-    if (!this.hasEndMark && this.lastError === undefined) this.note('ended without mark or error');
+    if (this.buffered !== '') this.recordFault('ended inside an event');
+    if (!this.hasEndMark && this.lastError === undefined) this.recordFault('ended without mark or error');
   }
 
-  private takeEvent(event: string): void {
+  private processEvent(event: string): void {
     if (this.hasEndMark || this.lastError !== undefined) {
-      this.note('something follows the end');
+      this.recordFault('something follows the end');
       return;
     }
-    if (event === DATA + END_MARK) {
+    if (event === DATA_PREFIX + END_MARK) {
       this.hasEndMark = true;
-      if (this.tokens < this.expected) this.note(`complete after ${String(this.tokens)} tokens`);
+      if (this.tokens < this.expected) this.recordFault(`complete after ${String(this.tokens)} tokens`);
       return;
     }
-    const parsed = toEvent(event);
-    if (parsed === undefined) this.note(`an event that cannot be read: ${event}`);
-    else this.takeContent(parsed);
+    const parsed = parseEvent(event);
+    if (parsed === undefined) this.recordFault(`an event that cannot be read: ${event}`);
+    else this.verifyContent(parsed);
   }
 
-  private takeContent({ choices, error }: StreamEvent): void {
+  private verifyContent({ choices, error }: StreamEvent): void {
     this.lastError = error;
     let content = choices?.[0]?.delta?.content ?? '';
     while (content !== '') {
       const token = tokenText(this.marker, this.tokens);
       if (this.tokens >= this.expected || !content.startsWith(token)) {
-        this.note(`after ${String(this.tokens)} tokens: ${content}`);
+        this.recordFault(`after ${String(this.tokens)} tokens: ${content}`);
         return;
       }
       content = content.slice(token.length);
@@ -82,17 +82,17 @@
     }
   }
 
-  private note(fault: string): void {
+  private recordFault(fault: string): void {
     this.firstFault ??= fault;
   }
 }
 
-function toEvent(text: string): StreamEvent | undefined {
-  if (!text.startsWith(DATA)) return undefined;
+function parseEvent(text: string): StreamEvent | undefined {
+  if (!text.startsWith(DATA_PREFIX)) return undefined;
   try {
-    return JSON.parse(text.slice(DATA.length)) as StreamEvent;
+    return JSON.parse(text.slice(DATA_PREFIX.length)) as StreamEvent;
   } catch {
-    // The caller could not read it either.
+    // Reported by the caller of this function as an unreadable event.
     return undefined;
   }
 }
