--- a/packages/lab/src/bench/load-generator.ts
+++ b/packages/lab/src/bench/load-generator.ts
@@ -28,8 +28,8 @@
   readonly mean: number;
 }
 
-const MICROSECONDS = 1000;
-const PATH = '/v1/chat/completions';
+const MICROSECONDS_PER_MS = 1000;
+const COMPLETIONS_PATH = '/v1/chat/completions';
 
 class Generator {
   private readonly http = new UndiciHttpClient({ connections: 1024 });
@@ -94,14 +94,22 @@
     const startedAt = this.clock.monotonic();
     try {
       const { origin, headers } = this.order;
-      const response = await this.http.send({ method: 'POST', origin, path: PATH, headers, body: this.body });
+      const response = await this.http.send({
+        method: 'POST',
+        origin,
+        path: COMPLETIONS_PATH,
+        headers,
+        body: this.body,
+      });
       await readBody(response.body);
       if (response.status !== 200) this.failures += 1;
     } catch {
       this.failures += 1;
     }
     this.requests += 1;
-    this.histogram.recordValue(Math.max(1, Math.round((this.clock.monotonic() - startedAt) * MICROSECONDS)));
+    this.histogram.recordValue(
+      Math.max(1, Math.round((this.clock.monotonic() - startedAt) * MICROSECONDS_PER_MS)),
+    );
   }
 }
 
--- a/packages/lab/src/campaign/campaign.ts
+++ b/packages/lab/src/campaign/campaign.ts
@@ -27,13 +27,13 @@
   threads = Math.min(availableParallelism(), jobs.length),
 ): Promise<CampaignResult[]> {
   const results: CampaignResult[] = [];
-  const left = [...jobs];
+  const queue = [...jobs];
   const workerFile = new URL('./campaign-worker.js', import.meta.url);
   const runThread = (): Promise<void> =>
     new Promise((resolve, reject) => {
       const worker = new Worker(workerFile);
       const next = (): void => {
-        const job = left.shift();
+        const job = queue.shift();
         if (job === undefined) {
           void worker.terminate();
           resolve();
--- a/packages/lab/src/checkers/answer-checkers.ts
+++ b/packages/lab/src/checkers/answer-checkers.ts
@@ -4,13 +4,13 @@
 import type { CheckerContext, CheckerFactory } from './checker.js';
 
 /** Network and scheduling on top of the allowed wait. */
-const ANSWER_SLACK_MS = 250;
+const ANSWER_TOLERANCE_MS = 250;
 
 /**
  * Time that an attempt may have spent running: one whose answer is not streamed, and which was not refused as not run,
  * waited only until it was sent to an engine. Its failure can be told when the template's run limit ends at the latest.
  */
-function runTimeOf(attempt: Attempt, { deployment }: CheckerContext): number {
+function maximumRunMs(attempt: Attempt, { deployment }: CheckerContext): number {
   const { request, ran } = attempt;
   if (request.streaming || attempt.outcome !== 'refused' || ran === 'no') return 0;
   const parameters = deployment.plan.tenants.find((tenant) => tenant.name === request.tenant)?.parameters;
@@ -36,8 +36,8 @@
       const answeredAt = attempt.outcome === 'refused' ? attempt.answeredAtMs : startedAt;
       if (answeredAt === undefined) return;
       const deadline =
-        attempt.sentAtMs + allowedWaitOf(attempt.request, deployment.plan) + runTimeOf(attempt, context);
-      if (answeredAt <= Math.max(deadline, pausedUntil(attempt.origin)) + ANSWER_SLACK_MS) return;
+        attempt.sentAtMs + allowedWaitOf(attempt.request, deployment.plan) + maximumRunMs(attempt, context);
+      if (answeredAt <= Math.max(deadline, pausedUntil(attempt.origin)) + ANSWER_TOLERANCE_MS) return;
       const late = Math.round(answeredAt - deadline);
       report(
         'answered-in-wait',
--- a/packages/lab/src/checkers/placement-checkers.ts
+++ b/packages/lab/src/checkers/placement-checkers.ts
@@ -2,7 +2,7 @@
 import type { CheckerFactory } from './checker.js';
 
 /** After a limit was lowered, replicas above it must be gone within this time. */
-const LOWERING_GRACE_MS = 60_000;
+const LIMIT_LOWERING_GRACE_MS = 60_000;
 /** A leaving worker may begin runs for this long: the lag of the list and the time to act on it. */
 const LEAVING_GRACE_MS = 8000;
 
@@ -24,7 +24,7 @@
     const now = deployment.world.now;
     const current = changes.at(-1)?.maximum ?? 0;
     const recent = changes.filter(
-      (_, index) => (changes[index + 1]?.atMs ?? Infinity) > now - LOWERING_GRACE_MS,
+      (_, index) => (changes[index + 1]?.atMs ?? Infinity) > now - LIMIT_LOWERING_GRACE_MS,
     );
     return Math.max(current, ...recent.map((change) => change.maximum));
   };
--- a/packages/lab/src/hollow/hollow-run.ts
+++ b/packages/lab/src/hollow/hollow-run.ts
@@ -50,13 +50,13 @@
   readonly wallSeconds: number;
 }
 
-const START_LIMIT_MS = 120_000;
-const STEADY_MS = 30_000;
-const STEP_MS = 250;
-const REACTION_LIMIT_MS = 180_000;
-const CHANGES = 8;
-const REGION_APART_MS = 60_000;
-const MEGABYTE = 1024 * 1024;
+const START_TIMEOUT_MS = 120_000;
+const STEADY_STATE_MS = 30_000;
+const POLL_STEP_MS = 250;
+const REACTION_TIMEOUT_MS = 180_000;
+const CONFIGURATION_CHANGES = 8;
+const REGION_PARTITION_MS = 60_000;
+const BYTES_PER_MEGABYTE = 1024 * 1024;
 
 /** Runs one size. */
 export async function runHollow(size: HollowSize, seed: number, wall: () => number): Promise<HollowReport> {
@@ -67,7 +67,7 @@
   const configurationInForceMs = await run.measureChanges();
   const detectionSeconds = await run.measureDetection();
   const failoverSeconds = await run.measureFailover();
-  const region = await run.measureRegionCut();
+  const region = await run.measurePartitionHeal();
   const zoneLossDetectionSeconds = await run.measureZoneLoss();
   return {
     size,
@@ -78,12 +78,12 @@
     failoverSeconds,
     zoneLossDetectionSeconds,
     regionHealSeconds: region,
-    regionApartSeconds: REGION_APART_MS / 1000,
+    regionApartSeconds: REGION_PARTITION_MS / 1000,
     wallSeconds: (wall() - startedAt) / 1000,
   };
 }
 
-type SteadyFigures = Pick<
+type SteadyStateMetrics = Pick<
   HollowReport,
   | 'roles'
   | 'cpuShareOfCoreUpperBound'
@@ -94,7 +94,7 @@
   | 'falselyDeclaredDead'
 >;
 
-interface TrafficMark {
+interface TrafficSnapshot {
   readonly bytesOut: number;
   readonly bytesIn: number;
   readonly messagesOut: number;
@@ -109,38 +109,38 @@
     private readonly size: HollowSize,
     seed: number,
   ) {
-    this.heapBefore = collectedHeap();
+    this.heapBefore = heapAfterCollection();
     const scenario = hollowScenario(size);
     this.deployment = new SimulatedDeployment({ scenario, seed });
     const random = new Random(seed);
     const traffic = new TrafficDriver(this.deployment, random.fork());
     const workload = planWorkload({ ...scenario, durationSeconds: 400 }, this.deployment.plan, random.fork());
     this.deployment.start();
-    traffic.schedule(workload, START_LIMIT_MS / 4);
+    traffic.schedule(workload, START_TIMEOUT_MS / 4);
   }
 
   /** Starts everything; seconds until all views are whole. */
   async start(): Promise<number> {
-    const agreed = await this.until(() => this.allSee(this.size.daemons), START_LIMIT_MS);
+    const agreed = await this.waitUntil(() => this.allViewsContain(this.size.daemons), START_TIMEOUT_MS);
     // Leases, voters and inventories settle before anything is measured.
-    await this.advance(START_LIMIT_MS / 4);
+    await this.advance(START_TIMEOUT_MS / 4);
     return agreed;
   }
 
-  async measureSteady(): Promise<SteadyFigures> {
-    const slots = this.alive();
-    const before = new Map(slots.map((slot) => [slot.plan.id, this.mark(slot)]));
+  async measureSteady(): Promise<SteadyStateMetrics> {
+    const slots = this.aliveDaemons();
+    const before = new Map(slots.map((slot) => [slot.plan.id, this.snapshotTraffic(slot)]));
     const cpuBefore = process.cpuUsage();
-    await this.advance(STEADY_MS);
+    await this.advance(STEADY_STATE_MS);
     const cpu = process.cpuUsage(cpuBefore);
-    const seconds = STEADY_MS / 1000;
+    const seconds = STEADY_STATE_MS / 1000;
     const cpuSeconds = (cpu.user + cpu.system) / 1_000_000;
     const counters = slots.map((slot) => slot.daemon.membership.counters);
     return {
       roles: this.roleTraffic(before, seconds),
       cpuShareOfCoreUpperBound: cpuSeconds / seconds / slots.length,
-      heapMegabytesPerDaemon: (collectedHeap() - this.heapBefore) / MEGABYTE / slots.length,
-      residentMegabytes: Math.round(process.memoryUsage().rss / MEGABYTE),
+      heapMegabytesPerDaemon: (heapAfterCollection() - this.heapBefore) / BYTES_PER_MEGABYTE / slots.length,
+      residentMegabytes: Math.round(process.memoryUsage().rss / BYTES_PER_MEGABYTE),
       platformReaders: this.deployment.platform.readers,
       falseSuspicions: sum(counters.map((counter) => counter.suspicionsStarted)),
       falselyDeclaredDead: sum(counters.map((counter) => counter.declaredDead)),
@@ -150,68 +150,73 @@
   /** Changes one object again and again; times until it is in force on every daemon. */
   async measureChanges(): Promise<Distribution> {
     const times: number[] = [];
-    for (let change = 0; change < CHANGES; change += 1) {
+    for (let change = 0; change < CONFIGURATION_CHANGES; change += 1) {
       const key = 'partners/first';
       this.deployment.platform.seed(key, { ...this.deployment.platform.get(key) });
       const revision = this.deployment.platform.currentRevision;
-      const inForce = (): boolean => this.alive().every((slot) => slot.daemon.store.revision >= revision);
-      times.push((await this.until(inForce, REACTION_LIMIT_MS, 5)) * 1000);
+      const inForce = (): boolean =>
+        this.aliveDaemons().every((slot) => slot.daemon.store.revision >= revision);
+      times.push((await this.waitUntil(inForce, REACTION_TIMEOUT_MS, 5)) * 1000);
     }
     return distributionOf(times);
   }
 
   /** Kills a daemon that holds no role. */
   async measureDetection(): Promise<number> {
-    const victim = this.alive().findLast((slot) => roleOf(slot) === 'member');
+    const victim = this.aliveDaemons().findLast((slot) => roleOf(slot) === 'member');
     if (victim === undefined) return 0;
-    this.killForGood(victim);
-    return this.until(() => this.nobodySees([victim]), REACTION_LIMIT_MS);
+    this.killPermanently(victim);
+    return this.waitUntil(() => this.isAbsentFromAllViews([victim]), REACTION_TIMEOUT_MS);
   }
 
   async measureFailover(): Promise<number> {
-    const victim = this.alive().find((slot) => slot.daemon.coordinator.isActive);
+    const victim = this.aliveDaemons().find((slot) => slot.daemon.coordinator.isActive);
     if (victim === undefined) return 0;
-    this.killForGood(victim);
-    const inZone = (): DaemonSlot[] => this.alive().filter((slot) => slot.plan.zone === victim.plan.zone);
-    return this.until(() => inZone().some((slot) => slot.daemon.coordinator.isActive), REACTION_LIMIT_MS);
+    this.killPermanently(victim);
+    const inZone = (): DaemonSlot[] =>
+      this.aliveDaemons().filter((slot) => slot.plan.zone === victim.plan.zone);
+    return this.waitUntil(
+      () => inZone().some((slot) => slot.daemon.coordinator.isActive),
+      REACTION_TIMEOUT_MS,
+    );
   }
 
-  async measureRegionCut(): Promise<number | undefined> {
+  async measurePartitionHeal(): Promise<number | undefined> {
     if (this.size.regions < 2) return undefined;
-    const region = this.alive()[0]?.plan.region;
+    const region = this.aliveDaemons()[0]?.plan.region;
     const heal = this.deployment.network.cut(
       (from, to) => (from.region === region) !== (to.region === region),
     );
-    await this.advance(REGION_APART_MS);
+    await this.advance(REGION_PARTITION_MS);
     heal();
-    const count = this.alive().length;
-    return this.until(() => this.allSee(count), REACTION_LIMIT_MS);
+    const count = this.aliveDaemons().length;
+    return this.waitUntil(() => this.allViewsContain(count), REACTION_TIMEOUT_MS);
   }
 
   async measureZoneLoss(): Promise<number | undefined> {
     if (this.size.zones < 2) return undefined;
-    const zone = this.alive().at(-1)?.plan.zone;
-    const lost = this.alive().filter((slot) => slot.plan.zone === zone);
-    for (const slot of lost) this.killForGood(slot);
-    return this.until(() => this.nobodySees(lost), REACTION_LIMIT_MS);
+    const zone = this.aliveDaemons().at(-1)?.plan.zone;
+    const lost = this.aliveDaemons().filter((slot) => slot.plan.zone === zone);
+    for (const slot of lost) this.killPermanently(slot);
+    return this.waitUntil(() => this.isAbsentFromAllViews(lost), REACTION_TIMEOUT_MS);
   }
 
-  private alive(): DaemonSlot[] {
+  private aliveDaemons(): DaemonSlot[] {
     return [...this.deployment.daemons.values()].filter((slot) => slot.process.alive);
   }
 
-  private killForGood(slot: DaemonSlot): void {
+  private killPermanently(slot: DaemonSlot): void {
     slot.process.kill();
     slot.daemon.abort();
   }
 
-  private allSee(count: number): boolean {
-    return this.alive().every((slot) => slot.daemon.membership.present().length === count);
+  private allViewsContain(count: number): boolean {
+    return this.aliveDaemons().every((slot) => slot.daemon.membership.present().length === count);
   }
 
-  private nobodySees(gone: readonly DaemonSlot[]): boolean {
+  private isAbsentFromAllViews(gone: readonly DaemonSlot[]): boolean {
     const ids = new Set(gone.map((slot) => slot.plan.id));
-    return this.alive().every((slot) =>
+    return this.aliveDaemons().every((slot) =>
       slot.daemon.membership.present().every((member) => !ids.has(member.id)),
     );
   }
@@ -222,7 +227,7 @@
   }
 
   /** Seconds until `condition` holds. @throws Error after the limit. */
-  private async until(condition: () => boolean, limitMs: number, stepMs = STEP_MS): Promise<number> {
+  private async waitUntil(condition: () => boolean, limitMs: number, stepMs = POLL_STEP_MS): Promise<number> {
     const { world } = this.deployment;
     const from = world.now;
     while (!condition()) {
@@ -232,20 +237,20 @@
     return (world.now - from) / 1000;
   }
 
-  private mark(slot: DaemonSlot): TrafficMark {
+  private snapshotTraffic(slot: DaemonSlot): TrafficSnapshot {
     const { bytesSent, bytesReceived, messagesSent } = slot.daemon.peers.traffic;
     const http = this.deployment.controlHttpBytes.get(slot.plan.id) ?? 0;
     return { bytesOut: bytesSent, bytesIn: bytesReceived, messagesOut: messagesSent, http };
   }
 
-  private roleTraffic(before: ReadonlyMap<string, TrafficMark>, seconds: number): HollowReport['roles'] {
+  private roleTraffic(before: ReadonlyMap<string, TrafficSnapshot>, seconds: number): HollowReport['roles'] {
     const roles: Partial<Record<HollowRole, RoleTraffic>> = {};
     for (const role of HOLLOW_ROLES) {
-      const slots = this.alive().filter((slot) => roleOf(slot) === role);
+      const slots = this.aliveDaemons().filter((slot) => roleOf(slot) === role);
       if (slots.length === 0) continue;
       const changes = slots.map((slot) => {
         const then = before.get(slot.plan.id) ?? { bytesOut: 0, bytesIn: 0, messagesOut: 0, http: 0 };
-        const now = this.mark(slot);
+        const now = this.snapshotTraffic(slot);
         return {
           bytesOut: (now.bytesOut - then.bytesOut) / seconds,
           bytesIn: (now.bytesIn - then.bytesIn) / seconds,
@@ -274,7 +279,7 @@
 }
 
 /** Heap in use after a full collection, in bytes. */
-function collectedHeap(): number {
+function heapAfterCollection(): number {
   setFlagsFromString('--expose-gc');
   const collect = runInNewContext('gc') as () => void;
   collect();
--- a/packages/lab/src/model/claims-model.ts
+++ b/packages/lab/src/model/claims-model.ts
@@ -23,7 +23,7 @@
 const VOTERS = 3;
 const MAJORITY = 2;
 const ROUTERS = 2;
-const NOBODY = -1;
+const NO_ROUTER = -1;
 
 interface RouterState {
   /** `idle`, `asked` (its claim may be recorded), `granted`, `ran`, or `gave_up`. */
@@ -64,9 +64,9 @@
       epoch: 0,
       leaders: 0,
       led: false,
-      taken: NOBODY,
+      taken: NO_ROUTER,
       complete: true,
-      voters: new Array<VoterState>(VOTERS).fill({ seated: true, claim: NOBODY, term: 0 }),
+      voters: new Array<VoterState>(VOTERS).fill({ seated: true, claim: NO_ROUTER, term: 0 }),
       routers: new Array<RouterState>(ROUTERS).fill({ phase: 'idle' }),
       runs: 0,
       voterLosses: 0,
@@ -85,7 +85,7 @@
 
 function leaderSteps(state: ClaimsState): Step<ClaimsState>[] {
   const steps: Step<ClaimsState>[] = [];
-  if (state.led) steps.push({ label: 'the leader fails', next: { ...state, led: false, taken: NOBODY } });
+  if (state.led) steps.push({ label: 'the leader fails', next: { ...state, led: false, taken: NO_ROUTER } });
   if (state.led || state.leaders >= CLAIMS_BOUNDS.leaders) return steps;
   for (const quorum of quorumsOf(state.voters)) {
     const newest = newestOf(quorum.map((voter) => state.voters[voter] as VoterState));
@@ -100,7 +100,7 @@
 function routerSteps(state: ClaimsState, defects: ReadonlySet<ClaimsDefect>): Step<ClaimsState>[] {
   const steps: Step<ClaimsState>[] = [];
   for (const [index, router] of state.routers.entries()) {
-    const become = (phase: RouterState['phase'], runs = 0): ClaimsState => ({
+    const withPhase = (phase: RouterState['phase'], runs = 0): ClaimsState => ({
       ...state,
       runs: state.runs + runs,
       routers: state.routers.map((other, position) => (position === index ? { phase } : other)),
@@ -108,10 +108,10 @@
     const mayRun =
       router.phase === 'granted' || (defects.has('run-before-claim') && router.phase === 'asked');
     if (router.phase === 'idle')
-      steps.push({ label: `router ${String(index)} receives the key`, next: become('asked') });
-    if (mayRun) steps.push({ label: `router ${String(index)} runs the request`, next: become('ran', 1) });
+      steps.push({ label: `router ${String(index)} receives the key`, next: withPhase('asked') });
+    if (mayRun) steps.push({ label: `router ${String(index)} runs the request`, next: withPhase('ran', 1) });
     if (router.phase === 'asked' || router.phase === 'granted') {
-      steps.push({ label: `router ${String(index)} fails or gives up`, next: become('gave_up') });
+      steps.push({ label: `router ${String(index)} fails or gives up`, next: withPhase('gave_up') });
     }
   }
   return steps;
@@ -123,9 +123,9 @@
   if (!state.led) return steps;
   for (const [index, router] of state.routers.entries()) {
     if (router.phase !== 'asked') continue;
-    const isOwn = state.taken === index || (defects.has('claimant-not-checked') && state.taken !== NOBODY);
-    if (state.taken !== NOBODY && !isOwn) continue;
-    if (state.taken === NOBODY && !state.complete && !defects.has('young-ledger-guesses')) continue;
+    const isOwn = state.taken === index || (defects.has('claimant-not-checked') && state.taken !== NO_ROUTER);
+    if (state.taken !== NO_ROUTER && !isOwn) continue;
+    if (state.taken === NO_ROUTER && !state.complete && !defects.has('young-ledger-guesses')) continue;
     if (state.taken === index && defects.has('regrant-without-record')) {
       const routers = state.routers.map((other, position) =>
         position === index ? { phase: 'granted' as const } : other,
@@ -161,7 +161,7 @@
       steps.push({ label: `${label}, and the answer is lost`, next: { ...base, taken: router } });
     } else {
       // The write failed. The key stays taken in the leader's memory.
-      const taken = defects.has('forgets-taken-on-failure') ? NOBODY : router;
+      const taken = defects.has('forgets-taken-on-failure') ? NO_ROUTER : router;
       steps.push({ label: `${label}, too few`, next: { ...base, taken } });
     }
   }
@@ -174,7 +174,7 @@
     for (const [index, voter] of state.voters.entries()) {
       if (!voter.seated) continue;
       const voters = state.voters.map((other, position) =>
-        position === index ? { seated: false, claim: NOBODY, term: 0 } : other,
+        position === index ? { seated: false, claim: NO_ROUTER, term: 0 } : other,
       );
       steps.push({
         label: `voter ${String(index)} restarts`,
@@ -192,12 +192,12 @@
 function nextEpoch(state: ClaimsState): ClaimsState {
   const seated = state.voters.filter((voter) => voter.seated);
   const sealed = seated.length >= MAJORITY;
-  const { claim, term } = sealed ? newestOf(seated) : { claim: NOBODY, term: 0 };
+  const { claim, term } = sealed ? newestOf(seated) : { claim: NO_ROUTER, term: 0 };
   return {
     ...state,
     epoch: state.epoch + 1,
     led: false,
-    taken: NOBODY,
+    taken: NO_ROUTER,
     complete: state.complete && sealed,
     voters: state.voters.map(() => ({ seated: true, claim, term })),
   };
--- a/packages/lab/src/model/lease-model.ts
+++ b/packages/lab/src/model/lease-model.ts
@@ -53,15 +53,15 @@
   { maximumFence: 2, revisions: 3, restarts: 0, restorations: 1 },
 ];
 
-const LIFETIME = 3;
-const PAUSE = 2;
-const WRITES_UNDER_WAY = 1;
+const LIFETIME_TICKS = 3;
+const PAUSE_TICKS = 2;
+const MAX_WRITES_IN_FLIGHT = 1;
 const MACHINES = [0, 1] as const;
-const NOBODY = -1;
+const NO_MACHINE = -1;
 /** Fences of one era; higher than any bound on them. */
 const FENCES_PER_ERA = 10;
 /** Ages are counted up to this: nothing depends on longer ones. */
-const OLD = LIFETIME + 1;
+const MAX_AGE_TICKS = LIFETIME_TICKS + 1;
 
 interface LeaseRecordState {
   readonly holder: number;
@@ -127,7 +127,7 @@
   fence: 0,
   revision: 0,
   era: 0,
-  confirmedAge: OLD,
+  confirmedAge: MAX_AGE_TICKS,
   actsIn: 0,
   seenRevision: 0,
   seenEra: 0,
@@ -143,20 +143,20 @@
     name: 'lease',
     bounds: {
       ...bounds,
-      lifetime: LIFETIME,
-      pause: PAUSE,
-      writesUnderWay: WRITES_UNDER_WAY,
+      lifetime: LIFETIME_TICKS,
+      pause: PAUSE_TICKS,
+      writesUnderWay: MAX_WRITES_IN_FLIGHT,
       machines: MACHINES.length,
     },
     initial: {
-      record: { holder: NOBODY, fence: 0, revision: 1, era: 0 },
+      record: { holder: NO_MACHINE, fence: 0, revision: 1, era: 0 },
       past: [],
       era: 0,
       restorationsLeft: bounds.restorations,
       machines: [IDLE, IDLE],
       writes: [],
-      lastActor: NOBODY,
-      lastActAge: OLD,
+      lastActor: NO_MACHINE,
+      lastActAge: MAX_AGE_TICKS,
       highestActedFence: 0,
       restartsLeft: bounds.restarts,
       broken: '',
@@ -164,13 +164,13 @@
     steps: (state) => {
       if (state.broken !== '' || state.record.revision > bounds.revisions) return [];
       return [
-        tick(state),
+        tickStep(state),
         ...restorations(state),
         ...MACHINES.flatMap((machine) => machineSteps(state, machine, bounds, defects)),
         ...state.writes.flatMap((_, index) => writeSteps(state, index, defects)),
       ];
     },
-    canonical: (state) => JSON.stringify({ ...state, machines: state.machines.map(relevant) }),
+    canonical: (state) => JSON.stringify({ ...state, machines: state.machines.map(relevantState) }),
     invariants: [
       { name: 'two machines never act within the pause', holds: (state) => state.broken !== 'pause' },
       { name: 'fences only rise', holds: (state) => state.broken !== 'fence' },
@@ -179,7 +179,7 @@
 }
 
 /** What the future of a machine depends on. */
-function relevant(machine: MachineState): MachineState {
+function relevantState(machine: MachineState): MachineState {
   if (machine.holds) return { ...machine, seenRevision: 0, seenEra: 0, seenAge: 0 };
   const { seenRevision, seenEra, seenAge } = machine;
   return { ...IDLE, seenRevision, seenEra, seenAge };
@@ -200,7 +200,7 @@
   }));
 }
 
-function isLeftover({ record, era }: LeaseState, defects: ReadonlySet<LeaseDefect>): boolean {
+function isStaleRecord({ record, era }: LeaseState, defects: ReadonlySet<LeaseDefect>): boolean {
   return record.era < era && !defects.has('leftover-as-current');
 }
 
@@ -209,20 +209,20 @@
   return Math.max(record.fence, era * FENCES_PER_ERA) + 1;
 }
 
-function tick(state: LeaseState): Step<LeaseState> {
-  const older = (age: number): number => Math.min(OLD, age + 1);
+function tickStep(state: LeaseState): Step<LeaseState> {
+  const incrementAge = (age: number): number => Math.min(MAX_AGE_TICKS, age + 1);
   return {
     label: 'time passes',
     next: {
       ...state,
       machines: state.machines.map((machine) => ({
         ...machine,
-        confirmedAge: older(machine.confirmedAge),
+        confirmedAge: incrementAge(machine.confirmedAge),
         actsIn: Math.max(0, machine.actsIn - 1),
-        seenAge: older(machine.seenAge),
+        seenAge: incrementAge(machine.seenAge),
       })),
-      writes: state.writes.map((write) => ({ ...write, age: older(write.age) })),
-      lastActAge: older(state.lastActAge),
+      writes: state.writes.map((write) => ({ ...write, age: incrementAge(write.age) })),
+      lastActAge: incrementAge(state.lastActAge),
     },
   };
 }
@@ -240,8 +240,8 @@
     const next = { ...withMachine(state, index, IDLE), writes, restartsLeft: state.restartsLeft - 1 };
     steps.push({ label: `${String(index)} is started again`, next });
   }
-  const end = LIFETIME - (defects.has('no-pause-before-end') ? 0 : PAUSE);
-  if (machine.holds && machine.actsIn === 0 && machine.confirmedAge < end) steps.push(act(state, index));
+  const end = LIFETIME_TICKS - (defects.has('no-pause-before-end') ? 0 : PAUSE_TICKS);
+  if (machine.holds && machine.actsIn === 0 && machine.confirmedAge < end) steps.push(actStep(state, index));
   if (!machine.holds) steps.push(...candidateSteps(state, index, bounds, defects));
   else steps.push(...holderSteps(state, index, bounds, defects));
   return steps;
@@ -256,12 +256,12 @@
 ): Step<LeaseState>[] {
   const machine = state.machines[index] as MachineState;
   const { record, era } = state;
-  const isFree = !isLeftover(state, defects) && (record.holder === NOBODY || record.holder === index);
+  const isFree = !isStaleRecord(state, defects) && (record.holder === NO_MACHINE || record.holder === index);
   const unchanged = machine.seenRevision === record.revision && machine.seenEra === era;
-  const waited = unchanged && machine.seenAge >= LIFETIME;
+  const waited = unchanged && machine.seenAge >= LIFETIME_TICKS;
   if (isFree || waited || defects.has('no-wait-for-lifetime')) {
-    const isReleased = record.holder === NOBODY && record.fence > 0 && !isLeftover(state, defects);
-    const pause = isReleased && !defects.has('no-pause-after-release') ? PAUSE + 1 : 0;
+    const isReleased = record.holder === NO_MACHINE && record.fence > 0 && !isStaleRecord(state, defects);
+    const pause = isReleased && !defects.has('no-pause-after-release') ? PAUSE_TICKS + 1 : 0;
     return send(
       state,
       index,
@@ -284,14 +284,14 @@
 ): Step<LeaseState>[] {
   const machine = state.machines[index] as MachineState;
   const { record } = state;
-  if (isLeftover(state, defects)) return afterRestoration(state, index, bounds, defects);
-  const known = { ...machine, revision: record.revision, era: state.era };
+  if (isStaleRecord(state, defects)) return afterRestoration(state, index, bounds, defects);
+  const refreshed = { ...machine, revision: record.revision, era: state.era };
   const isOurs = record.holder === index && record.fence === machine.fence;
   const afterReading = !isOurs
     ? { ...machine, holds: false }
     : defects.has('confirm-by-reading')
-      ? { ...known, confirmedAge: 0 }
-      : known;
+      ? { ...refreshed, confirmedAge: 0 }
+      : refreshed;
   const released = withMachine(state, index, { ...machine, holds: false });
   return [
     { label: `${String(index)} reads its lease back`, next: withMachine(state, index, afterReading) },
@@ -300,7 +300,7 @@
       released,
       index,
       bounds,
-      { holder: NOBODY, fence: machine.fence, actsIn: 0 },
+      { holder: NO_MACHINE, fence: machine.fence, actsIn: 0 },
       'gives the lease back',
     ),
   ];
@@ -315,19 +315,19 @@
 ): Step<LeaseState>[] {
   const machine = state.machines[index] as MachineState;
   const renewal = { holder: index, fence: machine.fence, actsIn: machine.actsIn };
-  const unaware = send(state, index, bounds, renewal, 'renews as in the era before');
-  if (machine.confirmedAge >= LIFETIME - PAUSE && !defects.has('go-on-after-lifetime'))
+  const oldEraRenewal = send(state, index, bounds, renewal, 'renews as in the era before');
+  if (machine.confirmedAge >= LIFETIME_TICKS - PAUSE_TICKS && !defects.has('go-on-after-lifetime'))
     return [
-      ...unaware,
+      ...oldEraRenewal,
       {
         label: `${String(index)} has run out in the era before`,
         next: withMachine(state, index, { ...machine, holds: false }),
       },
     ];
-  const knowing = { ...machine, revision: state.record.revision, era: state.era };
+  const updated = { ...machine, revision: state.record.revision, era: state.era };
   return [
-    ...unaware,
-    ...send(withMachine(state, index, knowing), index, bounds, renewal, 'writes its lease anew'),
+    ...oldEraRenewal,
+    ...send(withMachine(state, index, updated), index, bounds, renewal, 'writes its lease anew'),
   ];
 }
 
@@ -338,11 +338,11 @@
   write: Pick<WriteState, 'holder' | 'fence' | 'actsIn'>,
   label: string,
 ): Step<LeaseState>[] {
-  const isBusy = state.writes.filter((other) => other.machine === machine).length >= WRITES_UNDER_WAY;
+  const isBusy = state.writes.filter((other) => other.machine === machine).length >= MAX_WRITES_IN_FLIGHT;
   if (isBusy || write.fence % FENCES_PER_ERA > bounds.maximumFence) return [];
-  const known = state.machines[machine] as MachineState;
-  const { revision: expected, era } = known.holds
-    ? known
+  const writer = state.machines[machine] as MachineState;
+  const { revision: expected, era } = writer.holds
+    ? writer
     : { revision: state.record.revision, era: state.era };
   const sent: WriteState = { ...write, machine, expected, era, madeInEra: 0, age: 0, made: 0 };
   return [{ label: `${String(machine)} ${label}`, next: { ...state, writes: [...state.writes, sent] } }];
@@ -352,14 +352,16 @@
 function writeSteps(state: LeaseState, index: number, defects: ReadonlySet<LeaseDefect>): Step<LeaseState>[] {
   const write = state.writes[index] as WriteState;
   const name = `the write of ${String(write.machine)}`;
-  const gone = { ...state, writes: state.writes.filter((_, other) => other !== index) };
+  const withoutWrite = { ...state, writes: state.writes.filter((_, other) => other !== index) };
   if (write.made > 0) {
-    const lost = { label: `the answer to ${name} is lost`, next: gone };
+    const lost = { label: `the answer to ${name} is lost`, next: withoutWrite };
     const confirms = write.madeInEra === write.era || defects.has('confirm-in-another-era');
-    return write.holder === NOBODY || !confirms ? [lost] : [lost, answer(gone, write, defects)];
+    return write.holder === NO_MACHINE || !confirms
+      ? [lost]
+      : [lost, answerStep(withoutWrite, write, defects)];
   }
   const applies = write.expected === state.record.revision || defects.has('no-compare');
-  if (!applies) return [{ label: `${name} meets another revision`, next: gone }];
+  if (!applies) return [{ label: `${name} meets another revision`, next: withoutWrite }];
   // The store takes a write that changes nothing for no change; renewals therefore count.
   const isRenewal = write.holder === state.record.holder && write.fence === state.record.fence;
   const isUnchanged = isRenewal && defects.has('unchanged-renewal');
@@ -371,7 +373,11 @@
   return [{ label: `${name} is carried out`, next: { ...state, record, past, writes } }];
 }
 
-function answer(state: LeaseState, write: WriteState, defects: ReadonlySet<LeaseDefect>): Step<LeaseState> {
+function answerStep(
+  state: LeaseState,
+  write: WriteState,
+  defects: ReadonlySet<LeaseDefect>,
+): Step<LeaseState> {
   const holder: MachineState = {
     ...(state.machines[write.machine] as MachineState),
     holds: true,
@@ -387,10 +393,10 @@
   };
 }
 
-function act(state: LeaseState, index: number): Step<LeaseState> {
+function actStep(state: LeaseState, index: number): Step<LeaseState> {
   const machine = state.machines[index] as MachineState;
-  const isOther = state.lastActor !== NOBODY && state.lastActor !== index;
-  const tooSoon = isOther && state.lastActAge < PAUSE;
+  const isOther = state.lastActor !== NO_MACHINE && state.lastActor !== index;
+  const tooSoon = isOther && state.lastActAge < PAUSE_TICKS;
   const isLower =
     machine.fence < state.highestActedFence || (isOther && machine.fence === state.highestActedFence);
   return {
--- a/packages/lab/src/model/order-model.ts
+++ b/packages/lab/src/model/order-model.ts
@@ -85,10 +85,10 @@
   if (operation === 'load' ? counted >= ORDER_BOUNDS.capacity : counted === 0) return [];
   const order = { operation, expected: state.sequence };
   const sent = { ...state, counted, ordersLeft: state.ordersLeft - 1 };
-  const taken = carryOut(sent, order, defects);
-  const isTaken = taken !== sent;
-  const answered = isTaken
-    ? { ...taken, sequence: state.sequence + 1, counted: counted + (operation === 'load' ? 1 : -1) }
+  const executed = carryOut(sent, order, defects);
+  const isExecuted = executed !== sent;
+  const answered = isExecuted
+    ? { ...executed, sequence: state.sequence + 1, counted: counted + (operation === 'load' ? 1 : -1) }
     : // A conflict: the worker has taken an order that is not known here.
       defects.has('forget-uncertain')
       ? { ...sent, sequence: state.worker.sequence }
@@ -100,7 +100,7 @@
   };
   const steps = [
     { label: `${operation} is answered`, next: answered },
-    { label: `${operation} is carried out unanswered`, next: { ...taken, ...unknown } },
+    { label: `${operation} is carried out unanswered`, next: { ...executed, ...unknown } },
   ];
   if (state.late.length < ORDER_BOUNDS.late) {
     steps.push({
@@ -117,8 +117,8 @@
   defects: ReadonlySet<OrderDefect>,
 ): Step<OrderModelState> {
   const order = state.late[index] as OrderState;
-  const left = { ...state, late: state.late.filter((_, other) => other !== index) };
-  return { label: `${order.operation} is carried out late`, next: carryOut(left, order, defects) };
+  const remaining = { ...state, late: state.late.filter((_, other) => other !== index) };
+  return { label: `${order.operation} is carried out late`, next: carryOut(remaining, order, defects) };
 }
 
 /** Returns the same state when the worker does not take the order. */
--- a/packages/lab/src/model/placement-model.ts
+++ b/packages/lab/src/model/placement-model.ts
@@ -128,7 +128,7 @@
     const seats = state.seats[state.epoch] as readonly SeatState[];
     for (const quorum of QUORUMS) {
       const members = quorum.map((voter) => seats[voter] as SeatState);
-      const ready = members.every((seat) => seat.seated && !seat.sealed && this.mayGrant(seat));
+      const ready = members.every((seat) => seat.seated && !seat.sealed && this.canGrant(seat));
       const term = Math.max(...members.map((seat) => seat.term)) + 1;
       if (!ready || term > this.bounds.terms) continue;
       steps.push({
@@ -138,7 +138,7 @@
     }
   }
 
-  private mayGrant(seat: SeatState): boolean {
+  private canGrant(seat: SeatState): boolean {
     return seat.holder < 0 || this.defects.has('no-wait-for-old-lease');
   }
 
@@ -154,14 +154,14 @@
       quorum.includes(voter) ? { ...seat, term, holder: index } : seat,
     );
     const blank = this.idleCoordinator();
-    const blind = this.defects.has('no-inventory');
+    const skipsInventory = this.defects.has('no-inventory');
     const holder: CoordinatorState = {
       ...blank,
       valid: true,
       epoch: state.epoch,
       term,
-      complete: blind || newest.complete,
-      mayHold: blind ? blank.mayHold : newest.record,
+      complete: skipsInventory || newest.complete,
+      mayHold: skipsInventory ? blank.mayHold : newest.record,
     };
     let next: PlacementState = {
       ...state,
@@ -231,7 +231,7 @@
     const order = (holder.orders[worker] ?? 0) + (raises ? 1 : 0);
     const fence = fenceOf(holder, order);
     if (target.fence > fence || order > this.bounds.ordersPerLease) return;
-    const learnt = this.withHolder(state, index, {
+    const updated = this.withHolder(state, index, {
       reached: replace(holder.reached, worker, true),
       mayHold: replace(holder.mayHold, worker, target.loaded),
       unknown: replace(holder.unknown, worker, false),
@@ -240,7 +240,7 @@
     const workers = replace(state.workers, worker, raises ? { ...target, fence } : target);
     steps.push({
       label: `coordinator ${String(index)} fences worker ${String(worker)}`,
-      next: { ...learnt, workers },
+      next: { ...updated, workers },
     });
   }
 
@@ -253,9 +253,9 @@
   ): void {
     const holder = state.coordinators[index] as CoordinatorState;
     const allReached = holder.reached.every(Boolean);
-    const mayDecide = holder.complete || allReached;
-    const anywhere = holder.mayHold.some(Boolean) || holder.unknown.some(Boolean);
-    if (!mayDecide || anywhere || holder.recorded >= 0 || holder.reached[worker] !== true) return;
+    const canDecide = holder.complete || allReached;
+    const mayBeLoaded = holder.mayHold.some(Boolean) || holder.unknown.some(Boolean);
+    if (!canDecide || mayBeLoaded || holder.recorded >= 0 || holder.reached[worker] !== true) return;
     const mayHold = replace(holder.mayHold, worker, true);
     const decided = this.withHolder(state, index, { mayHold, recorded: worker });
     const label = `coordinator ${String(index)} records worker ${String(worker)}`;
@@ -343,25 +343,25 @@
 
   private voterEvents(state: PlacementState, steps: Step<PlacementState>[]): void {
     for (const [epoch, seats] of state.seats.entries()) {
-      this.lapse(state, epoch, steps);
+      this.expireLeases(state, epoch, steps);
       for (const voter of seats.keys()) this.loseVoter(state, epoch, voter, steps);
     }
     this.nextEpoch(state, steps);
   }
 
   /** Leases that their holders count as ended lapse at the voters of an epoch. */
-  private lapse(state: PlacementState, epoch: number, steps: Step<PlacementState>[]): void {
+  private expireLeases(state: PlacementState, epoch: number, steps: Step<PlacementState>[]): void {
     const seats = state.seats[epoch] as readonly SeatState[];
-    const isOver = (seat: SeatState): boolean => {
+    const hasEnded = (seat: SeatState): boolean => {
       const holder = state.coordinators[seat.holder];
       const stillHeld = holder?.valid === true && holder.epoch === epoch && holder.term === seat.term;
       return seat.holder >= 0 && !stillHeld;
     };
-    if (!seats.some(isOver)) return;
-    const lapsed = seats.map((seat) => (isOver(seat) ? { ...seat, holder: -1 } : seat));
+    if (!seats.some(hasEnded)) return;
+    const expired = seats.map((seat) => (hasEnded(seat) ? { ...seat, holder: -1 } : seat));
     steps.push({
       label: `ended leases lapse at the voters of epoch ${String(epoch)}`,
-      next: { ...state, seats: replace(state.seats, epoch, lapsed) },
+      next: { ...state, seats: replace(state.seats, epoch, expired) },
     });
   }
 
--- a/packages/lab/src/policies/policy-simulator.ts
+++ b/packages/lab/src/policies/policy-simulator.ts
@@ -56,7 +56,7 @@
   readonly worker: Worker;
   readyAt: number;
   /** Ends of the runs under way. */
-  ends: number[];
+  runEnds: number[];
   /** End of the last run, from which idleness counts. */
   idleSince: number;
 }
@@ -77,9 +77,9 @@
   private readonly models = new Map<string, Model>();
   private readonly workers: Worker[];
   private readonly replicas = new Map<string, Replica>();
-  private readonly storeEnds: number[] = [];
-  private readonly cold: number[] = [];
-  private readonly all: number[] = [];
+  private readonly storeLoadEnds: number[] = [];
+  private readonly coldStartWaitsMs: number[] = [];
+  private readonly waitsMs: number[] = [];
   private readonly nextArrival: readonly number[];
   private idleMs = 0;
   private loads = 0;
@@ -119,8 +119,8 @@
     return {
       policy: this.policy,
       seed: this.input.seed,
-      coldStartMs: distributionOf(this.cold),
-      firstTokenMs: distributionOf(this.all),
+      coldStartMs: distributionOf(this.coldStartWaitsMs),
+      firstTokenMs: distributionOf(this.waitsMs),
       idleAcceleratorHours: Math.round((this.idleMs / MS_PER_HOUR) * 1000) / 1000,
       loads: this.loads,
       late: this.late,
@@ -138,26 +138,26 @@
       this.policy === 'uncoordinated'
         ? `${model.id}@${String(index % this.input.plan.daemons.length)}`
         : model.id;
-    const known = this.replicas.get(key);
-    const replica = known ?? this.load(model, key, now, false);
-    const wasReady = known !== undefined && known.readyAt <= now;
+    const existing = this.replicas.get(key);
+    const replica = existing ?? this.load(model, key, now, false);
+    const wasReady = existing !== undefined && existing.readyAt <= now;
     const beginsAt = replica === undefined ? Infinity : slotFreeAt(replica, now);
     const waitMs = beginsAt - now + PREFILL_MS;
     if (waitMs > allowedWaitOf(request, this.input.plan)) this.late += 1;
     if (replica === undefined || beginsAt === Infinity) return;
     const endsAt = beginsAt + PREFILL_MS + request.tokens * TOKEN_MS;
     // Between two runs the replica was idle: that time counts now.
-    if (replica.ends.length === 0) this.countIdle(replica, beginsAt);
-    replica.ends.push(endsAt);
+    if (replica.runEnds.length === 0) this.countIdle(replica, beginsAt);
+    replica.runEnds.push(endsAt);
     replica.idleSince = Math.max(replica.idleSince, endsAt);
     if (isDeferrable(request, this.input.plan)) return;
-    this.all.push(waitMs);
-    if (!wasReady) this.cold.push(waitMs);
-    if (this.policy === 'oracle') this.dropUnlessWorthKeeping(replica, index);
+    this.waitsMs.push(waitMs);
+    if (!wasReady) this.coldStartWaitsMs.push(waitMs);
+    if (this.policy === 'oracle') this.unloadUnlessWorthKeeping(replica, index);
   }
 
   /** The oracle knows when the next request comes, and keeps a replica only if that is worth its idle time. */
-  private dropUnlessWorthKeeping(replica: Replica, index: number): void {
+  private unloadUnlessWorthKeeping(replica: Replica, index: number): void {
     const { model } = replica;
     const gapMs = (this.nextArrival[index] ?? Infinity) - replica.idleSince;
     const weightRatio = model.coldStartWeight / Math.max(0.01, 1 - model.coldStartWeight);
@@ -165,27 +165,28 @@
     if (gapMs > worthMs) this.unload(replica, replica.idleSince);
   }
 
-  private load(model: Model, key: string, now: number, quietly: boolean): Replica | undefined {
-    const worker = this.pickWorker(model, now, quietly);
+  private load(model: Model, key: string, now: number, isPreload: boolean): Replica | undefined {
+    const worker = this.pickWorker(model, now, isPreload);
     if (worker === undefined) return undefined;
     const loadMs = this.loadMs(model, worker);
     const remote = !worker.host.includes(model.checkpoint) && !worker.disk.has(model.checkpoint);
-    const startsAt = remote && this.policy !== 'oracle' && !quietly ? this.storeSlot(now, loadMs) : now;
-    const readyAt = quietly ? 0 : startsAt + loadMs;
+    const startsAt =
+      remote && this.policy !== 'oracle' && !isPreload ? this.reserveStoreSlot(now, loadMs) : now;
+    const readyAt = isPreload ? 0 : startsAt + loadMs;
     worker.freeGib -= model.parameters.memoryGib;
     worker.disk.add(model.checkpoint);
     const cached = worker.host.indexOf(model.checkpoint);
     if (cached >= 0) worker.host.splice(cached, 1);
     worker.host.push(model.checkpoint);
     if (worker.host.length > HOST_CACHE_SIZE && this.policy !== 'oracle') worker.host.shift();
-    const replica: Replica = { key, model, worker, readyAt, ends: [], idleSince: readyAt };
+    const replica: Replica = { key, model, worker, readyAt, runEnds: [], idleSince: readyAt };
     this.replicas.set(key, replica);
     this.loads += 1;
     return replica;
   }
 
   /** The oracle takes the worker with the nearest copy; the others the one with most free memory. */
-  private pickWorker(model: Model, now: number, quietly: boolean): Worker | undefined {
+  private pickWorker(model: Model, now: number, isPreload: boolean): Worker | undefined {
     const needed = model.parameters.memoryGib;
     const byPolicy = (left: Worker, right: Worker): number =>
       this.policy === 'oracle'
@@ -193,14 +194,14 @@
         : right.freeGib - left.freeGib;
     if (this.policy === 'oracle') return [...this.workers].sort(byPolicy)[0];
     const fitting = this.workers.filter((worker) => worker.freeGib >= needed).sort(byPolicy);
-    if (fitting[0] !== undefined || quietly) return fitting[0];
-    return this.makeRoom(needed, now);
+    if (fitting[0] !== undefined || isPreload) return fitting[0];
+    return this.evictIdle(needed, now);
   }
 
   /** Drops the replicas that have been idle longest until one worker has room. */
-  private makeRoom(needed: number, now: number): Worker | undefined {
+  private evictIdle(needed: number, now: number): Worker | undefined {
     const idle = [...this.replicas.values()]
-      .filter((replica) => replica.readyAt <= now && replica.ends.every((end) => end <= now))
+      .filter((replica) => replica.readyAt <= now && replica.runEnds.every((end) => end <= now))
       .sort((left, right) => left.idleSince - right.idleSince);
     for (const replica of idle) {
       this.unload(replica, now);
@@ -216,11 +217,11 @@
   }
 
   /** When the weight store can begin another load. */
-  private storeSlot(now: number, loadMs: number): number {
-    const active = this.storeEnds.filter((end) => end > now).sort((left, right) => left - right);
+  private reserveStoreSlot(now: number, loadMs: number): number {
+    const active = this.storeLoadEnds.filter((end) => end > now).sort((left, right) => left - right);
     const limit = this.input.scenario.weightStore.concurrentLoads;
     const startsAt = active.length < limit ? now : (active[active.length - limit] ?? now);
-    this.storeEnds.push(startsAt + loadMs);
+    this.storeLoadEnds.push(startsAt + loadMs);
     return startsAt;
   }
 
@@ -228,8 +229,8 @@
     if (this.policy === 'always-warm' || this.policy === 'oracle') return;
     const keepMs = this.policy === 'uncoordinated' ? UNCOORDINATED_KEEP_ALIVE_MS : FIXED_KEEP_ALIVE_MS;
     for (const replica of [...this.replicas.values()]) {
-      replica.ends = replica.ends.filter((end) => end > now);
-      if (replica.ends.length === 0 && now - replica.idleSince > keepMs)
+      replica.runEnds = replica.runEnds.filter((end) => end > now);
+      if (replica.runEnds.length === 0 && now - replica.idleSince > keepMs)
         this.unload(replica, replica.idleSince + keepMs);
     }
   }
@@ -250,8 +251,8 @@
 /** When the replica can take one more run. */
 function slotFreeAt(replica: Replica, now: number): number {
   const from = Math.max(now, replica.readyAt);
-  replica.ends = replica.ends.filter((end) => end > now);
-  const running = [...replica.ends].sort((left, right) => left - right);
+  replica.runEnds = replica.runEnds.filter((end) => end > now);
+  const running = [...replica.runEnds].sort((left, right) => left - right);
   const limit = replica.model.parameters.concurrency;
   if (running.length < limit) return from;
   return Math.max(from, running[running.length - limit] ?? from);
--- a/packages/lab/src/real/real-deployment.ts
+++ b/packages/lab/src/real/real-deployment.ts
@@ -67,9 +67,9 @@
   maximumMemoryShare: number;
 }
 
-const COMMAND = fileURLToPath(new URL('../../../../cli/bin/woodbarrow.js', import.meta.url));
+const COMMAND_PATH = fileURLToPath(new URL('../../../../cli/bin/woodbarrow.js', import.meta.url));
 const LOOPBACK = '127.0.0.1';
-const READY_LIMIT_MS = 30_000;
+const READY_TIMEOUT_MS = 30_000;
 const READY_POLL_MS = 100;
 
 /** Starts and stops everything. */
@@ -124,14 +124,14 @@
     }
     const file = join(this.folder, `${daemon.plan.id}.yaml`);
     writeFileSync(file, stringify(daemon.settings));
-    daemon.process = spawn(process.execPath, [COMMAND, 'serve', '--settings', file], {
+    daemon.process = spawn(process.execPath, [COMMAND_PATH, 'serve', '--settings', file], {
       stdio: ['ignore', 'ignore', 'inherit'],
     });
   }
 
   /** Waits until a daemon says that it is ready. @throws Error after a time. */
   async waitReady(daemon: RealDaemon): Promise<void> {
-    const until = this.clock.monotonic() + READY_LIMIT_MS;
+    const until = this.clock.monotonic() + READY_TIMEOUT_MS;
     while (this.clock.monotonic() < until) {
       const response = await this.http
         .send({ method: 'GET', origin: daemon.operatorOrigin, path: '/readyz', timeoutMs: 1000 })
@@ -175,7 +175,7 @@
 
   /** Starts a killed worker anew, empty, at the same address. */
   async restartWorker(worker: RealWorker): Promise<void> {
-    worker.engine = this.engineOf(worker.plan);
+    worker.engine = this.createEngine(worker.plan);
     worker.server = await serveHttp({
       address: worker.origin.slice('http://'.length),
       handler: worker.engine.handler,
@@ -208,7 +208,7 @@
   }
 
   private async startWorker(plan: WorkerPlan): Promise<void> {
-    const engine = this.engineOf(plan);
+    const engine = this.createEngine(plan);
     const server = await serveHttp({ address: `${LOOPBACK}:0`, handler: engine.handler });
     const origin = `http://${server.address}`;
     this.workers.push({ plan, origin, engine, server });
@@ -216,7 +216,7 @@
     this.machines.seed({ id, zone, region, kind: 'worker', address: origin, state: 'live' });
   }
 
-  private engineOf(plan: WorkerPlan): EngineStandIn {
+  private createEngine(plan: WorkerPlan): EngineStandIn {
     const factor = this.options.loadTimeFactor ?? 1;
     const engine = new EngineStandIn({
       workerId: plan.id,
@@ -233,13 +233,13 @@
       },
     });
     engine.onChange = () => {
-      this.observe();
+      this.updateObservations();
     };
     this.records.push(engine.record);
     return engine;
   }
 
-  private observe(): void {
+  private updateObservations(): void {
     const counts = new Map<string, number>();
     for (const { engine, server } of this.workers) {
       if (server === undefined) continue;
--- a/packages/lab/src/real/real-traffic.ts
+++ b/packages/lab/src/real/real-traffic.ts
@@ -6,7 +6,7 @@
 import type { RealDaemon, RealDeployment } from './real-deployment.js';
 
 /** A request with all its attempts. */
-interface RealStory {
+interface RequestHistory {
   readonly planned: PlannedRequest;
   readonly attempts: Attempt[];
   done: boolean;
@@ -27,11 +27,11 @@
   readonly firstContentMs: readonly number[];
 }
 
-const RETRY_PAUSE_MS = 200;
+const RETRY_DELAY_MS = 200;
 
 /** Drives traffic in real time. */
 export class RealTraffic {
-  private readonly stories: RealStory[] = [];
+  private readonly histories: RequestHistory[] = [];
   private readonly pending = new Set<Promise<void>>();
   private readonly caller: Caller;
 
@@ -44,7 +44,7 @@
 
   /** Requests sent, and those that have ended. */
   get progress(): { readonly sent: number; readonly ended: number } {
-    return { sent: this.stories.length, ended: this.stories.filter((story) => story.done).length };
+    return { sent: this.histories.length, ended: this.histories.filter((story) => story.done).length };
   }
 
   /** Sends all requests at their times; resolves when the last has been sent. */
@@ -60,9 +60,9 @@
 
   /** Sends one request now, to a given daemon first if one is named. */
   begin(planned: PlannedRequest, first?: RealDaemon): void {
-    const story: RealStory = { planned, attempts: [], done: false };
-    this.stories.push(story);
-    const running = this.follow(story, first).finally(() => this.pending.delete(running));
+    const story: RequestHistory = { planned, attempts: [], done: false };
+    this.histories.push(story);
+    const running = this.sendWithRetries(story, first).finally(() => this.pending.delete(running));
     this.pending.add(running);
   }
 
@@ -76,7 +76,7 @@
     const refusedByKind: Record<string, number> = {};
     const firstContentMs: number[] = [];
     const counts = { served: 0, failed: 0, lost: 0 };
-    for (const { attempts, done } of this.stories) {
+    for (const { attempts, done } of this.histories) {
       const last = attempts.at(-1);
       if (!done || last?.outcome === undefined || last.outcome === 'corrupt') counts.lost += 1;
       else if (last.outcome === 'served') {
@@ -87,26 +87,26 @@
       } else counts.failed += 1;
     }
     return {
-      sent: this.stories.length,
+      sent: this.histories.length,
       ...counts,
       refusedByKind,
-      doubled: this.countDoubled(),
+      doubled: this.countDuplicateRuns(),
       firstContentMs,
     };
   }
 
-  private countDoubled(): number {
+  private countDuplicateRuns(): number {
     const runs = new Map<string, number>();
     for (const record of this.deployment.engineRecords) {
       for (const [marker, count] of record.runs) runs.set(marker, (runs.get(marker) ?? 0) + count);
     }
-    return this.stories.filter(({ planned: { request } }) => {
-      const guarded = request.idempotencyKey !== undefined || request.notRepeatable;
-      return guarded && (runs.get(request.marker) ?? 0) > 1;
+    return this.histories.filter(({ planned: { request } }) => {
+      const mustRunOnce = request.idempotencyKey !== undefined || request.notRepeatable;
+      return mustRunOnce && (runs.get(request.marker) ?? 0) > 1;
     }).length;
   }
 
-  private async follow(story: RealStory, first: RealDaemon | undefined): Promise<void> {
+  private async sendWithRetries(story: RequestHistory, first: RealDaemon | undefined): Promise<void> {
     const { planned } = story;
     const { clock } = this.deployment;
     const firstSentAt = clock.monotonic();
@@ -118,12 +118,12 @@
         story.attempts.push(started);
       });
       if (left <= 0 || !shouldRetry(attempt)) break;
-      await sleep(clock, (attempt.retryAfterSeconds ?? 0) * 1000 + RETRY_PAUSE_MS);
+      await sleep(clock, (attempt.retryAfterSeconds ?? 0) * 1000 + RETRY_DELAY_MS);
     }
     story.done = true;
   }
 
-  private pickOrigin(story: RealStory): string {
+  private pickOrigin(story: RequestHistory): string {
     const last = story.attempts.at(-1)?.origin;
     const others = this.deployment.daemons.filter((daemon) => daemon.callerOrigin !== last);
     return this.random.pick(others)?.callerOrigin ?? '';
--- a/packages/standins/src/engine.ts
+++ b/packages/standins/src/engine.ts
@@ -108,16 +108,16 @@
 
 const MIB_PER_GIB = 1024;
 const DEFAULT_HOST_CACHE_SIZE = 4;
-const PEER_COPY_SHARE = 0.4;
+const PEER_COPY_TIME_FACTOR = 0.4;
 const UNLOAD_MS = 300;
 const ADAPTER_LOAD_MS = 200;
 const PREFILL_MS = 40;
-const STEP_MS = 20;
-const STEP_MS_PER_RUNNING = 0.5;
+const TOKEN_STEP_MS = 20;
+const TOKEN_STEP_MS_PER_RUN = 0.5;
 const DEFAULT_TOKENS = 16;
-const MARKER = /#([A-Za-z0-9_.-]+)/;
+const MARKER_PATTERN = /#([A-Za-z0-9_.-]+)/;
 /** Bytes of an event that are sent ahead, inside its data. */
-const SPLIT_AT = 12;
+const SPLIT_OFFSET_BYTES = 12;
 const NOT_STARTED = { 'x-not-started': 'true' };
 
 /** One worker's engine. */
@@ -181,14 +181,14 @@
     const [path, query] = request.path.split('?', 2);
     const known = Number(new URLSearchParams(query).get('caches-since') ?? NaN);
     if (path === '/inventory') return jsonResponse(200, this.inventory(known));
-    if (path === '/orders') return this.takeOrder(request, known);
+    if (path === '/orders') return this.handleOrder(request, known);
     if (path === '/v1/chat/completions' || path === '/v1/completions') return this.complete(request);
     return jsonResponse(404, {});
   };
 
   /** What is held now, without caches that the asker knows. */
-  private inventory(knownCaches: number): object {
-    const cachesKnown = knownCaches === this.cacheGeneration;
+  private inventory(knownCacheGeneration: number): object {
+    const isCacheCurrent = knownCacheGeneration === this.cacheGeneration;
     const { workerId, accelerators, memoryGib } = this.options;
     return {
       workerId,
@@ -198,7 +198,7 @@
       generation: this.generation,
       draining: this.draining,
       cacheGeneration: this.cacheGeneration,
-      ...(cachesKnown ? {} : { hostCache: this.hostCache, diskCache: [...this.diskCache] }),
+      ...(isCacheCurrent ? {} : { hostCache: this.hostCache, diskCache: [...this.diskCache] }),
       models: [...this.models.values()].map(
         ({ model, version, state, memoryGib: held, adapters, concurrency, running }) => ({
           model,
@@ -213,7 +213,7 @@
     };
   }
 
-  private takeOrder(request: HttpRequest, knownCaches: number): HttpResponse {
+  private handleOrder(request: HttpRequest, knownCacheGeneration: number): HttpResponse {
     const parsed = orderSchema.safeParse(JSON.parse(decodeText(request.body)));
     if (!parsed.success) return jsonResponse(400, { error: parsed.error.message });
     const { fence, order } = parsed.data;
@@ -236,7 +236,7 @@
           return jsonResponse(507, { error: 'the base is not ready, or memory is short' });
         }
     }
-    return jsonResponse(200, this.inventory(knownCaches));
+    return jsonResponse(200, this.inventory(knownCacheGeneration));
   }
 
   private load(order: LoadOrder): boolean {
@@ -259,7 +259,7 @@
     this.models.set(order.model, entry);
     this.record.loads += 1;
     this.record.loadsByModel.set(order.model, (this.record.loadsByModel.get(order.model) ?? 0) + 1);
-    this.changed();
+    this.recordChange();
     void this.finishLoad(entry, order.copyFrom !== undefined);
     return true;
   }
@@ -270,19 +270,19 @@
     const { signal } = entry.stopped;
     if (this.hostCache.includes(entry.checkpoint)) await sleep(clock, times.host * 1000, signal);
     else if (this.diskCache.has(entry.checkpoint)) await sleep(clock, times.disk * 1000, signal);
-    else if (fromPeer) await sleep(clock, times.remote * PEER_COPY_SHARE * 1000, signal);
+    else if (fromPeer) await sleep(clock, times.remote * PEER_COPY_TIME_FACTOR * 1000, signal);
     else await weights.fetch(times.remote, signal);
     if (signal.aborted) return;
-    this.cache(entry.checkpoint);
+    this.addToCaches(entry.checkpoint);
     entry.state = 'ready';
-    this.changed();
+    this.recordChange();
   }
 
-  private cache(checkpoint: string): void {
+  private addToCaches(checkpoint: string): void {
     this.cacheGeneration += 1;
     this.diskCache.add(checkpoint);
-    const known = this.hostCache.indexOf(checkpoint);
-    if (known >= 0) this.hostCache.splice(known, 1);
+    const position = this.hostCache.indexOf(checkpoint);
+    if (position >= 0) this.hostCache.splice(position, 1);
     this.hostCache.push(checkpoint);
     if (this.hostCache.length > (this.options.hostCacheSize ?? DEFAULT_HOST_CACHE_SIZE))
       this.hostCache.shift();
@@ -294,14 +294,14 @@
     entry.state = 'unloading';
     this.record.unloads += 1;
     entry.stopped.abort();
-    this.changed();
+    this.recordChange();
     if (entry.running === 0) this.finishUnload(entry);
   }
 
   private finishUnload(entry: LoadedModel): void {
     this.options.clock.schedule(UNLOAD_MS, () => {
       this.models.delete(entry.model);
-      this.changed();
+      this.recordChange();
     });
   }
 
@@ -316,13 +316,13 @@
     base.memoryGib += memoryGib;
     this.options.clock.schedule(ADAPTER_LOAD_MS, () => {
       base.adapters.push(adapter);
-      this.changed();
+      this.recordChange();
     });
-    this.changed();
+    this.recordChange();
     return true;
   }
 
-  private changed(): void {
+  private recordChange(): void {
     this.generation += 1;
     this.onChange?.();
   }
@@ -335,7 +335,7 @@
     }
     if (entry.running >= entry.concurrency) return jsonResponse(429, { error: 'busy' }, NOT_STARTED);
     const body = JSON.parse(decodeText(request.body)) as { stream?: boolean; max_tokens?: number };
-    const marker = MARKER.exec(decodeText(request.body))?.[1] ?? 'none';
+    const marker = MARKER_PATTERN.exec(decodeText(request.body))?.[1] ?? 'none';
     const requestId = request.headers['x-request-id'] ?? 'none';
     this.record.runs.set(marker, (this.record.runs.get(marker) ?? 0) + 1);
     this.record.runsByRequest.set(requestId, (this.record.runsByRequest.get(requestId) ?? 0) + 1);
@@ -343,9 +343,9 @@
     entry.running += 1;
     const tokens = body.max_tokens ?? DEFAULT_TOKENS;
     try {
-      await this.spend(PREFILL_MS, request.signal);
+      await this.delay(PREFILL_MS, request.signal);
     } catch (error) {
-      this.end(entry);
+      this.finishRun(entry);
       throw error;
     }
     if (body.stream === true) {
@@ -355,10 +355,10 @@
         body: this.stream(entry, marker, tokens, request.signal),
       };
     }
-    return this.whole(entry, marker, tokens, request);
+    return this.respondInFull(entry, marker, tokens, request);
   }
 
-  private async whole(
+  private async respondInFull(
     entry: LoadedModel,
     marker: string,
     tokens: number,
@@ -366,7 +366,7 @@
   ): Promise<HttpResponse> {
     try {
       for (let index = 0; index < tokens; index += this.tokensPerChunk) {
-        await this.spend(this.stepMs(entry) * Math.min(this.tokensPerChunk, tokens - index), request.signal);
+        await this.delay(this.stepMs(entry) * Math.min(this.tokensPerChunk, tokens - index), request.signal);
       }
       const content = Array.from({ length: tokens }, (_, index) => tokenText(marker, index)).join('');
       return jsonResponse(200, {
@@ -377,7 +377,7 @@
         usage: { completion_tokens: tokens },
       });
     } finally {
-      this.end(entry);
+      this.finishRun(entry);
     }
   }
 
@@ -393,14 +393,14 @@
         let content = '';
         for (let offset = 0; offset < count; offset += 1) content += tokenText(marker, index + offset);
         const event = `data: {"choices":[{"index":0,"delta":{"content":${JSON.stringify(content)}}}]}\n\n`;
-        const ahead = this.options.splitsEvents === true && index > 0 ? SPLIT_AT : 0;
-        if (ahead > 0) yield encodeText(event.slice(0, ahead));
-        if (index > 0) await this.spend(this.stepMs(entry) * count, signal);
-        yield encodeText(event.slice(ahead));
+        const splitBytes = this.options.splitsEvents === true && index > 0 ? SPLIT_OFFSET_BYTES : 0;
+        if (splitBytes > 0) yield encodeText(event.slice(0, splitBytes));
+        if (index > 0) await this.delay(this.stepMs(entry) * count, signal);
+        yield encodeText(event.slice(splitBytes));
       }
       yield encodeText('data: [DONE]\n\n');
     } finally {
-      this.end(entry);
+      this.finishRun(entry);
     }
   }
 
@@ -409,16 +409,16 @@
   }
 
   private stepMs(entry: LoadedModel): number {
-    return STEP_MS + STEP_MS_PER_RUNNING * entry.running;
+    return TOKEN_STEP_MS + TOKEN_STEP_MS_PER_RUN * entry.running;
   }
 
-  private async spend(durationMs: number, signal: AbortSignal): Promise<void> {
+  private async delay(durationMs: number, signal: AbortSignal): Promise<void> {
     const scaled = durationMs * (this.options.tokenTimeFactor ?? 1);
     if (scaled > 0) await sleep(this.options.clock, scaled, signal);
     if (signal.aborted) throw new Error('the client has gone');
   }
 
-  private end(entry: LoadedModel): void {
+  private finishRun(entry: LoadedModel): void {
     entry.running -= 1;
     if (entry.state === 'unloading' && entry.running === 0) this.finishUnload(entry);
   }
--- a/packages/standins/src/platform.ts
+++ b/packages/standins/src/platform.ts
@@ -30,11 +30,11 @@
   loseAnswerShare: number;
 }
 
-const VERSIONS_KEPT = 50;
-const CHANGES_KEPT = 2000;
+const MAX_VERSIONS_PER_OBJECT = 50;
+const MAX_RETAINED_CHANGES = 2000;
 const FIRST_REVISION = 1;
 /** A reader counts as one for this long after its last read. */
-const READER_REMEMBERED_MS = 1000;
+const READER_ACTIVITY_WINDOW_MS = 1000;
 
 /** Keeps objects and tells watchers of changes. */
 export class PlatformStandIn {
@@ -49,7 +49,7 @@
   private readonly changes: StoredVersion[] = [];
   private compactedTo = 0;
   private readonly watchers = new Set<AsyncQueue<Uint8Array>>();
-  private readonly watching = new Map<string, number>();
+  private readonly openWatches = new Map<string, number>();
   private readonly lastRead = new Map<string, number>();
 
   constructor(
@@ -65,9 +65,9 @@
   /** Readers now: open watches, and whoever read a moment ago. */
   get readers(): number {
     const now = this.clock.monotonic();
-    const readers = new Set([...this.watching].filter(([, count]) => count > 0).map(([id]) => id));
+    const readers = new Set([...this.openWatches].filter(([, count]) => count > 0).map(([id]) => id));
     for (const [id, at] of this.lastRead) {
-      if (now - at < READER_REMEMBERED_MS) readers.add(id);
+      if (now - at < READER_ACTIVITY_WINDOW_MS) readers.add(id);
     }
     return readers.size;
   }
@@ -90,7 +90,7 @@
     const url = new URL(request.path, 'http://platform');
     const [, collection = '', name = ''] = url.pathname.split('/').map(decodeURIComponent);
     if (collection === 'objects' && request.method === 'PUT') return this.put(name, request);
-    this.noteReader(request);
+    this.recordRead(request);
     if (collection === 'watch') return this.watch(Number(url.searchParams.get('from')), request);
     if (collection === 'versions') return jsonResponse(200, { items: this.versions.get(name) ?? [] });
     if (collection !== 'objects') return jsonResponse(404, {});
@@ -125,10 +125,10 @@
     else this.objects.set(key, version);
     const versions = this.versions.get(key) ?? [];
     versions.push(version);
-    if (versions.length > VERSIONS_KEPT) versions.shift();
+    if (versions.length > MAX_VERSIONS_PER_OBJECT) versions.shift();
     this.versions.set(key, versions);
     this.changes.push(version);
-    if (this.changes.length > CHANGES_KEPT)
+    if (this.changes.length > MAX_RETAINED_CHANGES)
       this.compactedTo = this.changes.shift()?.revision ?? this.compactedTo;
     const line = encodeText(`${JSON.stringify(version)}\n`);
     for (const watcher of this.watchers) watcher.push(line);
@@ -144,17 +144,17 @@
     }
     const reader = request.headers['x-reader-id'] ?? 'unknown';
     this.watchers.add(lines);
-    this.watching.set(reader, (this.watching.get(reader) ?? 0) + 1);
+    this.openWatches.set(reader, (this.openWatches.get(reader) ?? 0) + 1);
     request.signal.addEventListener('abort', () => {
       this.watchers.delete(lines);
-      this.watching.set(reader, (this.watching.get(reader) ?? 1) - 1);
+      this.openWatches.set(reader, (this.openWatches.get(reader) ?? 1) - 1);
       lines.close();
     });
     this.maximumReaders = Math.max(this.maximumReaders, this.readers);
     return { status: 200, headers: { 'content-type': 'application/x-ndjson' }, body: lines };
   }
 
-  private noteReader(request: HttpRequest): void {
+  private recordRead(request: HttpRequest): void {
     const reader = request.headers['x-reader-id'];
     if (reader === undefined) return;
     this.lastRead.set(reader, this.clock.monotonic());
--- a/packages/standins/src/weight-store.ts
+++ b/packages/standins/src/weight-store.ts
@@ -34,15 +34,15 @@
     this.fetches += 1;
     this.active += 1;
     this.maximumConcurrent = Math.max(this.maximumConcurrent, this.active);
-    let leftMs = seconds * 1000;
-    while (leftMs > 0 && !signal.aborted) {
+    let remainingMs = seconds * 1000;
+    while (remainingMs > 0 && !signal.aborted) {
       const step = Math.min(
         PROGRESS_STEP_MS,
-        leftMs * this.slowdown * Math.max(1, this.active / concurrentLoads),
+        remainingMs * this.slowdown * Math.max(1, this.active / concurrentLoads),
       );
       const speed = 1 / (this.slowdown * Math.max(1, this.active / concurrentLoads));
       await sleep(clock, step, signal);
-      leftMs -= step * speed;
+      remainingMs -= step * speed;
     }
     this.active -= 1;
   }
