--- a/packages/lab/src/bench/load-generator.ts
+++ b/packages/lab/src/bench/load-generator.ts
@@ -1,28 +1,27 @@
-/** A thread that sends requests as fast as asked and measures how long they take. */
+/** Worker thread that generates load at a given concurrency or rate and measures response times. */
 import { parentPort } from 'node:worker_threads';
 import { SystemClock, UndiciHttpClient, encodeText, readBody, sleep } from '@woodbarrow/runtime';
 import { build, type Histogram } from 'hdr-histogram-js';
 
-/** What to send. */
+/** Parameters of a load test. */
 export interface LoadOrder {
   readonly origin: string;
   readonly headers: Readonly<Record<string, string>>;
   readonly model: string;
   readonly streaming: boolean;
   readonly tokens: number;
-  /** Requests under way at once. */
+  /** Number of concurrent requests without `ratePerSecond`. */
   readonly concurrency: number;
   readonly durationMs: number;
-  /** Requests a second; as fast as answers come when absent. */
+  /** Requests per second; if absent, each response triggers the next request. */
   readonly ratePerSecond?: number;
 }
 
-/** What was measured. */
+/** Results of a load test; latencies in microseconds. */
 export interface LoadResult {
   readonly requests: number;
   readonly failures: number;
   readonly seconds: number;
-  /** Microseconds. */
   readonly p50: number;
   readonly p99: number;
   readonly mean: number;
@@ -67,7 +66,7 @@
     };
   }
 
-  /** Each of the connections sends its next request when the last is answered. */
+  /** Closed loop: each of `concurrency` senders waits for a response before its next request. */
   private async runClosed(until: number): Promise<void> {
     const loops = Array.from({ length: this.order.concurrency }, async () => {
       while (this.clock.monotonic() < until) await this.sendOne();
@@ -75,7 +74,7 @@
     await Promise.all(loops);
   }
 
-  /** Requests at a steady rate, whether or not earlier ones are answered. */
+  /** Open loop: sends at a constant rate regardless of pending responses. */
   private async runOpen(until: number, ratePerSecond: number): Promise<void> {
     const pending = new Set<Promise<void>>();
     const startedAt = this.clock.monotonic();
--- a/packages/lab/src/campaign/campaign-worker.ts
+++ b/packages/lab/src/campaign/campaign-worker.ts
@@ -1,4 +1,4 @@
-/** A thread that runs one simulation after another. */
+/** Worker thread that runs one simulation per received job. */
 import { parentPort } from 'node:worker_threads';
 import { SystemClock } from '@woodbarrow/runtime';
 import { loadScenario } from '../scenario/load-scenario.js';
--- a/packages/lab/src/campaign/campaign.ts
+++ b/packages/lab/src/campaign/campaign.ts
@@ -1,15 +1,15 @@
-/** Runs many seeds of many scenarios on all cores. */
+/** Runs simulations of many seeds and scenarios in parallel worker threads. */
 import { availableParallelism } from 'node:os';
 import { Worker } from 'node:worker_threads';
 import type { SimulationSummary } from '../simulation/simulation-summary.js';
 
-/** One run to make. */
+/** One simulation to run. */
 export interface CampaignJob {
   readonly scenarioFile: string;
   readonly seed: number;
 }
 
-/** One run made. */
+/** Result of one simulation. */
 export interface CampaignResult extends CampaignJob {
   readonly summary: SimulationSummary;
   readonly wallMs: number;
@@ -20,7 +20,7 @@
   | { readonly type: 'result'; readonly result: CampaignResult }
   | { readonly type: 'failure'; readonly job: CampaignJob; readonly message: string };
 
-/** Runs all jobs; `onResult` hears of each as it ends. Rejects when a run itself fails. */
+/** Runs all jobs and calls `onResult` after each. Rejects if a simulation throws. */
 export function runCampaign(
   jobs: readonly CampaignJob[],
   onResult: (result: CampaignResult) => void,
--- a/packages/lab/src/campaign/seed-range.ts
+++ b/packages/lab/src/campaign/seed-range.ts
@@ -1,6 +1,6 @@
-/** Ranges of seeds as written on the command line. */
+/** Parser of seed ranges on the command line. */
 
-/** Seeds of `A..B` or of a single `A`. @throws Error on other text. */
+/** Returns the seeds of `A..B` (inclusive) or of a single `A`. @throws Error on any other text. */
 export function parseSeeds(text: string): number[] {
   const match = /^(\d+)(?:\.\.(\d+))?$/.exec(text);
   if (match === null) throw new Error(`not a range of seeds: ${text}`);
--- a/packages/lab/src/campaign/shrink.ts
+++ b/packages/lab/src/campaign/shrink.ts
@@ -1,12 +1,12 @@
-/** Finds a short list of faults under which a seed still fails. */
+/** Reduces the faults of a failing simulation to a short list that still fails. */
 import type { Scenario } from '../scenario/scenario-schema.js';
 import type { PlannedFault } from '../simulation/fault-plan.js';
 import { runSimulation } from '../simulation/run-simulation.js';
 
-/** Largest number of runs spent on shrinking. */
+/** Maximum number of simulations per reduction. */
 const MAX_SHRINK_RUNS = 60;
 
-/** Drops faults, half of them at first and single ones at last, as long as the same checker still reports. */
+/** Removes faults in ever smaller groups, from half of them to single ones, while the same checker still fails. */
 export async function shrinkFaults(
   scenario: Scenario,
   seed: number,
--- a/packages/lab/src/checkers/answer-checkers.ts
+++ b/packages/lab/src/checkers/answer-checkers.ts
@@ -1,14 +1,14 @@
-/** Checkers of what callers are told: in time, whole, truthful, and nothing run twice. */
+/** Checkers of responses to callers: timely, complete, truthful, and no request run twice. */
 import type { Attempt } from '../traffic/caller.js';
 import { allowedWaitOf } from '../traffic/request-facts.js';
 import type { CheckerContext, CheckerFactory } from './checker.js';
 
-/** Network and scheduling on top of the allowed wait. */
+/** Tolerance for network and scheduling delays beyond the allowed wait. */
 const ANSWER_TOLERANCE_MS = 250;
 
 /**
- * Time that an attempt may have spent running: one whose answer is not streamed, and which was not refused as not run,
- * waited only until it was sent to an engine. Its failure can be told when the template's run limit ends at the latest.
+ * Returns the time in milliseconds that a refused attempt may have spent running, in addition to its wait. Only an
+ * unstreamed attempt that may have run counts; its failure is reported by the template's run limit at the latest.
  */
 function maximumRunMs(attempt: Attempt, { deployment }: CheckerContext): number {
   const { request, ran } = attempt;
@@ -17,10 +17,10 @@
   return (parameters?.limits.runSeconds ?? 0) * 1000;
 }
 
-/** Every request is served or refused within its allowed wait, and none is dropped in silence. */
+/** Every request is served or refused within its allowed wait, and none stays without a response. */
 export const answeredInWait: CheckerFactory = (context) => {
   const { deployment, traffic, report } = context;
-  /** Pauses of a daemon count against nobody: a process that is stopped cannot answer. */
+  /** A paused process cannot respond, so deadlines extend to the end of the pause. */
   const pausedUntil = (origin: string): number => {
     const slot = [...deployment.daemons.values()].find(
       ({ plan }) => deployment.callerOrigin(plan.id) === origin,
@@ -29,9 +29,9 @@
   };
   return {
     onAttemptEnd: (attempt) => {
-      // A connection that ends without an answer is visible to the caller: nothing is silent about it.
+      // The caller can detect a closed connection, so it counts as a response.
       if (attempt.outcome === 'disconnected') return;
-      // A whole answer is complete only some time after it has begun; its wait ends where it began.
+      // An unstreamed response arrives only after its run, so its wait is not observable and not checked.
       const startedAt = attempt.request.streaming ? attempt.answeredAtMs : undefined;
       const answeredAt = attempt.outcome === 'refused' ? attempt.answeredAtMs : startedAt;
       if (answeredAt === undefined) return;
@@ -54,7 +54,7 @@
   };
 };
 
-/** Each caller receives the whole answer to its own request. */
+/** Each caller receives the complete response to its own request. */
 export const wholeAnswer: CheckerFactory = ({ report }) => ({
   onAttemptEnd: (attempt) => {
     if (attempt.outcome === 'corrupt')
@@ -62,14 +62,14 @@
   },
 });
 
-/** A stream is in order as far as it comes, each token once, and complete only when all have come. */
+/** A stream delivers each token once and in order, and ends as complete only after the last token. */
 export const streamOrder: CheckerFactory = ({ report }) => ({
   onAttemptEnd: ({ request, streamFault }) => {
     if (streamFault !== undefined) report('stream-order', `${request.marker}: ${streamFault}`);
   },
 });
 
-/** When a refusal says that a request was not run, no engine ever ran it. */
+/** No engine runs a request that was refused as not run. */
 export const notRunMeansNotRun: CheckerFactory = ({ report }) => {
   const runs = new Set<string>();
   const refused = new Map<string, string>();
@@ -91,7 +91,7 @@
   };
 };
 
-/** A request with a key, or marked as not repeatable, runs at most once. */
+/** A request with an idempotency key, or marked as not repeatable, runs at most once. */
 export const atMostOnce: CheckerFactory = ({ traffic, report }) => {
   const runs = new Map<string, number>();
   const reported = new Set<string>();
@@ -109,7 +109,7 @@
   };
 };
 
-/** A planned stop cuts off no request in progress. */
+/** A planned stop of a daemon interrupts no request in progress. */
 export const plannedStop: CheckerFactory = ({ deployment, report }) => ({
   onAttemptEnd: (attempt) => {
     if (attempt.outcome !== 'disconnected' && attempt.outcome !== 'interrupted') return;
--- a/packages/lab/src/checkers/checker.ts
+++ b/packages/lab/src/checkers/checker.ts
@@ -1,10 +1,10 @@
-/** What all checkers share: each watches one promise from outside the daemons and reports when it is broken. */
+/** Types shared by all checkers; each observes one guarantee from outside the daemons and reports violations. */
 import type { DeploymentObserver } from '../simulation/deployment-observer.js';
 import type { FaultInjector } from '../simulation/fault-injector.js';
 import type { SimulatedDeployment } from '../simulation/simulated-deployment.js';
 import type { TrafficDriver } from '../simulation/traffic-driver.js';
 
-/** Names of the checkers, one for each promise. */
+/** Names of the checkers, one per guarantee. */
 export const CHECKER_NAMES = [
   'replica-limit',
   'memory-commit',
@@ -22,21 +22,21 @@
 
 export type CheckerName = (typeof CHECKER_NAMES)[number];
 
-/** One broken promise. */
+/** One violation of a guarantee. */
 export interface Violation {
   readonly checker: CheckerName;
   readonly atMs: number;
   readonly detail: string;
 }
 
-/** What a checker can look at. */
+/** Parts of a simulation that a checker can observe. */
 export interface CheckerContext {
   readonly deployment: SimulatedDeployment;
   readonly traffic: TrafficDriver;
   readonly faults: FaultInjector;
-  /** Reports a broken promise. */
+  /** Reports a violation. */
   readonly report: (checker: CheckerName, detail: string) => void;
 }
 
-/** Makes a checker. */
+/** Creates a checker. */
 export type CheckerFactory = (context: CheckerContext) => DeploymentObserver;
--- a/packages/lab/src/checkers/configuration-checkers.ts
+++ b/packages/lab/src/checkers/configuration-checkers.ts
@@ -1,12 +1,12 @@
-/** Checkers of the configuration: never back, everywhere in time, few readers. */
+/** Checkers of the configuration: monotone revisions, propagation time and number of platform readers. */
 import type { CheckerFactory } from './checker.js';
 
-/** An accepted change must be in force everywhere within this time. */
+/** Maximum time from acceptance of a change until it is in effect on every daemon. */
 export const IN_FORCE_LIMIT_MS = 13_000;
-/** Readers of the platform allowed for each zone: the holder of its lease, and one whose lease has just ended. */
+/** Maximum platform readers per zone: the holder of its lease, and one whose lease has just expired. */
 const READERS_PER_ZONE = 2;
 
-/** A daemon's configuration never goes back, over restarts too: nothing is served under an older one. */
+/** A daemon never serves under an older configuration than before, even after a restart. */
 export const configurationMonotone: CheckerFactory = ({ deployment, report }) => {
   const lastApplied = new Map<string, { incarnation: number; revision: number }>();
   const highestServed = new Map<string, number>();
@@ -35,12 +35,12 @@
   };
 };
 
-/** Times from acceptance to being in force on every daemon that could hear of it. */
+/** Times from acceptance of a change until it is in effect on every ready daemon. */
 export interface InForceTimes {
   readonly milliseconds: number[];
 }
 
-/** An accepted change is in force on every daemon within 13 s, faults of the daemon or its paths excepted. */
+/** An accepted change is in effect on every ready daemon within {@link IN_FORCE_LIMIT_MS}, unless a fault interferes. */
 export function configurationInForce(times: InForceTimes): CheckerFactory {
   return ({ deployment, faults, report }) => {
     const pending: { readonly revision: number; readonly atMs: number; reported: boolean }[] = [];
@@ -77,7 +77,7 @@
   };
 }
 
-/** Only a few daemons of a zone read the platform. */
+/** At most {@link READERS_PER_ZONE} daemons per zone read the platform. */
 export const platformReaders: CheckerFactory = ({ deployment, report }) => {
   const zones = new Set(deployment.plan.daemons.map((daemon) => daemon.zone)).size;
   let worst = zones * READERS_PER_ZONE;
--- a/packages/lab/src/checkers/index.ts
+++ b/packages/lab/src/checkers/index.ts
@@ -1,4 +1,4 @@
-/** All checkers. */
+/** The list of all checkers. */
 import {
   answeredInWait,
   atMostOnce,
@@ -20,7 +20,7 @@
 export * from './checker.js';
 export type { InForceTimes } from './configuration-checkers.js';
 
-/** Makes every checker. */
+/** Creates one instance of every checker. */
 export function createCheckers(context: CheckerContext, inForceTimes: InForceTimes): DeploymentObserver[] {
   const factories = [
     replicaLimit,
--- a/packages/lab/src/checkers/placement-checkers.ts
+++ b/packages/lab/src/checkers/placement-checkers.ts
@@ -1,9 +1,9 @@
-/** Checkers of what is loaded: replica limits, memory, leaving workers. */
+/** Checkers of placement: replica limits, memory commitment and leaving workers. */
 import type { CheckerFactory } from './checker.js';
 
-/** After a limit was lowered, replicas above it must be gone within this time. */
+/** Time within which replicas above a lowered limit must be unloaded. */
 const LIMIT_LOWERING_GRACE_MS = 60_000;
-/** A leaving worker may begin runs for this long: the lag of the list and the time to act on it. */
+/** Time for which a leaving worker may still start runs; covers the lag of the machine list and the reaction to it. */
 const LEAVING_GRACE_MS = 8000;
 
 interface LimitChange {
@@ -11,7 +11,7 @@
   readonly maximum: number;
 }
 
-/** No model has more replicas loaded than its template's limit, which bounds what the system decides. */
+/** No model has more loaded replicas than its template allows. */
 export const replicaLimit: CheckerFactory = ({ deployment, report }) => {
   const limits = new Map<string, LimitChange[]>();
   for (const tenant of deployment.plan.tenants) {
@@ -58,7 +58,7 @@
   };
 };
 
-/** No worker's memory is committed beyond what it has: not by what is loaded, nor by what is ordered. */
+/** Neither loaded models nor load orders exceed a worker's memory. */
 export const memoryCommit: CheckerFactory = ({ deployment, report }) => ({
   onEngineChange: (slot) => {
     const { engine, plan } = slot;
@@ -81,7 +81,7 @@
   },
 });
 
-/** A leaving worker receives no new work after a few seconds. */
+/** A leaving worker starts no runs after {@link LEAVING_GRACE_MS}. */
 export const leavingDrained: CheckerFactory = ({ deployment, report }) => ({
   onRun: (slot, marker) => {
     const since = slot.leavingSinceMs;
--- a/packages/lab/src/hollow/hollow-run.ts
+++ b/packages/lab/src/hollow/hollow-run.ts
@@ -1,4 +1,4 @@
-/** Runs a hollow deployment and measures what coordination costs and how fast it reacts. */
+/** Runs a hollow deployment and measures the cost and the reaction times of coordination. */
 import { setFlagsFromString } from 'node:v8';
 import { runInNewContext } from 'node:vm';
 import { Random } from '@woodbarrow/runtime';
@@ -8,43 +8,43 @@
 import { planWorkload } from '../traffic/workload.js';
 import { hollowScenario, type HollowSize } from './hollow-scenario.js';
 
-/** Roles by which traffic is told apart; a daemon counts under the first that it holds. */
+/** Roles by which traffic is grouped; a daemon counts under the first role that it holds. */
 export const HOLLOW_ROLES = ['coordinator', 'relay', 'ledger', 'member'] as const;
 
 export type HollowRole = (typeof HOLLOW_ROLES)[number];
 
-/** Control traffic of the daemons of one role, per daemon and second. */
+/** Control traffic of the daemons in one role, per daemon and second. */
 export interface RoleTraffic {
   readonly daemons: number;
   readonly peerBytesOutMean: number;
   readonly peerBytesOutMax: number;
   readonly peerBytesInMean: number;
   readonly messagesOutMean: number;
-  /** Bytes to and from engines, platform and machine list, headers estimated. */
+  /** Bytes exchanged with engines, platform and machine list, with estimated headers. */
   readonly controlHttpBytesMean: number;
 }
 
-/** What a hollow run gave. */
+/** Results of a hollow run. */
 export interface HollowReport {
   readonly size: HollowSize;
-  /** Virtual seconds until all views held all daemons. */
+  /** Virtual seconds until every membership view contained all daemons. */
   readonly viewsAgreedSeconds: number;
   readonly roles: Readonly<Partial<Record<HollowRole, RoleTraffic>>>;
-  /** Processor time of the whole process for one daemon's virtual second, stand-ins and simulation included. */
+  /** Processor seconds per daemon and virtual second; an upper bound, as it includes stand-ins and simulation. */
   readonly cpuShareOfCoreUpperBound: number;
   readonly heapMegabytesPerDaemon: number;
   readonly residentMegabytes: number;
   readonly platformReaders: number;
   readonly falseSuspicions: number;
   readonly falselyDeclaredDead: number;
-  /** Until every other daemon knew that a killed one was gone. */
+  /** Time until a killed daemon was absent from all views. */
   readonly detectionSeconds: number;
-  /** From the death of a zone's coordinator to the start of the next. */
+  /** Time from the crash of a zone's coordinator until its successor was active. */
   readonly failoverSeconds: number;
   readonly configurationInForceMs: Distribution;
-  /** Until all others knew that a whole zone was gone; undefined with one zone. */
+  /** Time until a lost zone was absent from all views; undefined with one zone. */
   readonly zoneLossDetectionSeconds: number | undefined;
-  /** Until all views agreed again after a region was apart for the stated time; undefined with one region. */
+  /** Time until all views agreed after a partition of `regionApartSeconds`; undefined with one region. */
   readonly regionHealSeconds: number | undefined;
   readonly regionApartSeconds: number;
   readonly wallSeconds: number;
@@ -58,7 +58,7 @@
 const REGION_PARTITION_MS = 60_000;
 const BYTES_PER_MEGABYTE = 1024 * 1024;
 
-/** Runs one size. */
+/** Runs all measurements for one size; `wall` returns wall-clock milliseconds. */
 export async function runHollow(size: HollowSize, seed: number, wall: () => number): Promise<HollowReport> {
   const startedAt = wall();
   const run = new HollowRun(size, seed);
@@ -119,10 +119,10 @@
     traffic.schedule(workload, START_TIMEOUT_MS / 4);
   }
 
-  /** Starts everything; seconds until all views are whole. */
+  /** Runs until all views are complete and roles have settled; returns the seconds until the views were complete. */
   async start(): Promise<number> {
     const agreed = await this.waitUntil(() => this.allViewsContain(this.size.daemons), START_TIMEOUT_MS);
-    // Leases, voters and inventories settle before anything is measured.
+    // Leases, voters and inventories settle before the measurements.
     await this.advance(START_TIMEOUT_MS / 4);
     return agreed;
   }
@@ -147,7 +147,7 @@
     };
   }
 
-  /** Changes one object again and again; times until it is in force on every daemon. */
+  /** Changes one object repeatedly; returns the times until each change is in effect on every daemon. */
   async measureChanges(): Promise<Distribution> {
     const times: number[] = [];
     for (let change = 0; change < CONFIGURATION_CHANGES; change += 1) {
@@ -161,7 +161,7 @@
     return distributionOf(times);
   }
 
-  /** Kills a daemon that holds no role. */
+  /** Kills a daemon without a role; returns the seconds until it is absent from all views. */
   async measureDetection(): Promise<number> {
     const victim = this.aliveDaemons().findLast((slot) => roleOf(slot) === 'member');
     if (victim === undefined) return 0;
@@ -226,12 +226,13 @@
     await world.run(world.now + durationMs);
   }
 
-  /** Seconds until `condition` holds. @throws Error after the limit. */
+  /** Returns the virtual seconds until `condition` holds. @throws Error after `limitMs`. */
   private async waitUntil(condition: () => boolean, limitMs: number, stepMs = POLL_STEP_MS): Promise<number> {
     const { world } = this.deployment;
     const from = world.now;
     while (!condition()) {
-      if (world.now - from > limitMs) throw new Error(`not within ${String(limitMs)} virtual ms`);
+      if (world.now - from > limitMs)
+        throw new Error(`condition not met within ${String(limitMs)} virtual ms`);
       await this.advance(stepMs);
     }
     return (world.now - from) / 1000;
@@ -278,7 +279,7 @@
   return 'member';
 }
 
-/** Heap in use after a full collection, in bytes. */
+/** Returns the heap in use after a full garbage collection, in bytes. */
 function heapAfterCollection(): number {
   setFlagsFromString('--expose-gc');
   const collect = runInNewContext('gc') as () => void;
--- a/packages/lab/src/hollow/hollow-scenario.ts
+++ b/packages/lab/src/hollow/hollow-scenario.ts
@@ -1,7 +1,7 @@
-/** The deployment of a hollow run: many daemons and workers in one process, with the design size's proportions. */
+/** Scenario of a hollow run: many daemons and simulated workers in one process, to measure coordination at scale. */
 import { scenarioSchema, type Scenario } from '../scenario/scenario-schema.js';
 
-/** Size of a hollow run. */
+/** Size of a hollow deployment. */
 export interface HollowSize {
   readonly daemons: number;
   readonly zones: number;
@@ -9,13 +9,13 @@
   readonly workers: number;
   readonly models: number;
   readonly adapters: number;
-  /** Requests a second; the data path is synthetic, so a few stand for many. */
+  /** Requests per second over all tenants; the load stays low because only control traffic is measured. */
   readonly requestsPerSecond: number;
 }
 
 const MODELS_PER_TENANT = 100;
 
-/** Makes the scenario. */
+/** Creates the scenario for a deployment of the given size. */
 export function hollowScenario(size: HollowSize): Scenario {
   const zones = Array.from({ length: size.zones }, (_, index) => ({
     name: `zone-${String(index + 1)}`,
@@ -59,7 +59,7 @@
   });
 }
 
-/** Part number `index` of `total` split evenly. */
+/** Returns part `index` of `total` split into `parts` nearly equal integers. */
 function share(total: number, parts: number, index: number): number {
   return Math.floor(total / parts) + (index < total % parts ? 1 : 0);
 }
--- a/packages/lab/src/model/claims-model.ts
+++ b/packages/lab/src/model/claims-model.ts
@@ -1,11 +1,11 @@
 /**
- * Specification of the at-most-once ledger: two routers with the same key, a ledger whose leader changes, voters that
- * lose their memory, answers that are lost. The key may be run at most once, and a key that the ledger cannot tell
- * is never run.
+ * Specification of the at-most-once ledger: two routers claim the same key while the ledger's leader changes, voters
+ * lose their memory and responses are lost. A key runs at most once, and never if the ledger has no record that
+ * rules out an earlier run.
  */
 import type { Step, TransitionSystem } from './transition-system.js';
 
-/** Guards that can be taken out; each must lead to a counterexample. */
+/** Guards that can be removed; the exploration must find a counterexample without any of them. */
 export const CLAIMS_DEFECTS = [
   'run-before-claim',
   'minority-write',
@@ -17,7 +17,7 @@
 
 export type ClaimsDefect = (typeof CLAIMS_DEFECTS)[number];
 
-/** Bounds that the checks use. */
+/** Bounds of the exhaustive checks. */
 export const CLAIMS_BOUNDS = { leaders: 3, voterLosses: 3, epochs: 2 } as const;
 
 const VOTERS = 3;
@@ -26,28 +26,28 @@
 const NO_ROUTER = -1;
 
 interface RouterState {
-  /** `idle`, `asked` (its claim may be recorded), `granted`, `ran`, or `gave_up`. */
+  /** In phase `asked` the claim may or may not be recorded. */
   readonly phase: 'idle' | 'asked' | 'granted' | 'ran' | 'gave_up';
 }
 
 interface VoterState {
   readonly seated: boolean;
-  /** Router whose claim is recorded, or -1. */
+  /** Router whose claim this voter has recorded, or -1. */
   readonly claim: number;
-  /** Leader that recorded it; of two records the later leader's counts. */
+  /** Number of the leader that recorded it; the record of the later leader takes precedence. */
   readonly term: number;
 }
 
 /** A state of the specification. */
 export interface ClaimsState {
   readonly epoch: number;
-  /** Leaders so far. */
+  /** Number of leaders so far. */
   readonly leaders: number;
   /** Whether there is a leader now. */
   readonly led: boolean;
-  /** Claim in the leader's memory, or -1. */
+  /** Router whose claim the leader holds in memory, or -1. */
   readonly taken: number;
-  /** Whether the leader's memory reaches back to before the key was made. */
+  /** Whether the ledger's records reach back to before the key was created. */
   readonly complete: boolean;
   readonly voters: readonly VoterState[];
   readonly routers: readonly RouterState[];
@@ -55,7 +55,7 @@
   readonly voterLosses: number;
 }
 
-/** Makes the specification, with some guards taken out. */
+/** Creates the specification without the guards listed in `defects`. */
 export function claimsModel(defects: ReadonlySet<ClaimsDefect> = new Set()): TransitionSystem<ClaimsState> {
   return {
     name: 'claims',
@@ -117,7 +117,7 @@
   return steps;
 }
 
-/** The leader answers a router that asks; a router that heard nothing asks again. */
+/** The leader processes the claim of a router; a router without a response repeats its claim. */
 function claimSteps(state: ClaimsState, defects: ReadonlySet<ClaimsDefect>): Step<ClaimsState>[] {
   const steps: Step<ClaimsState>[] = [];
   if (!state.led) return steps;
@@ -160,7 +160,7 @@
       steps.push({ label, next: { ...base, taken: router, routers: granted } });
       steps.push({ label: `${label}, and the answer is lost`, next: { ...base, taken: router } });
     } else {
-      // The write failed. The key stays taken in the leader's memory.
+      // The write failed, but some voters may have recorded it: the leader keeps the key as claimed.
       const taken = defects.has('forgets-taken-on-failure') ? NO_ROUTER : router;
       steps.push({ label: `${label}, too few`, next: { ...base, taken } });
     }
@@ -188,7 +188,7 @@
   return steps;
 }
 
-/** A new epoch carries the records over when a majority of the old voters can be sealed, and says so when not. */
+/** Starts a new epoch; it is incomplete unless a majority of the old voters can be sealed and their records copied. */
 function nextEpoch(state: ClaimsState): ClaimsState {
   const seated = state.voters.filter((voter) => voter.seated);
   const sealed = seated.length >= MAJORITY;
@@ -203,7 +203,7 @@
   };
 }
 
-/** The record of the latest leader. */
+/** Returns the record of the latest leader. */
 function newestOf(voters: readonly VoterState[]): VoterState {
   return voters.reduce((newest, voter) => (voter.term > newest.term ? voter : newest));
 }
@@ -212,7 +212,7 @@
   return subsets(voters).filter((subset) => subset.length === MAJORITY);
 }
 
-/** All sets of seated voters. */
+/** Returns all subsets of the voters that have kept their memory, as lists of indexes. */
 function subsets(voters: readonly VoterState[]): number[][] {
   const seated = voters.flatMap((voter, index) => (voter.seated ? [index] : []));
   return Array.from({ length: 2 ** seated.length }, (_, mask) =>
--- a/packages/lab/src/model/explore.ts
+++ b/packages/lab/src/model/explore.ts
@@ -1,4 +1,4 @@
-/** Exhaustive breadth-first exploration: the first counterexample found is a shortest one. */
+/** Exhaustive breadth-first exploration, which finds a shortest counterexample first. */
 import type { TransitionSystem } from './transition-system.js';
 
 /** Result of an exploration. */
@@ -7,14 +7,14 @@
   readonly bounds: Readonly<Record<string, number>>;
   readonly states: number;
   readonly transitions: number;
-  /** Longest shortest way to any state. */
+  /** Largest distance of a state from the initial state, in transitions. */
   readonly depth: number;
   readonly invariants: readonly string[];
   /** Absent when every invariant holds in every state. */
   readonly counterexample?: Counterexample;
 }
 
-/** Steps that lead to a state in which an invariant does not hold. */
+/** Transitions from the initial state to one that violates an invariant. */
 export interface Counterexample {
   readonly invariant: string;
   readonly steps: readonly string[];
@@ -27,7 +27,7 @@
   readonly depth: number;
 }
 
-/** Explores every state within the system's bounds, up to the first broken invariant. */
+/** Explores every state within the system's bounds and stops at the first violated invariant. */
 export function explore<State>(system: TransitionSystem<State>): Exploration {
   const seen = new Set<string>([system.canonical(system.initial)]);
   const visited: Visited<State>[] = [{ state: system.initial, parent: -1, label: 'start', depth: 0 }];
--- a/packages/lab/src/model/lease-model.ts
+++ b/packages/lab/src/model/lease-model.ts
@@ -1,11 +1,11 @@
 /**
- * Specification of a lease kept as one record of a linearizable store (`coordination/src/store-lease.ts`): writes
- * may be carried out late or not be answered, processes may be started again, the store may be restored from any earlier state, time passes
- * in ticks. Two machines never act within the pause of each other, and fences only rise.
+ * Specification of a lease that is stored as one record of a linearizable store: writes may be applied late or stay
+ * unanswered, processes may restart, and the store may be restored to any earlier state. Time passes in ticks.
+ * Two machines never act within `PAUSE_TICKS` of each other, and fences only rise.
  */
 import type { Step, TransitionSystem } from './transition-system.js';
 
-/** Guards that can be taken out; each must lead to a counterexample. */
+/** Guards that can be removed; the exploration must find a counterexample without any of them. */
 export const LEASE_DEFECTS = [
   'confirm-by-reading',
   'confirm-at-answer',
@@ -16,7 +16,7 @@
   'unchanged-renewal',
 ] as const;
 
-/** Those that matter only where the store is restored. */
+/** Guards that matter only if the store can be restored. */
 export const RESTORED_LEASE_DEFECTS = [
   'leftover-as-current',
   'fence-from-copy',
@@ -26,28 +26,28 @@
 
 export type LeaseDefect = (typeof LEASE_DEFECTS | typeof RESTORED_LEASE_DEFECTS)[number];
 
-/** Bounds of one exploration; times in ticks. */
+/** Bounds of one exploration. */
 export interface LeaseBounds {
   readonly maximumFence: number;
   readonly revisions: number;
   readonly restarts: number;
-  /** Times that the store is restored from an earlier state. */
+  /** Maximum number of restorations of the store to an earlier state. */
   readonly restorations: number;
 }
 
-/** Bounds that the checks use. */
+/** Bounds of the exhaustive checks. */
 export const LEASE_BOUNDS: readonly LeaseBounds[] = [
   { maximumFence: 2, revisions: 4, restarts: 0, restorations: 0 },
   { maximumFence: 2, revisions: 3, restarts: 1, restorations: 0 },
 ];
 
-/** Bounds of the checks with a store that is restored. */
+/** Bounds of the exhaustive checks with restorations of the store. */
 export const RESTORED_LEASE_BOUNDS: readonly LeaseBounds[] = [
   { maximumFence: 2, revisions: 2, restarts: 0, restorations: 1 },
   { maximumFence: 1, revisions: 2, restarts: 1, restorations: 1 },
 ];
 
-/** Bounds under which the defects of such a store show; the last one needs a third revision, and is not explored whole. */
+/** Bounds under which {@link RESTORED_LEASE_DEFECTS} are detected; the last bounds are not explored exhaustively. */
 export const RESTORED_LEASE_DEFECT_BOUNDS: readonly LeaseBounds[] = [
   { maximumFence: 1, revisions: 2, restarts: 0, restorations: 1 },
   { maximumFence: 2, revisions: 3, restarts: 0, restorations: 1 },
@@ -58,37 +58,37 @@
 const MAX_WRITES_IN_FLIGHT = 1;
 const MACHINES = [0, 1] as const;
 const NO_MACHINE = -1;
-/** Fences of one era; higher than any bound on them. */
+/** Number of fences in one era; exceeds every `maximumFence`. */
 const FENCES_PER_ERA = 10;
-/** Ages are counted up to this: nothing depends on longer ones. */
+/** Cap on ages, which keeps the state space finite; no guard distinguishes larger ages. */
 const MAX_AGE_TICKS = LIFETIME_TICKS + 1;
 
 interface LeaseRecordState {
   readonly holder: number;
   readonly fence: number;
   readonly revision: number;
-  /** Era for which it was written. */
+  /** Era observed by the writer when it sent the write. */
   readonly era: number;
 }
 
 interface MachineState {
-  /** Believes to be the holder. */
+  /** Whether the machine considers itself the holder. */
   readonly holds: boolean;
   readonly fence: number;
-  /** Revision of its record, and the era in which it learnt that. */
+  /** Revision of its record, and the era in which it was observed. */
   readonly revision: number;
   readonly era: number;
-  /** Ticks since the start of the write that last confirmed it. */
+  /** Ticks since the last confirmed write was sent. */
   readonly confirmedAge: number;
-  /** Ticks to wait before it may act. */
+  /** Ticks before it may act. */
   readonly actsIn: number;
-  /** Revision and era seen last while waiting for another's lease, and for how long that has been unchanged. */
+  /** Revision and era last observed of another machine's lease, and ticks for which both are unchanged. */
   readonly seenRevision: number;
   readonly seenEra: number;
   readonly seenAge: number;
 }
 
-/** A write sent and not yet carried out. */
+/** A write that is in flight or not yet answered. */
 interface WriteState {
   readonly machine: number;
   readonly expected: number;
@@ -96,26 +96,26 @@
   readonly fence: number;
   /** Ticks since it was sent. */
   readonly age: number;
-  /** Revision that it made; 0 while it has not been carried out. */
+  /** Revision that it created, or 0 until it is applied. */
   readonly made: number;
-  /** Era for which it was meant, and in which it was carried out. */
+  /** Era observed by the writer when it was sent, and era in which it was applied. */
   readonly era: number;
   readonly madeInEra: number;
-  /** Waiting time for the writer before it may act, once it is the holder. */
+  /** Ticks before the writer may act once it is the holder. */
   readonly actsIn: number;
 }
 
 /** A state of the specification. */
 export interface LeaseState {
   readonly record: LeaseRecordState;
-  /** Earlier records of the store, the oldest first: it may be restored to any of them. */
+  /** Earlier records, oldest first; the store may be restored to any of them. */
   readonly past: readonly LeaseRecordState[];
   readonly era: number;
   readonly restorationsLeft: number;
   readonly machines: readonly MachineState[];
   readonly writes: readonly WriteState[];
   readonly lastActor: number;
-  /** Ticks since the last act. */
+  /** Ticks since any machine last acted as holder. */
   readonly lastActAge: number;
   readonly highestActedFence: number;
   readonly restartsLeft: number;
@@ -134,7 +134,7 @@
   seenAge: 0,
 };
 
-/** Makes the specification, with some guards taken out. */
+/** Creates the specification without the guards listed in `defects`. */
 export function leaseModel(
   bounds: LeaseBounds,
   defects: ReadonlySet<LeaseDefect> = new Set(),
@@ -178,14 +178,14 @@
   };
 }
 
-/** What the future of a machine depends on. */
+/** Returns the part of a machine state that affects later transitions; the rest is reset. */
 function relevantState(machine: MachineState): MachineState {
   if (machine.holds) return { ...machine, seenRevision: 0, seenEra: 0, seenAge: 0 };
   const { seenRevision, seenEra, seenAge } = machine;
   return { ...IDLE, seenRevision, seenEra, seenAge };
 }
 
-/** The store becomes what it was; writes under way may be carried out on that, where its revision is theirs. */
+/** Restores the store to an earlier record. Writes in flight still apply if the restored revision matches. */
 function restorations(state: LeaseState): Step<LeaseState>[] {
   if (state.restorationsLeft === 0) return [];
   return [...state.past, state.record].map((record, index) => ({
@@ -247,7 +247,7 @@
   return steps;
 }
 
-/** Reads the record, and asks for the lease when that is allowed. */
+/** Reads the record and requests the lease if it is free or has expired. */
 function candidateSteps(
   state: LeaseState,
   index: number,
@@ -275,7 +275,7 @@
   return [{ label: `${String(index)} sees another's lease`, next: withMachine(state, index, seen) }];
 }
 
-/** Renews, gives back, or reads back what it holds. */
+/** Renews, releases or reads back the held lease. */
 function holderSteps(
   state: LeaseState,
   index: number,
@@ -306,7 +306,7 @@
   ];
 }
 
-/** A holder reads a record from before the store was restored; a renewal that it sent before may still be on its way. */
+/** Steps of a holder after a restoration, when the stored record is stale and an earlier renewal may be in flight. */
 function afterRestoration(
   state: LeaseState,
   index: number,
@@ -348,7 +348,7 @@
   return [{ label: `${String(machine)} ${label}`, next: { ...state, writes: [...state.writes, sent] } }];
 }
 
-/** A write is carried out at any time, and answered later or not at all. */
+/** Applies a write at any time; its response arrives later or is lost. */
 function writeSteps(state: LeaseState, index: number, defects: ReadonlySet<LeaseDefect>): Step<LeaseState>[] {
   const write = state.writes[index] as WriteState;
   const name = `the write of ${String(write.machine)}`;
@@ -362,7 +362,7 @@
   }
   const applies = write.expected === state.record.revision || defects.has('no-compare');
   if (!applies) return [{ label: `${name} meets another revision`, next: withoutWrite }];
-  // The store takes a write that changes nothing for no change; renewals therefore count.
+  // The store assigns no new revision to a write that changes nothing, so a renewal must change the record.
   const isRenewal = write.holder === state.record.holder && write.fence === state.record.fence;
   const isUnchanged = isRenewal && defects.has('unchanged-renewal');
   const made = state.record.revision + (isUnchanged ? 0 : 1);
--- a/packages/lab/src/model/order-model.ts
+++ b/packages/lab/src/model/order-model.ts
@@ -1,11 +1,10 @@
 /**
- * Specification of orders to one worker (`residency/src/order-sender.ts`, `worker-orders.ts`): orders may be lost,
- * carried out without an answer, or carried out late; the coordinator may be replaced by one that knows nothing.
- * The worker is never ordered to load more than it holds.
+ * Specification of orders to one worker: orders may be lost, executed without a response or executed late, and the
+ * coordinator may be replaced by one without state. Orders never load more models than the worker has capacity for.
  */
 import type { Step, TransitionSystem } from './transition-system.js';
 
-/** Guards that can be taken out; each must lead to a counterexample. */
+/** Guards that can be removed; the exploration must find a counterexample without any of them. */
 export const ORDER_DEFECTS = [
   'no-sequence',
   'forget-uncertain',
@@ -15,7 +14,7 @@
 
 export type OrderDefect = (typeof ORDER_DEFECTS)[number];
 
-/** Bounds that the checks use. */
+/** Bounds of the exhaustive checks. */
 export const ORDER_BOUNDS = { capacity: 2, orders: 4, late: 2, replacements: 1 } as const;
 
 interface OrderState {
@@ -23,7 +22,7 @@
   readonly expected: number;
 }
 
-/** What a report shows. */
+/** Content of a worker report. */
 interface ReportState {
   readonly models: number;
   readonly sequence: number;
@@ -32,21 +31,21 @@
 /** A state of the specification. */
 export interface OrderModelState {
   readonly worker: ReportState;
-  /** Orders whose answer is lost and that may still be carried out. */
+  /** Unanswered orders that may still be executed. */
   readonly late: readonly OrderState[];
-  /** A report taken some time ago and not yet read. */
+  /** A report in flight, which may be stale. */
   readonly report: ReportState | null;
-  /** Models that the coordinator counts as there; null while it knows nothing. */
+  /** Loaded models as cached by the coordinator; null until it accepts a report. */
   readonly counted: number | null;
   readonly sequence: number;
-  /** Largest sequence under which an order was sent whose fate is unknown. */
+  /** Highest sequence number of an order whose result is unknown, or -1. */
   readonly uncertain: number;
   readonly ordersLeft: number;
   readonly replacementsLeft: number;
   readonly overcommitted: boolean;
 }
 
-/** Makes the specification, with some guards taken out. */
+/** Creates the specification without the guards listed in `defects`. */
 export function orderModel(defects: ReadonlySet<OrderDefect> = new Set()): TransitionSystem<OrderModelState> {
   return {
     name: 'orders',
@@ -89,11 +88,11 @@
   const isExecuted = executed !== sent;
   const answered = isExecuted
     ? { ...executed, sequence: state.sequence + 1, counted: counted + (operation === 'load' ? 1 : -1) }
-    : // A conflict: the worker has taken an order that is not known here.
+    : // Conflict: the worker has executed an order that this coordinator has not observed.
       defects.has('forget-uncertain')
       ? { ...sent, sequence: state.worker.sequence }
       : { ...sent, counted: null };
-  // Without an answer a load is counted and an unload is not; a report must tell.
+  // Without a response the result is unknown until a report shows it.
   const unknown = {
     uncertain: state.sequence,
     counted: defects.has('forget-uncertain') ? counted : null,
@@ -121,7 +120,7 @@
   return { label: `${order.operation} is carried out late`, next: carryOut(remaining, order, defects) };
 }
 
-/** Returns the same state when the worker does not take the order. */
+/** Executes an order; returns the same state object if the worker rejects it. */
 function carryOut(
   state: OrderModelState,
   order: OrderState,
@@ -138,12 +137,12 @@
   };
 }
 
-/** Reports are asked for and arrive later. */
+/** Requests a report, or processes the one in flight. */
 function reportSteps(state: OrderModelState, defects: ReadonlySet<OrderDefect>): Step<OrderModelState>[] {
   if (state.report === null)
     return [{ label: 'a report is taken', next: { ...state, report: state.worker } }];
   const read = { ...state, report: null };
-  // A report that may be older than an order, or that does not show the fate of every order, is not believed.
+  // A report that may predate an order, or that does not cover every uncertain order, is discarded.
   const isSettled = state.report.sequence > state.uncertain;
   const isCurrent = state.counted === null && state.report.sequence >= state.sequence;
   if ((isSettled && isCurrent) || defects.has('adopt-while-ordering')) {
@@ -154,7 +153,7 @@
   return [{ label: 'the report is not believed', next: read }];
 }
 
-/** Another coordinator takes over; orders of the one before may still be under way. */
+/** Replaces the coordinator; orders of its predecessor may still be in flight. */
 function replacementSteps(state: OrderModelState): Step<OrderModelState>[] {
   if (state.replacementsLeft === 0) return [];
   const next = {
--- a/packages/lab/src/model/placement-model-state.ts
+++ b/packages/lab/src/model/placement-model-state.ts
@@ -1,4 +1,4 @@
-/** States of the placement specification, and the text by which like states are found to be one. */
+/** States of the placement specification and their canonical text for symmetry reduction. */
 
 /** Bounds of the exploration. */
 export interface PlacementBounds {
@@ -6,71 +6,69 @@
   readonly terms: number;
   readonly epochs: number;
   readonly ordersUnderWay: number;
-  /** Numbered orders to one worker under one lease. */
+  /** Maximum number of orders to one worker under one lease. */
   readonly ordersPerLease: number;
   readonly voterLosses: number;
   readonly workerCrashes: number;
 }
 
-/** Bounds that the checks use: one for changes of holder within an epoch, one for changes of epoch. */
+/** Bounds of the exhaustive checks: the first covers changes of holder within an epoch, the second changes of epoch. */
 export const PLACEMENT_BOUNDS: readonly PlacementBounds[] = [
   { workers: 2, terms: 2, epochs: 1, ordersUnderWay: 1, ordersPerLease: 3, voterLosses: 1, workerCrashes: 1 },
   { workers: 2, terms: 1, epochs: 2, ordersUnderWay: 1, ordersPerLease: 2, voterLosses: 2, workerCrashes: 0 },
 ];
 
-/** Voters of one epoch. */
+/** Number of voters in one epoch. */
 export const VOTERS = 3;
-/** Voters that are enough. */
+/** Number of voters that form a quorum. */
 export const MAJORITY = 2;
-/** Daemons that want the lease. */
+/** Number of daemons that compete for the lease. */
 export const COORDINATORS = 2;
-/** Fences grow with epoch first, then term, then order. */
+/** Weights that order fences by epoch, then term, then order number. */
 const TERM_WEIGHT = 10;
 const EPOCH_WEIGHT = 100;
 
-/** One voter's seat in one epoch. */
+/** State of one voter in one epoch. */
 export interface SeatState {
-  /** False once the voter has restarted: its seat is never taken again. */
+  /** False once the voter has restarted and lost its memory; it never votes in this epoch again. */
   readonly seated: boolean;
   readonly sealed: boolean;
   readonly term: number;
-  /** Coordinator whose lease is live here, or -1. */
+  /** Coordinator whose lease this voter counts as valid, or -1. */
   readonly holder: number;
-  /** Term of the newest record; 0 when there is none. */
+  /** Term of the newest record, or 0 without a record. */
   readonly recordTerm: number;
-  /** Workers that may hold the model, by that record. */
+  /** Workers that may hold the model according to that record. */
   readonly record: readonly boolean[];
-  /** Whether the records contain all that earlier epochs knew. */
+  /** Whether the records include everything recorded in earlier epochs. */
   readonly complete: boolean;
 }
 
-/** One coordinator. */
 export interface CoordinatorState {
-  /** Whether its lease is certainly valid. */
+  /** Whether its lease is valid by its own clock. */
   readonly valid: boolean;
   readonly epoch: number;
   readonly term: number;
-  /** Workers that may hold the model, as far as it knows. */
+  /** Workers that may hold the model, as cached by this coordinator. */
   readonly mayHold: readonly boolean[];
-  /** Workers reached under this lease. */
+  /** Workers whose fence was raised under this lease. */
   readonly reached: readonly boolean[];
-  /** Whether unreached workers hold nothing beyond the records. */
+  /** Whether the records cover every model that an unreached worker may hold. */
   readonly complete: boolean;
-  /** Worker with a recorded but unsent order, or -1. */
+  /** Worker whose order is recorded but not yet sent, or -1. */
   readonly recorded: number;
-  /** Number of the last order to each worker. */
+  /** Number of the last order sent to each worker. */
   readonly orders: readonly number[];
-  /** Workers with an order of which nothing was heard. */
+  /** Workers with an order that has not been answered. */
   readonly unknown: readonly boolean[];
 }
 
-/** One worker. */
 export interface WorkerState {
   readonly fence: number;
   readonly loaded: boolean;
 }
 
-/** A load order under way. */
+/** A load order in flight. */
 export interface OrderState {
   readonly worker: number;
   readonly fence: number;
@@ -78,9 +76,9 @@
 
 /** A state of the specification. */
 export interface PlacementState {
-  /** Epoch that the platform names. */
+  /** Current epoch according to the platform. */
   readonly epoch: number;
-  /** Seats by epoch, then voter. */
+  /** Voter states by epoch, then voter. */
   readonly seats: readonly (readonly SeatState[])[];
   readonly coordinators: readonly CoordinatorState[];
   readonly workers: readonly WorkerState[];
@@ -89,29 +87,29 @@
   readonly workerCrashes: number;
 }
 
-/** Every set of voters that is just enough. */
+/** Every minimal quorum, as indexes of voters. */
 export const QUORUMS: readonly (readonly number[])[] = [
   [0, 1],
   [0, 2],
   [1, 2],
 ];
 
-/** Number by which orders of a holder outdate earlier ones. */
+/** Returns the fencing token of an order; a worker rejects orders with a token below its own. */
 export function fenceOf(holder: CoordinatorState, order: number): number {
   return holder.epoch * EPOCH_WEIGHT + holder.term * TERM_WEIGHT + order;
 }
 
-/** The seat with the newest record. */
+/** Returns the voter state with the newest record. */
 export function newestOf(seats: readonly SeatState[]): SeatState {
   return seats.reduce((newest, seat) => (seat.recordTerm > newest.recordTerm ? seat : newest));
 }
 
-/** A list with one item replaced. */
+/** Returns a copy of `list` with one item replaced. */
 export function replace<T>(list: readonly T[], index: number, value: T): readonly T[] {
   return list.map((item, position) => (position === index ? value : item));
 }
 
-/** Voters of an epoch are alike, and so are coordinators: states that differ by their numbering are one. */
+/** Returns one text for all states that differ only in the numbering of voters or coordinators. */
 export function canonicalText(state: PlacementState): string {
   const swapped: PlacementState = {
     ...state,
--- a/packages/lab/src/model/placement-model.ts
+++ b/packages/lab/src/model/placement-model.ts
@@ -1,10 +1,10 @@
 /**
- * Specification of placement under a leased coordinator: lease with majority and epochs, replicated records, fenced
- * orders, take-over, voters that lose their memory. One model with a limit of one replica.
+ * Specification of placement by a coordinator that holds a quorum lease: epochs, replicated records, fenced orders,
+ * failover and voters that lose their memory, for one model with a limit of one replica.
  *
- * Time is abstract: a holder's lease ends on its own side before any voter lets it lapse (the drift bound), orders
- * travel for any time and may be lost, and a holder may stop between any two steps. A connection ends with the
- * worker's process, so an order under way to a crashed worker is lost with it.
+ * Time is abstract. A lease expires at its holder before it expires at any voter, because clock drift is bounded.
+ * Orders may be delayed or lost, and a holder may stop between any two steps. An order in flight to a worker is lost
+ * when that worker crashes, because its connection closes with the process.
  */
 import {
   COORDINATORS,
@@ -23,7 +23,7 @@
 } from './placement-model-state.js';
 import type { Step, TransitionSystem } from './transition-system.js';
 
-/** Guards that can be taken out; each must lead to a counterexample. */
+/** Guards that can be removed; the exploration must find a counterexample without any of them. */
 export const PLACEMENT_DEFECTS = [
   'no-wait-for-old-lease',
   'no-inventory',
@@ -37,7 +37,7 @@
 
 export type PlacementDefect = (typeof PLACEMENT_DEFECTS)[number];
 
-/** Makes the specification, with some guards taken out. */
+/** Creates the specification without the guards listed in `defects`. */
 export function placementModel(
   defects: ReadonlySet<PlacementDefect>,
   bounds: PlacementBounds,
@@ -122,7 +122,7 @@
     };
   }
 
-  /** A majority of the current epoch's voters grants a lease. */
+  /** Grants a lease from each available quorum of the current epoch. */
   private acquisitions(state: PlacementState, index: number, steps: Step<PlacementState>[]): void {
     if (state.coordinators[index]?.valid === true) return;
     const seats = state.seats[state.epoch] as readonly SeatState[];
@@ -172,7 +172,7 @@
     return next;
   }
 
-  /** Seals a majority of the previous epoch and takes its records along; without one the lease stays incomplete. */
+  /** Seals a majority of the previous epoch and copies its records; without a majority the records stay incomplete. */
   private carryOver(state: PlacementState, index: number): PlacementState {
     const previous = state.seats[state.epoch - 1] as readonly SeatState[];
     const reachable = previous.filter((seat) => seat.seated);
@@ -217,7 +217,7 @@
     }
   }
 
-  /** Raises the worker's fence above all earlier orders and learns what it holds. */
+  /** Raises the worker's fence above all earlier orders and reads which models it holds. */
   private raiseFence(
     state: PlacementState,
     index: number,
@@ -244,7 +244,7 @@
     });
   }
 
-  /** Records at a majority that the worker may hold the model from now on. */
+  /** Records at a majority of voters that the worker may hold the model, before the load order is sent. */
   private recordIntent(
     state: PlacementState,
     index: number,
@@ -267,7 +267,7 @@
       steps.push({ label, next: { ...decided, seats } });
   }
 
-  /** Every way in which a record can reach a majority of the voters that still hold to this lease's term. */
+  /** Returns the outcome of writing the record to each quorum whose voters still accept this lease's term. */
   private writes(
     state: PlacementState,
     holder: CoordinatorState,
@@ -309,7 +309,7 @@
     });
   }
 
-  /** An unload that the worker has confirmed. */
+  /** Unloads the model from the worker, with a confirmed response. */
   private unload(state: PlacementState, index: number, worker: number, steps: Step<PlacementState>[]): void {
     const holder = state.coordinators[index] as CoordinatorState;
     const target = state.workers[worker] as WorkerState;
@@ -349,7 +349,7 @@
     this.nextEpoch(state, steps);
   }
 
-  /** Leases that their holders count as ended lapse at the voters of an epoch. */
+  /** Expires, at the voters of an epoch, the leases that have already ended at their holders. */
   private expireLeases(state: PlacementState, epoch: number, steps: Step<PlacementState>[]): void {
     const seats = state.seats[epoch] as readonly SeatState[];
     const hasEnded = (seat: SeatState): boolean => {
@@ -365,7 +365,7 @@
     });
   }
 
-  /** A voter restarts: its memory is gone, and its seat with it. */
+  /** Restarts a voter, which loses its memory and may no longer vote in the epoch. */
   private loseVoter(
     state: PlacementState,
     epoch: number,
@@ -387,7 +387,7 @@
     });
   }
 
-  /** The platform names new voters. Nothing is known in the new epoch until it is carried over. */
+  /** Starts an epoch with new voters, whose records are incomplete until copied from the previous epoch. */
   private nextEpoch(state: PlacementState, steps: Step<PlacementState>[]): void {
     const seats = state.seats[state.epoch] as readonly SeatState[];
     const needed = seats.some((seat) => !seat.seated);
--- a/packages/lab/src/model/platform-write-model.ts
+++ b/packages/lab/src/model/platform-write-model.ts
@@ -1,29 +1,28 @@
 /**
- * Specification of writes to the platform: compare-and-set by two operators, attempts that arrive late, answers that
- * are lost. An operator that is told of success has its change in the history exactly once; one that is told of a
- * conflict has it not at all.
+ * Specification of writes to the platform: compare-and-set by two operators, with delayed attempts and lost responses.
+ * A change reported as successful is in the history exactly once; one reported as a conflict is not in it.
  */
 import type { Step, TransitionSystem } from './transition-system.js';
 
-/** Guards that can be taken out; each must lead to a counterexample. */
+/** Guards that can be removed; the exploration must find a counterexample without any of them. */
 export const PLATFORM_WRITE_DEFECTS = ['blind-retry', 'conflict-without-reading-back', 'no-compare'] as const;
 
 export type PlatformWriteDefect = (typeof PLATFORM_WRITE_DEFECTS)[number];
 
-/** Bounds that the checks use. */
+/** Bounds of the exhaustive checks. */
 export const PLATFORM_WRITE_BOUNDS = { attempts: 3 } as const;
 
 const OPERATORS = 2;
 
 interface OperatorState {
-  /** `writing` until an outcome is told; `unsure` after an answer was lost. */
+  /** `writing` until an outcome is reported; `unsure` after a missing response. */
   readonly phase: 'writing' | 'unsure' | 'success' | 'conflict';
   /** Revision that the write expects. */
   readonly expected: number;
   readonly attempts: number;
 }
 
-/** An attempt under way to the platform. */
+/** An attempt in flight to the platform. */
 interface AttemptState {
   readonly operator: number;
   readonly expected: number;
@@ -31,13 +30,13 @@
 
 /** A state of the specification. */
 export interface PlatformWriteState {
-  /** Operators by accepted writes, oldest first; the revision is the length. */
+  /** Operators of the accepted writes, oldest first; its length is the current revision. */
   readonly history: readonly number[];
   readonly operators: readonly OperatorState[];
   readonly attempts: readonly AttemptState[];
 }
 
-/** Makes the specification, with some guards taken out. */
+/** Creates the specification without the guards listed in `defects`. */
 export function platformWriteModel(
   defects: ReadonlySet<PlatformWriteDefect> = new Set(),
 ): TransitionSystem<PlatformWriteState> {
@@ -130,7 +129,7 @@
     : [];
 }
 
-/** An attempt arrives, and its answer arrives or is lost; or the attempt itself is lost. */
+/** Steps in which an attempt is lost, or arrives and its response is lost or received. */
 function arrivalSteps(
   state: PlatformWriteState,
   position: number,
@@ -149,7 +148,7 @@
   ];
   if (operator.phase !== 'writing') return steps;
   const firstTry = operator.attempts === 1 || defects.has('conflict-without-reading-back');
-  // After an earlier attempt without an answer, a refusal may be due to that attempt: it is read back first.
+  // After an unanswered attempt, that attempt itself may cause the conflict, so the object is read back first.
   const refusedPhase = firstTry ? 'conflict' : 'unsure';
   const phase = accepted ? 'success' : refusedPhase;
   steps.push({
--- a/packages/lab/src/model/transition-system.ts
+++ b/packages/lab/src/model/transition-system.ts
@@ -1,19 +1,19 @@
-/** What a specification is: states, steps between them, and what must hold in each. */
+/** Types of a specification: states, transitions between them and invariants. */
 
-/** One step. */
+/** One transition. */
 export interface Step<State> {
-  /** What happens, for traces. */
+  /** Description of the transition in counterexamples. */
   readonly label: string;
   readonly next: State;
 }
 
-/** Something that must hold in every state. */
+/** Predicate that must hold in every reachable state. */
 export interface Invariant<State> {
   readonly name: string;
   readonly holds: (state: State) => boolean;
 }
 
-/** A typed transition system. States are plain JSON values and never changed in place. */
+/** A typed transition system. States are plain JSON values and are never mutated. */
 export interface TransitionSystem<State> {
   readonly name: string;
   /** Bounds within which the exploration is exhaustive. */
@@ -21,6 +21,6 @@
   readonly initial: State;
   readonly steps: (state: State) => Step<State>[];
   readonly invariants: readonly Invariant<State>[];
-  /** Text that is equal for states that differ only by a renaming of like things. */
+  /** Returns the same text for states that are equal up to renaming of interchangeable elements. */
   readonly canonical: (state: State) => string;
 }
--- a/packages/lab/src/policies/policy-simulator.ts
+++ b/packages/lab/src/policies/policy-simulator.ts
@@ -1,6 +1,6 @@
 /**
- * Baseline policies on the same arrivals: a small queueing model without network or failures. Loads take the time of
- * the nearest tier, caches fill, memory and the weight store are limited, replicas run a bounded number of requests.
+ * Queueing model of baseline policies for comparison on the same arrivals, without network or failures. Load times
+ * depend on the nearest cache tier; memory, weight store and concurrency of replicas are limited.
  */
 import type { ModelParameters } from '@woodbarrow/configuration';
 import type { DeploymentPlan, WorkerPlan } from '../scenario/expand-scenario.js';
@@ -9,12 +9,11 @@
 import { allowedWaitOf, isDeferrable, modelIdOf } from '../traffic/request-facts.js';
 import type { PlannedRequest } from '../traffic/workload.js';
 
-/** Baselines by name. */
 export const BASELINES = ['uncoordinated', 'fixed-keep-alive', 'always-warm', 'oracle'] as const;
 
 export type Baseline = (typeof BASELINES)[number];
 
-/** What one policy gave under one seed. */
+/** Results of one policy under one seed. */
 export interface PolicyOutcome {
   readonly policy: string;
   readonly seed: number;
@@ -22,11 +21,11 @@
   readonly firstTokenMs: Distribution;
   readonly idleAcceleratorHours: number;
   readonly loads: number;
-  /** Requests that could not begin within their allowed wait. */
+  /** Number of requests that could not start within their allowed wait. */
   readonly late: number;
 }
 
-/** What a policy is run on. */
+/** Scenario and arrivals on which a policy runs. */
 export interface PolicyInput {
   readonly scenario: Scenario;
   readonly plan: DeploymentPlan;
@@ -40,7 +39,7 @@
 const TOKEN_MS = 20;
 const HOST_CACHE_SIZE = 4;
 const MS_PER_HOUR = 3_600_000;
-/** One second of cold start weighs as much as this many idle seconds at equal weights, as in the product. */
+/** Idle seconds that cost as much as one second of cold start at equal weights; same ratio as in the daemon. */
 const COLD_SECOND_IN_IDLE_SECONDS = 6;
 
 interface Model {
@@ -55,9 +54,9 @@
   readonly model: Model;
   readonly worker: Worker;
   readyAt: number;
-  /** Ends of the runs under way. */
+  /** End times of the runs in progress. */
   runEnds: number[];
-  /** End of the last run, from which idleness counts. */
+  /** Start of the idle period: the end of the last run. */
   idleSince: number;
 }
 
@@ -68,7 +67,7 @@
   readonly disk: Set<string>;
 }
 
-/** Runs one baseline. */
+/** Runs one baseline policy on the given arrivals. */
 export function runBaseline(policy: Baseline, input: PolicyInput): PolicyOutcome {
   return new PolicyRun(policy, input).run();
 }
@@ -133,7 +132,7 @@
     const model = this.models.get(modelIdOf(request));
     if (model === undefined) return;
     this.unloadIdle(now);
-    // Without coordination each daemon keeps a replica of its own.
+    // Without coordination each daemon loads its own replica.
     const key =
       this.policy === 'uncoordinated'
         ? `${model.id}@${String(index % this.input.plan.daemons.length)}`
@@ -146,7 +145,7 @@
     if (waitMs > allowedWaitOf(request, this.input.plan)) this.late += 1;
     if (replica === undefined || beginsAt === Infinity) return;
     const endsAt = beginsAt + PREFILL_MS + request.tokens * TOKEN_MS;
-    // Between two runs the replica was idle: that time counts now.
+    // Adds the idle time between the last run and this one.
     if (replica.runEnds.length === 0) this.countIdle(replica, beginsAt);
     replica.runEnds.push(endsAt);
     replica.idleSince = Math.max(replica.idleSince, endsAt);
@@ -156,7 +155,7 @@
     if (this.policy === 'oracle') this.unloadUnlessWorthKeeping(replica, index);
   }
 
-  /** The oracle knows when the next request comes, and keeps a replica only if that is worth its idle time. */
+  /** The oracle knows the next arrival and keeps a replica only if a reload would cost more than its idle time. */
   private unloadUnlessWorthKeeping(replica: Replica, index: number): void {
     const { model } = replica;
     const gapMs = (this.nextArrival[index] ?? Infinity) - replica.idleSince;
@@ -185,7 +184,7 @@
     return replica;
   }
 
-  /** The oracle takes the worker with the nearest copy; the others the one with most free memory. */
+  /** The oracle picks the worker with the fastest load; other policies pick the one with the most free memory. */
   private pickWorker(model: Model, now: number, isPreload: boolean): Worker | undefined {
     const needed = model.parameters.memoryGib;
     const byPolicy = (left: Worker, right: Worker): number =>
@@ -198,7 +197,7 @@
     return this.evictIdle(needed, now);
   }
 
-  /** Drops the replicas that have been idle longest until one worker has room. */
+  /** Unloads the longest-idle replicas until one worker has enough free memory. */
   private evictIdle(needed: number, now: number): Worker | undefined {
     const idle = [...this.replicas.values()]
       .filter((replica) => replica.readyAt <= now && replica.runEnds.every((end) => end <= now))
@@ -216,7 +215,7 @@
     return (worker.disk.has(model.checkpoint) ? loadSeconds.disk : loadSeconds.remote) * 1000;
   }
 
-  /** When the weight store can begin another load. */
+  /** Reserves a load slot of the weight store and returns its start time. */
   private reserveStoreSlot(now: number, loadMs: number): number {
     const active = this.storeLoadEnds.filter((end) => end > now).sort((left, right) => left - right);
     const limit = this.input.scenario.weightStore.concurrentLoads;
@@ -248,7 +247,7 @@
   }
 }
 
-/** When the replica can take one more run. */
+/** Returns the time at which the replica can start one more run. */
 function slotFreeAt(replica: Replica, now: number): number {
   const from = Math.max(now, replica.readyAt);
   replica.runEnds = replica.runEnds.filter((end) => end > now);
@@ -258,7 +257,7 @@
   return Math.max(from, running[running.length - limit] ?? from);
 }
 
-/** For each request, when the next one for the same model comes; Infinity after the last. */
+/** Returns, for each request, the time of the next request for the same model; Infinity if there is none. */
 function arrivalsAfter(workload: readonly PlannedRequest[]): number[] {
   const next = new Array<number>(workload.length).fill(Infinity);
   const last = new Map<string, number>();
--- a/packages/lab/src/real/real-deployment.ts
+++ b/packages/lab/src/real/real-deployment.ts
@@ -1,4 +1,4 @@
-/** A deployment on loopback: stand-ins served over HTTP by this process, daemons here or in processes of their own. */
+/** A deployment on loopback: this process serves the stand-ins over HTTP; daemons run in it or as child processes. */
 import { spawn, type ChildProcess } from 'node:child_process';
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
 import { createServer, type AddressInfo } from 'node:net';
@@ -31,13 +31,13 @@
 export interface RealDeploymentOptions {
   readonly scenario: Scenario;
   readonly seed: number;
-  /** Whether each daemon is a process of its own. */
+  /** Whether each daemon runs as a child process. */
   readonly separateProcesses: boolean;
-  /** Factor on all load times, to make short runs possible. @default 1 */
+  /** Factor on all load times, to shorten runs. @default 1 */
   readonly loadTimeFactor?: number;
   /** Factor on all token times. @default 1 */
   readonly tokenTimeFactor?: number;
-  /** Seconds of grace for planned stops. @default 120 */
+  /** Grace period of planned stops in seconds. @default 120 */
   readonly graceSeconds?: number;
 }
 
@@ -59,11 +59,11 @@
   server: HttpServer | undefined;
 }
 
-/** What was seen of all engines while the deployment ran. */
+/** Maxima over all engines since the start of the deployment. */
 export interface EngineObservations {
-  /** Most replicas of one model at once above its limit. */
+  /** Maximum number of concurrent replicas of one model beyond its limit. */
   maximumOverLimit: number;
-  /** Most memory used on one worker, as a share of what it has. */
+  /** Maximum share of its memory that a worker has used. */
   maximumMemoryShare: number;
 }
 
@@ -72,7 +72,7 @@
 const READY_TIMEOUT_MS = 30_000;
 const READY_POLL_MS = 100;
 
-/** Starts and stops everything. */
+/** Starts, stops and restarts the stand-ins and daemons of a deployment. */
 export class RealDeployment {
   readonly plan: DeploymentPlan;
   readonly platform: PlatformStandIn;
@@ -129,7 +129,7 @@
     });
   }
 
-  /** Waits until a daemon says that it is ready. @throws Error after a time. */
+  /** Waits until a daemon reports that it is ready. @throws Error after {@link READY_TIMEOUT_MS}. */
   async waitReady(daemon: RealDaemon): Promise<void> {
     const until = this.clock.monotonic() + READY_TIMEOUT_MS;
     while (this.clock.monotonic() < until) {
@@ -139,16 +139,16 @@
       if (response?.status === 200) return;
       await sleep(this.clock, READY_POLL_MS);
     }
-    throw new Error(`${daemon.plan.id} was not ready in time`);
+    throw new Error(`daemon ${daemon.plan.id} was not ready before the timeout`);
   }
 
-  /** Kills a daemon's process at once. */
+  /** Kills a daemon's process with SIGKILL. */
   killDaemon(daemon: RealDaemon): void {
     daemon.process?.kill('SIGKILL');
     daemon.process = undefined;
   }
 
-  /** Stops a daemon as planned; resolves when it has ended. */
+  /** Stops a daemon gracefully; resolves when it has stopped. */
   async stopDaemon(daemon: RealDaemon): Promise<void> {
     const child = daemon.process;
     if (child === undefined) {
@@ -165,7 +165,7 @@
     daemon.process = undefined;
   }
 
-  /** Ends a worker's engine at once, in the middle of whatever it does. */
+  /** Closes a worker's server without draining, as in a crash. */
   async killWorker(worker: RealWorker): Promise<void> {
     const { server } = worker;
     worker.server = undefined;
@@ -173,7 +173,7 @@
     await server?.close();
   }
 
-  /** Starts a killed worker anew, empty, at the same address. */
+  /** Restarts a killed worker with an empty engine at the same address. */
   async restartWorker(worker: RealWorker): Promise<void> {
     worker.engine = this.createEngine(worker.plan);
     worker.server = await serveHttp({
@@ -182,12 +182,12 @@
     });
   }
 
-  /** Runs of one request, over all workers and their earlier engines. */
+  /** Records of all engines, including those replaced by restarts. */
   get engineRecords(): readonly EngineStandIn['record'][] {
     return this.records;
   }
 
-  /** Stops everything. */
+  /** Stops all daemons and stand-ins and deletes the temporary folder. */
   async stop(): Promise<void> {
     for (const daemon of this.daemons) {
       daemon.process?.kill('SIGKILL');
@@ -279,7 +279,7 @@
   }
 }
 
-/** Ports that nobody listens on now. */
+/** Returns currently unused loopback ports. */
 async function freePorts(count: number): Promise<number[]> {
   const servers = await Promise.all(
     Array.from(
--- a/packages/lab/src/real/real-report.ts
+++ b/packages/lab/src/real/real-report.ts
@@ -1,19 +1,18 @@
-/** The table that runs on loopback print, and their verdict. */
+/** Summary table and violations of a run on loopback. */
 import { distributionOf } from '../simulation/simulation-summary.js';
 import type { RealDeployment } from './real-deployment.js';
 import type { TrafficTotals } from './real-traffic.js';
 
-/** Rows of a table. */
 export type ReportRows = readonly (readonly [label: string, value: string])[];
 
-/** What one run showed. */
+/** Results of one run. */
 export interface RealReport {
   readonly rows: ReportRows;
-  /** Promises that were broken; empty when all held. */
+  /** Violated guarantees; empty if all held. */
   readonly broken: readonly string[];
 }
 
-/** Sums up a run. */
+/** Builds the report of a run from engine records and traffic totals. */
 export function reportOf(deployment: RealDeployment, totals: TrafficTotals): RealReport {
   const { observations, engineRecords } = deployment;
   const loads = sum(engineRecords.map((record) => record.loads));
@@ -45,7 +44,7 @@
   return { rows, broken };
 }
 
-/** Rows as aligned text. */
+/** Formats rows as aligned text. */
 export function formatRows(rows: ReportRows): string {
   const width = Math.max(...rows.map(([label]) => label.length));
   return rows.map(([label, value]) => `  ${label.padEnd(width)}  ${value}`).join('\n');
--- a/packages/lab/src/real/real-traffic.ts
+++ b/packages/lab/src/real/real-traffic.ts
@@ -1,35 +1,35 @@
-/** Sends requests into a deployment on loopback and sums up how they ended. */
+/** Sends requests to a deployment on loopback and counts their outcomes. */
 import type { Random } from '@woodbarrow/runtime';
 import { sleep } from '@woodbarrow/runtime';
 import { Caller, shouldRetry, type Attempt } from '../traffic/caller.js';
 import type { PlannedRequest } from '../traffic/workload.js';
 import type { RealDaemon, RealDeployment } from './real-deployment.js';
 
-/** A request with all its attempts. */
+/** A request with its attempts so far. */
 interface RequestHistory {
   readonly planned: PlannedRequest;
   readonly attempts: Attempt[];
   done: boolean;
 }
 
-/** Totals of a run. */
+/** Outcome counts of a run. */
 export interface TrafficTotals {
   readonly sent: number;
   readonly served: number;
   readonly refusedByKind: Readonly<Record<string, number>>;
-  /** Ended in a visible error: an interrupted stream or a closed connection. */
+  /** Requests whose last attempt ended in an interrupted stream or a closed connection. */
   readonly failed: number;
-  /** Never answered, or answered with something else. */
+  /** Requests without a response, or with a corrupt one. */
   readonly lost: number;
-  /** Requests that must not run twice and did. */
+  /** Requests that ran more than once although they must not. */
   readonly doubled: number;
-  /** Milliseconds to the first content of served requests. */
+  /** Milliseconds from the first attempt to the first content, for served requests. */
   readonly firstContentMs: readonly number[];
 }
 
 const RETRY_DELAY_MS = 200;
 
-/** Drives traffic in real time. */
+/** Sends planned requests in real time and tracks their attempts. */
 export class RealTraffic {
   private readonly histories: RequestHistory[] = [];
   private readonly pending = new Set<Promise<void>>();
@@ -42,12 +42,12 @@
     this.caller = new Caller(deployment.http, () => deployment.clock.monotonic());
   }
 
-  /** Requests sent, and those that have ended. */
+  /** Number of requests sent, and number of those that are done. */
   get progress(): { readonly sent: number; readonly ended: number } {
     return { sent: this.histories.length, ended: this.histories.filter((story) => story.done).length };
   }
 
-  /** Sends all requests at their times; resolves when the last has been sent. */
+  /** Sends all requests at their planned times; resolves when the last has been sent. */
   async send(requests: readonly PlannedRequest[]): Promise<void> {
     const { clock } = this.deployment;
     const start = clock.monotonic();
@@ -58,7 +58,7 @@
     }
   }
 
-  /** Sends one request now, to a given daemon first if one is named. */
+  /** Sends one request now; its first attempt goes to daemon `first` if given. */
   begin(planned: PlannedRequest, first?: RealDaemon): void {
     const story: RequestHistory = { planned, attempts: [], done: false };
     this.histories.push(story);
@@ -66,12 +66,12 @@
     this.pending.add(running);
   }
 
-  /** Waits until everything sent has ended. */
+  /** Waits until all sent requests are done. */
   async settle(): Promise<void> {
     while (this.pending.size > 0) await Promise.all(this.pending);
   }
 
-  /** Sums up. */
+  /** Returns the outcome counts of all sent requests. */
   totals(): TrafficTotals {
     const refusedByKind: Record<string, number> = {};
     const firstContentMs: number[] = [];
--- a/packages/standins/src/engine.ts
+++ b/packages/standins/src/engine.ts
@@ -1,6 +1,6 @@
 /**
- * Stand-in of a model engine: fenced orders, accelerator memory that cannot be exceeded, continuous batching by a
- * model of token times, and a record of what ran, by which doubled runs are seen.
+ * Stand-in for a model engine: fenced orders, limited accelerator memory, simulated token times under continuous
+ * batching, and a record of all runs that reveals duplicates.
  */
 import { z } from 'zod';
 import {
@@ -15,7 +15,7 @@
 } from '@woodbarrow/runtime';
 import type { WeightStoreStandIn } from './weight-store.js';
 
-/** Seconds that a load takes by tier. */
+/** Load time of a checkpoint in seconds, by cache tier. */
 export interface LoadTimes {
   readonly host: number;
   readonly disk: number;
@@ -30,15 +30,15 @@
   readonly memoryGib: number;
   readonly weights: WeightStoreStandIn;
   readonly loadTimes: (checkpoint: string) => LoadTimes;
-  /** Checkpoints in host memory at the start. */
+  /** Checkpoints initially in host memory. */
   readonly hostCache?: readonly string[];
-  /** Checkpoints on the local disk at the start. */
+  /** Checkpoints initially on the local disk. */
   readonly diskCache?: readonly string[];
-  /** Checkpoints that fit into host memory. @default 4 */
+  /** Maximum number of checkpoints in host memory. @default 4 */
   readonly hostCacheSize?: number;
-  /** Tokens sent in one chunk. @default 1 */
+  /** Number of tokens per chunk. @default 1 */
   readonly tokensPerChunk?: number;
-  /** Sends the first bytes of each event of a stream ahead, so that one that breaks off ends inside an event. @default false */
+  /** Sends each stream event in two parts, so that an interrupted stream ends inside an event. @default false */
   readonly splitsEvents?: boolean;
   /** Factor on all token times; 0 makes tokens free. @default 1 */
   readonly tokenTimeFactor?: number;
@@ -59,7 +59,7 @@
   readonly stopped: AbortController;
 }
 
-/** A model that holds memory, as seen from outside. */
+/** A model that occupies accelerator memory. */
 export interface LoadedReplica {
   readonly model: string;
   readonly state: ModelState;
@@ -67,13 +67,13 @@
   readonly memoryGib: number;
 }
 
-/** What the engine keeps of all it ever ran. */
+/** Counters over the lifetime of an engine. */
 export interface EngineRecord {
-  /** Runs begun, by the marker in the prompt. */
+  /** Number of runs started, by the marker in the prompt. */
   readonly runs: Map<string, number>;
-  /** Runs begun, by request id. */
+  /** Number of runs started, by request id. */
   readonly runsByRequest: Map<string, number>;
-  /** Loads begun, by model. */
+  /** Number of loads started, by model. */
   readonly loadsByModel: Map<string, number>;
   overcommitsRefused: number;
   fencesRefused: number;
@@ -116,7 +116,7 @@
 const TOKEN_STEP_MS_PER_RUN = 0.5;
 const DEFAULT_TOKENS = 16;
 const MARKER_PATTERN = /#([A-Za-z0-9_.-]+)/;
-/** Bytes of an event that are sent ahead, inside its data. */
+/** Offset inside the data of an event at which it is split. */
 const SPLIT_OFFSET_BYTES = 12;
 const NOT_STARTED = { 'x-not-started': 'true' };
 
@@ -135,7 +135,7 @@
   onChange: (() => void) | undefined;
   /** Called when a run begins, with the marker of its prompt and the request's id. */
   onRun: ((marker: string, requestId: string) => void) | undefined;
-  /** Accepts orders of lower fences, as a defect planted by tests. */
+  /** Accepts orders with lower fences; an injected defect that tests must detect. */
   ignoreFences = false;
   private fence = 0;
   private generation: number;
@@ -146,37 +146,37 @@
   private readonly diskCache: Set<string>;
 
   constructor(private readonly options: EngineOptions) {
-    // A new run of the engine must not be taken for an earlier one.
+    // Clients must be able to distinguish a restarted engine from its predecessor, so generations start at the wall time.
     this.generation = Math.floor(options.clock.wall());
     this.cacheGeneration = Math.floor(options.clock.wall());
     this.hostCache = [...(options.hostCache ?? [])];
     this.diskCache = new Set(options.diskCache ?? []);
   }
 
-  /** Memory that models hold, in GiB. */
+  /** Accelerator memory in use, in GiB. */
   get usedGib(): number {
     let used = 0;
     for (const model of this.models.values()) used += model.memoryGib;
     return Math.round(used * MIB_PER_GIB) / MIB_PER_GIB;
   }
 
-  /** Accelerator memory in GiB. */
+  /** Total accelerator memory in GiB. */
   get memoryGib(): number {
     return this.options.memoryGib;
   }
 
-  /** Models that hold memory, by state. */
+  /** Returns the models that occupy memory, in any state. */
   loaded(): readonly LoadedReplica[] {
     return [...this.models.values()];
   }
 
-  /** The worker is about to leave. */
+  /** Reports in the inventory that the worker is about to leave. */
   startDraining(): void {
     this.draining = true;
     this.generation += 1;
   }
 
-  /** Answers the control and completion APIs. */
+  /** Serves the control and completion APIs. */
   readonly handler: HttpHandler = async (request) => {
     const [path, query] = request.path.split('?', 2);
     const known = Number(new URLSearchParams(query).get('caches-since') ?? NaN);
@@ -186,7 +186,7 @@
     return jsonResponse(404, {});
   };
 
-  /** What is held now, without caches that the asker knows. */
+  /** Returns the inventory; omits the caches if the client already has their current generation. */
   private inventory(knownCacheGeneration: number): object {
     const isCacheCurrent = knownCacheGeneration === this.cacheGeneration;
     const { workerId, accelerators, memoryGib } = this.options;
@@ -415,7 +415,7 @@
   private async delay(durationMs: number, signal: AbortSignal): Promise<void> {
     const scaled = durationMs * (this.options.tokenTimeFactor ?? 1);
     if (scaled > 0) await sleep(this.options.clock, scaled, signal);
-    if (signal.aborted) throw new Error('the client has gone');
+    if (signal.aborted) throw new Error('client disconnected');
   }
 
   private finishRun(entry: LoadedModel): void {
@@ -424,7 +424,7 @@
   }
 }
 
-/** Text of one token of the answer to the prompt with this marker. */
+/** Returns the text of one token of the response to the prompt with this marker. */
 export function tokenText(marker: string, index: number): string {
   return `${marker}:${String(index)} `;
 }
--- a/packages/standins/src/index.ts
+++ b/packages/standins/src/index.ts
@@ -1,4 +1,4 @@
-/** Stand-ins for the systems outside: one implementation for real runs and simulations. */
+/** Stand-ins for external systems, shared by real runs and simulations. */
 export * from './engine.js';
 export * from './machine-list.js';
 export * from './platform.js';
--- a/packages/standins/src/machine-list.ts
+++ b/packages/standins/src/machine-list.ts
@@ -1,7 +1,7 @@
-/** Stand-in of the platform's machine list, which shows changes late. */
+/** Stand-in for the platform's machine list, which shows changes after a lag. */
 import { encodeText, hashText, jsonResponse, type Clock, type HttpHandler } from '@woodbarrow/runtime';
 
-/** One machine as listed. */
+/** Entry of the machine list. */
 export interface ListedMachine {
   readonly id: string;
   readonly kind: 'daemon' | 'worker';
@@ -11,42 +11,42 @@
   readonly state: 'live' | 'leaving';
 }
 
-/** Keeps the list; changes show after the lag. */
+/** Stores the machine list and applies changes after the lag. */
 export class MachineListStandIn {
   private readonly visible = new Map<string, ListedMachine>();
 
-  /** @param lagMs Milliseconds until a change shows. */
+  /** @param lagMs Milliseconds until a change becomes visible. */
   constructor(
     private readonly clock: Clock,
     private readonly lagMs: number,
   ) {}
 
-  /** Lists a machine from the start, without lag. */
+  /** Adds a machine without lag. */
   seed(machine: ListedMachine): void {
     this.visible.set(machine.id, machine);
   }
 
-  /** Adds or changes a machine. */
+  /** Adds or replaces a machine after the lag. */
   set(machine: ListedMachine): void {
     this.clock.schedule(this.lagMs, () => {
       this.visible.set(machine.id, machine);
     });
   }
 
-  /** Marks a machine as leaving. */
+  /** Marks a machine as leaving after the lag. */
   markLeaving(id: string): void {
     const machine = this.visible.get(id);
     if (machine !== undefined) this.set({ ...machine, state: 'leaving' });
   }
 
-  /** Removes a machine. */
+  /** Removes a machine after the lag. */
   remove(id: string): void {
     this.clock.schedule(this.lagMs, () => {
       this.visible.delete(id);
     });
   }
 
-  /** Answers `GET /machines`, by zone and kind if asked, and `304` to those who have seen the present list. */
+  /** Serves `GET /machines`, filtered by `zone` and `kind`; responds `304` if the list still matches `if-none-match`. */
   readonly handler: HttpHandler = (request) => {
     const url = new URL(request.path, 'http://machines');
     if (url.pathname !== '/machines') return Promise.resolve(jsonResponse(404, {}));
--- a/packages/standins/src/platform.ts
+++ b/packages/standins/src/platform.ts
@@ -1,4 +1,4 @@
-/** Stand-in of the platform's object API: versions, compare-and-set, watches, compaction, and its faults. */
+/** Stand-in for the platform's object API: versions, compare-and-set, watches, compaction and injected faults. */
 import {
   AsyncQueue,
   decodeText,
@@ -20,28 +20,28 @@
   readonly value: Record<string, unknown> | null;
 }
 
-/** How the platform behaves now. */
+/** Currently injected faults. */
 export interface PlatformFaults {
   /** Every request fails. */
   down: boolean;
-  /** Milliseconds added to each answer. */
+  /** Milliseconds added to each response. */
   delayMs: number;
-  /** Share of writes whose answer is lost after they took effect. */
+  /** Share of writes (0 to 1) whose response is lost after they took effect. */
   loseAnswerShare: number;
 }
 
 const MAX_VERSIONS_PER_OBJECT = 50;
 const MAX_RETAINED_CHANGES = 2000;
 const FIRST_REVISION = 1;
-/** A reader counts as one for this long after its last read. */
+/** Time for which a reader counts as active after its last read. */
 const READER_ACTIVITY_WINDOW_MS = 1000;
 
-/** Keeps objects and tells watchers of changes. */
+/** Stores objects in memory and publishes changes to watchers. */
 export class PlatformStandIn {
   readonly faults: PlatformFaults = { down: false, delayMs: 0, loseAnswerShare: 0 };
   /** Called after each accepted write. */
   onAccepted: ((version: StoredVersion) => void) | undefined;
-  /** Most readers at once so far. */
+  /** Maximum number of concurrent readers so far. */
   maximumReaders = 0;
   private revision = FIRST_REVISION;
   private readonly objects = new Map<string, StoredVersion>();
@@ -57,12 +57,12 @@
     private readonly random: Random,
   ) {}
 
-  /** Revision of the newest write. */
+  /** Revision of the latest write. */
   get currentRevision(): number {
     return this.revision;
   }
 
-  /** Readers now: open watches, and whoever read a moment ago. */
+  /** Number of readers with an open watch or a recent read. */
   get readers(): number {
     const now = this.clock.monotonic();
     const readers = new Set([...this.openWatches].filter(([, count]) => count > 0).map(([id]) => id));
@@ -72,17 +72,17 @@
     return readers.size;
   }
 
-  /** Writes without a caller, for the content at the start. */
+  /** Writes an object directly, bypassing compare-and-set. */
   seed(key: string, value: Record<string, unknown>): void {
     this.apply(key, value, `seed-${key}`);
   }
 
-  /** The value of an object. */
+  /** Returns the value of an object, or undefined if it does not exist. */
   get(key: string): Record<string, unknown> | undefined {
     return this.objects.get(key)?.value ?? undefined;
   }
 
-  /** Answers the object API. */
+  /** Serves the object API. */
   readonly handler: HttpHandler = async (request) => {
     const { faults, clock } = this;
     if (faults.delayMs > 0) await sleep(clock, faults.delayMs, request.signal);
@@ -114,7 +114,7 @@
       return jsonResponse(409, { current: current ?? null });
     }
     const version = this.apply(key, value, operationId);
-    if (this.random.next() < this.faults.loseAnswerShare) throw new Error('the answer was lost');
+    if (this.random.next() < this.faults.loseAnswerShare) throw new Error('the response was lost');
     return jsonResponse(200, { revision: version.revision });
   }
 
--- a/packages/standins/src/weight-store.ts
+++ b/packages/standins/src/weight-store.ts
@@ -1,31 +1,31 @@
-/** Stand-in of the weight store: fetches share a bounded number of streams and a bounded rate of starts. */
+/** Stand-in for the weight store, with a limited bandwidth and a limited rate of new fetches. */
 import { sleep, type Clock } from '@woodbarrow/runtime';
 
-/** Limits of the store. */
+/** Options of {@link WeightStoreStandIn}. */
 export interface WeightStoreOptions {
   readonly clock: Clock;
-  /** Fetches at once at full speed; beyond it all of them slow down. */
+  /** Number of concurrent fetches at full speed; beyond it, all fetches slow down in proportion. */
   readonly concurrentLoads: number;
-  /** Fetches begun in a second; beyond it they wait. */
+  /** Maximum number of fetches started per second; further fetches wait. */
   readonly loadsPerSecond: number;
 }
 
 const PROGRESS_STEP_MS = 250;
 
-/** Serves checkpoints to engines. */
+/** Simulates the time that engines need to fetch checkpoints. */
 export class WeightStoreStandIn {
-  /** Factor by which fetches take longer, to simulate a slow store. */
+  /** Factor on the duration of fetches, to simulate a slow store. */
   slowdown = 1;
-  /** Highest number of fetches at once. */
+  /** Maximum number of concurrent fetches so far. */
   maximumConcurrent = 0;
-  /** Fetches begun. */
+  /** Number of fetches started. */
   fetches = 0;
   private active = 0;
   private nextStart = 0;
 
   constructor(private readonly options: WeightStoreOptions) {}
 
-  /** Resolves after the time that a fetch of `seconds` at full speed takes now, or when `signal` aborts. */
+  /** Resolves when a fetch that takes `seconds` at full speed is complete, or when `signal` aborts. */
   async fetch(seconds: number, signal: AbortSignal): Promise<void> {
     const { clock, concurrentLoads, loadsPerSecond } = this.options;
     const startAt = Math.max(clock.monotonic(), this.nextStart);
