--- a/packages/lab/src/bench/load-generator.ts
+++ b/packages/lab/src/bench/load-generator.ts
@@ -30,7 +30,7 @@
 const MICROSECONDS_PER_MS = 1000;
 const COMPLETIONS_PATH = '/v1/chat/completions';
 
-class Generator {
+class LoadGenerator {
   private readonly http = new UndiciHttpClient({ connections: 1024 });
   private readonly clock = new SystemClock();
   private readonly histogram: Histogram = build({
@@ -113,7 +113,7 @@
 }
 
 parentPort?.on('message', (order: LoadOrder) => {
-  void new Generator(order).run().then((result) => {
+  void new LoadGenerator(order).run().then((result) => {
     parentPort?.postMessage(result);
   });
 });
--- a/packages/lab/src/checkers/answer-checkers.ts
+++ b/packages/lab/src/checkers/answer-checkers.ts
@@ -115,8 +115,8 @@
     if (attempt.outcome !== 'disconnected' && attempt.outcome !== 'interrupted') return;
     for (const slot of deployment.daemons.values()) {
       const since = slot.drainingSinceMs;
-      const here = deployment.callerOrigin(slot.plan.id) === attempt.origin;
-      if (!here || since === undefined || attempt.sentAtMs >= since || slot.killed) continue;
+      const isSameDaemon = deployment.callerOrigin(slot.plan.id) === attempt.origin;
+      if (!isSameDaemon || since === undefined || attempt.sentAtMs >= since || slot.killed) continue;
       if (attempt.outcome === 'disconnected') {
         report(
           'planned-stop',
--- a/packages/lab/src/checkers/configuration-checkers.ts
+++ b/packages/lab/src/checkers/configuration-checkers.ts
@@ -40,7 +40,7 @@
   readonly milliseconds: number[];
 }
 
-/** An accepted change is in effect on every ready daemon within {@link IN_FORCE_LIMIT_MS}, unless a fault interferes. */
+/** An accepted change is in effect on every ready daemon within {@link IN_FORCE_LIMIT_MS} unless a fault interferes. */
 export function configurationInForce(times: InForceTimes): CheckerFactory {
   return ({ deployment, faults, report }) => {
     const pending: { readonly revision: number; readonly atMs: number; reported: boolean }[] = [];
@@ -62,13 +62,13 @@
         const now = deployment.world.now;
         for (const change of pending) {
           if (change.reported || now - change.atMs < IN_FORCE_LIMIT_MS) continue;
-          const disturbed = faults.spans.some(
+          const isDisturbed = faults.spans.some(
             (span) =>
               span.fault.type !== 'operator-race' &&
               span.toMs + IN_FORCE_LIMIT_MS > change.atMs &&
               span.fromMs <= now,
           );
-          if (disturbed) continue;
+          if (isDisturbed) continue;
           change.reported = true;
           report('configuration-in-force', `revision ${String(change.revision)} is not in force after 13 s`);
         }
@@ -80,12 +80,12 @@
 /** At most {@link READERS_PER_ZONE} daemons per zone read the platform. */
 export const platformReaders: CheckerFactory = ({ deployment, report }) => {
   const zones = new Set(deployment.plan.daemons.map((daemon) => daemon.zone)).size;
-  let worst = zones * READERS_PER_ZONE;
+  let highestReported = zones * READERS_PER_ZONE;
   return {
     onSecond: () => {
       const { readers } = deployment.platform;
-      if (readers <= worst) return;
-      worst = readers;
+      if (readers <= highestReported) return;
+      highestReported = readers;
       report('platform-readers', `${String(readers)} daemons read the platform`);
     },
   };
--- a/packages/lab/src/hollow/hollow-run.ts
+++ b/packages/lab/src/hollow/hollow-run.ts
@@ -63,8 +63,8 @@
   const startedAt = wall();
   const run = new HollowRun(size, seed);
   const viewsAgreedSeconds = await run.start();
-  const steady = await run.measureSteady();
-  const configurationInForceMs = await run.measureChanges();
+  const steady = await run.measureSteadyState();
+  const configurationInForceMs = await run.measureConfigurationChanges();
   const detectionSeconds = await run.measureDetection();
   const failoverSeconds = await run.measureFailover();
   const region = await run.measurePartitionHeal();
@@ -127,7 +127,7 @@
     return agreed;
   }
 
-  async measureSteady(): Promise<SteadyStateMetrics> {
+  async measureSteadyState(): Promise<SteadyStateMetrics> {
     const slots = this.aliveDaemons();
     const before = new Map(slots.map((slot) => [slot.plan.id, this.snapshotTraffic(slot)]));
     const cpuBefore = process.cpuUsage();
@@ -148,7 +148,7 @@
   }
 
   /** Changes one object repeatedly; returns the times until each change is in effect on every daemon. */
-  async measureChanges(): Promise<Distribution> {
+  async measureConfigurationChanges(): Promise<Distribution> {
     const times: number[] = [];
     for (let change = 0; change < CONFIGURATION_CHANGES; change += 1) {
       const key = 'partners/first';
@@ -163,18 +163,18 @@
 
   /** Kills a daemon without a role; returns the seconds until it is absent from all views. */
   async measureDetection(): Promise<number> {
-    const victim = this.aliveDaemons().findLast((slot) => roleOf(slot) === 'member');
-    if (victim === undefined) return 0;
-    this.killPermanently(victim);
-    return this.waitUntil(() => this.isAbsentFromAllViews([victim]), REACTION_TIMEOUT_MS);
+    const target = this.aliveDaemons().findLast((slot) => roleOf(slot) === 'member');
+    if (target === undefined) return 0;
+    this.killPermanently(target);
+    return this.waitUntil(() => this.isAbsentFromAllViews([target]), REACTION_TIMEOUT_MS);
   }
 
   async measureFailover(): Promise<number> {
-    const victim = this.aliveDaemons().find((slot) => slot.daemon.coordinator.isActive);
-    if (victim === undefined) return 0;
-    this.killPermanently(victim);
+    const target = this.aliveDaemons().find((slot) => slot.daemon.coordinator.isActive);
+    if (target === undefined) return 0;
+    this.killPermanently(target);
     const inZone = (): DaemonSlot[] =>
-      this.aliveDaemons().filter((slot) => slot.plan.zone === victim.plan.zone);
+      this.aliveDaemons().filter((slot) => slot.plan.zone === target.plan.zone);
     return this.waitUntil(
       () => inZone().some((slot) => slot.daemon.coordinator.isActive),
       REACTION_TIMEOUT_MS,
@@ -250,13 +250,13 @@
       const slots = this.aliveDaemons().filter((slot) => roleOf(slot) === role);
       if (slots.length === 0) continue;
       const changes = slots.map((slot) => {
-        const then = before.get(slot.plan.id) ?? { bytesOut: 0, bytesIn: 0, messagesOut: 0, http: 0 };
+        const earlier = before.get(slot.plan.id) ?? { bytesOut: 0, bytesIn: 0, messagesOut: 0, http: 0 };
         const now = this.snapshotTraffic(slot);
         return {
-          bytesOut: (now.bytesOut - then.bytesOut) / seconds,
-          bytesIn: (now.bytesIn - then.bytesIn) / seconds,
-          messagesOut: (now.messagesOut - then.messagesOut) / seconds,
-          http: (now.http - then.http) / seconds,
+          bytesOut: (now.bytesOut - earlier.bytesOut) / seconds,
+          bytesIn: (now.bytesIn - earlier.bytesIn) / seconds,
+          messagesOut: (now.messagesOut - earlier.messagesOut) / seconds,
+          http: (now.http - earlier.http) / seconds,
         };
       });
       roles[role] = {
--- a/packages/lab/src/model/explore.ts
+++ b/packages/lab/src/model/explore.ts
@@ -35,9 +35,9 @@
   let counterexample: Counterexample | undefined;
   for (let index = 0; index < visited.length && counterexample === undefined; index += 1) {
     const current = visited[index] as Visited<State>;
-    const broken = system.invariants.find((invariant) => !invariant.holds(current.state));
-    if (broken !== undefined) {
-      counterexample = { invariant: broken.name, steps: pathTo(visited, index) };
+    const violated = system.invariants.find((invariant) => !invariant.holds(current.state));
+    if (violated !== undefined) {
+      counterexample = { invariant: violated.name, steps: pathTo(visited, index) };
       break;
     }
     for (const step of system.steps(current.state)) {
--- a/packages/lab/src/real/real-report.ts
+++ b/packages/lab/src/real/real-report.ts
@@ -19,11 +19,12 @@
   const overcommits = sum(engineRecords.map((record) => record.overcommitsRefused));
   const refused = Object.entries(totals.refusedByKind);
   const first = distributionOf(totals.firstContentMs);
-  const broken: string[] = [];
-  if (totals.lost > 0) broken.push(`${String(totals.lost)} requests lost`);
-  if (totals.doubled > 0) broken.push(`${String(totals.doubled)} requests doubled`);
-  if (observations.maximumOverLimit > 0) broken.push('more replicas than the limit');
-  if (observations.maximumMemoryShare > 1 || overcommits > 0) broken.push('memory committed beyond capacity');
+  const violations: string[] = [];
+  if (totals.lost > 0) violations.push(`${String(totals.lost)} requests lost`);
+  if (totals.doubled > 0) violations.push(`${String(totals.doubled)} requests doubled`);
+  if (observations.maximumOverLimit > 0) violations.push('more replicas than the limit');
+  if (observations.maximumMemoryShare > 1 || overcommits > 0)
+    violations.push('memory committed beyond capacity');
   const rows: ReportRows = [
     ['sent', String(totals.sent)],
     ['served', String(totals.served)],
@@ -41,7 +42,7 @@
     ['orders beyond memory', String(overcommits)],
     ['platform readers, most at once', String(deployment.platform.maximumReaders)],
   ];
-  return { rows, broken };
+  return { rows, broken: violations };
 }
 
 /** Formats rows as aligned text. */
--- a/packages/lab/src/real/real-traffic.ts
+++ b/packages/lab/src/real/real-traffic.ts
@@ -44,7 +44,7 @@
 
   /** Number of requests sent, and number of those that are done. */
   get progress(): { readonly sent: number; readonly ended: number } {
-    return { sent: this.histories.length, ended: this.histories.filter((story) => story.done).length };
+    return { sent: this.histories.length, ended: this.histories.filter((history) => history.done).length };
   }
 
   /** Sends all requests at their planned times; resolves when the last has been sent. */
@@ -60,9 +60,9 @@
 
   /** Sends one request now; its first attempt goes to daemon `first` if given. */
   begin(planned: PlannedRequest, first?: RealDaemon): void {
-    const story: RequestHistory = { planned, attempts: [], done: false };
-    this.histories.push(story);
-    const running = this.sendWithRetries(story, first).finally(() => this.pending.delete(running));
+    const history: RequestHistory = { planned, attempts: [], done: false };
+    this.histories.push(history);
+    const running = this.sendWithRetries(history, first).finally(() => this.pending.delete(running));
     this.pending.add(running);
   }
 
@@ -106,25 +106,25 @@
     }).length;
   }
 
-  private async sendWithRetries(story: RequestHistory, first: RealDaemon | undefined): Promise<void> {
-    const { planned } = story;
+  private async sendWithRetries(history: RequestHistory, first: RealDaemon | undefined): Promise<void> {
+    const { planned } = history;
     const { clock } = this.deployment;
     const firstSentAt = clock.monotonic();
     for (let left = planned.retries; ; left -= 1) {
       const origin =
-        story.attempts.length === 0 && first !== undefined ? first.callerOrigin : this.pickOrigin(story);
+        history.attempts.length === 0 && first !== undefined ? first.callerOrigin : this.pickOrigin(history);
       const keyAge = clock.monotonic() - firstSentAt;
       const attempt = await this.caller.send(planned.request, origin, keyAge, (started) => {
-        story.attempts.push(started);
+        history.attempts.push(started);
       });
       if (left <= 0 || !shouldRetry(attempt)) break;
       await sleep(clock, (attempt.retryAfterSeconds ?? 0) * 1000 + RETRY_DELAY_MS);
     }
-    story.done = true;
+    history.done = true;
   }
 
-  private pickOrigin(story: RequestHistory): string {
-    const last = story.attempts.at(-1)?.origin;
+  private pickOrigin(history: RequestHistory): string {
+    const last = history.attempts.at(-1)?.origin;
     const others = this.deployment.daemons.filter((daemon) => daemon.callerOrigin !== last);
     return this.random.pick(others)?.callerOrigin ?? '';
   }
--- a/packages/standins/src/engine.ts
+++ b/packages/standins/src/engine.ts
@@ -146,7 +146,7 @@
   private readonly diskCache: Set<string>;
 
   constructor(private readonly options: EngineOptions) {
-    // Clients must be able to distinguish a restarted engine from its predecessor, so generations start at the wall time.
+    // Generations start at the wall time, so that clients can distinguish a restarted engine from its predecessor.
     this.generation = Math.floor(options.clock.wall());
     this.cacheGeneration = Math.floor(options.clock.wall());
     this.hostCache = [...(options.hostCache ?? [])];
--- a/packages/standins/src/machine-list.ts
+++ b/packages/standins/src/machine-list.ts
@@ -46,7 +46,7 @@
     });
   }
 
-  /** Serves `GET /machines`, filtered by `zone` and `kind`; responds `304` if the list still matches `if-none-match`. */
+  /** Serves `GET /machines`, filtered by `zone` and `kind`; responds `304` if the list matches `if-none-match`. */
   readonly handler: HttpHandler = (request) => {
     const url = new URL(request.path, 'http://machines');
     if (url.pathname !== '/machines') return Promise.resolve(jsonResponse(404, {}));
