--- a/packages/lab/src/campaign/shrink.ts
+++ b/packages/lab/src/campaign/shrink.ts
@@ -1,12 +1,12 @@
-/** Finds a short list of faults under which a seed still fails. */
+/** Reduces the faults of a failing simulation to a short list that still fails. */
 import type { Scenario } from '../scenario/scenario-schema.js';
 import type { PlannedFault } from '../simulation/fault-plan.js';
 import { runSimulation } from '../simulation/run-simulation.js';
 
-/** Largest number of runs spent on shrinking. */
-const RUN_LIMIT = 60;
+/** Maximum number of simulations per reduction. */
+const MAX_SHRINK_RUNS = 60;
 
-/** Drops faults, half of them at first and single ones at last, as long as the same checker still reports. */
+/** Removes faults in ever smaller groups, from half of them to single ones, while the same checker still fails. */
 export async function shrinkFaults(
   scenario: Scenario,
   seed: number,
@@ -21,7 +21,7 @@
     return summary.violations.some((violation) => violation.checker === checker);
   };
   for (let size = Math.ceil(best.length / 2); size >= 1; size = size === 1 ? 0 : Math.ceil(size / 2)) {
-    for (let start = 0; start < best.length && runs < RUN_LIMIT;) {
+    for (let start = 0; start < best.length && runs < MAX_SHRINK_RUNS;) {
       const candidate = [...best.slice(0, start), ...best.slice(start + size)];
       if (await fails(candidate)) best = candidate;
       else start += size;
--- a/packages/lab/src/hollow/hollow-run.ts
+++ b/packages/lab/src/hollow/hollow-run.ts
@@ -1,4 +1,4 @@
-/** Runs a hollow deployment and measures what coordination costs and how fast it reacts. */
+/** Runs a hollow deployment and measures the cost and the reaction times of coordination. */
 import { setFlagsFromString } from 'node:v8';
 import { runInNewContext } from 'node:vm';
 import { Random } from '@woodbarrow/runtime';
@@ -8,66 +8,66 @@
 import { planWorkload } from '../traffic/workload.js';
 import { hollowScenario, type HollowSize } from './hollow-scenario.js';
 
-/** Roles by which traffic is told apart; a daemon counts under the first that it holds. */
+/** Roles by which traffic is grouped; a daemon counts under the first role that it holds. */
 export const HOLLOW_ROLES = ['coordinator', 'relay', 'ledger', 'member'] as const;
 
 export type HollowRole = (typeof HOLLOW_ROLES)[number];
 
-/** Control traffic of the daemons of one role, per daemon and second. */
+/** Control traffic of the daemons in one role, per daemon and second. */
 export interface RoleTraffic {
   readonly daemons: number;
   readonly peerBytesOutMean: number;
   readonly peerBytesOutMax: number;
   readonly peerBytesInMean: number;
   readonly messagesOutMean: number;
-  /** Bytes to and from engines, platform and machine list, headers estimated. */
+  /** Bytes exchanged with engines, platform and machine list, with estimated headers. */
   readonly controlHttpBytesMean: number;
 }
 
-/** What a hollow run gave. */
+/** Results of a hollow run. */
 export interface HollowReport {
   readonly size: HollowSize;
-  /** Virtual seconds until all views held all daemons. */
+  /** Virtual seconds until every membership view contained all daemons. */
   readonly viewsAgreedSeconds: number;
   readonly roles: Readonly<Partial<Record<HollowRole, RoleTraffic>>>;
-  /** Processor time of the whole process for one daemon's virtual second, stand-ins and simulation included. */
+  /** Processor seconds per daemon and virtual second; an upper bound, as it includes stand-ins and simulation. */
   readonly cpuShareOfCoreUpperBound: number;
   readonly heapMegabytesPerDaemon: number;
   readonly residentMegabytes: number;
   readonly platformReaders: number;
   readonly falseSuspicions: number;
   readonly falselyDeclaredDead: number;
-  /** Until every other daemon knew that a killed one was gone. */
+  /** Time until a killed daemon was absent from all views. */
   readonly detectionSeconds: number;
-  /** From the death of a zone's coordinator to the start of the next. */
+  /** Time from the crash of a zone's coordinator until its successor was active. */
   readonly failoverSeconds: number;
   readonly configurationInForceMs: Distribution;
-  /** Until all others knew that a whole zone was gone; undefined with one zone. */
+  /** Time until a lost zone was absent from all views; undefined with one zone. */
   readonly zoneLossDetectionSeconds: number | undefined;
-  /** Until all views agreed again after a region was apart for the stated time; undefined with one region. */
+  /** Time until all views agreed after a partition of `regionApartSeconds`; undefined with one region. */
   readonly regionHealSeconds: number | undefined;
   readonly regionApartSeconds: number;
   readonly wallSeconds: number;
 }
 
-const START_LIMIT_MS = 120_000;
-const STEADY_MS = 30_000;
-const STEP_MS = 250;
-const REACTION_LIMIT_MS = 180_000;
-const CHANGES = 8;
-const REGION_APART_MS = 60_000;
-const MEGABYTE = 1024 * 1024;
+const START_TIMEOUT_MS = 120_000;
+const STEADY_STATE_MS = 30_000;
+const POLL_STEP_MS = 250;
+const REACTION_TIMEOUT_MS = 180_000;
+const CONFIGURATION_CHANGES = 8;
+const REGION_PARTITION_MS = 60_000;
+const BYTES_PER_MEGABYTE = 1024 * 1024;
 
-/** Runs one size. */
+/** Runs all measurements for one size; `wall` returns wall-clock milliseconds. */
 export async function runHollow(size: HollowSize, seed: number, wall: () => number): Promise<HollowReport> {
   const startedAt = wall();
   const run = new HollowRun(size, seed);
   const viewsAgreedSeconds = await run.start();
-  const steady = await run.measureSteady();
-  const configurationInForceMs = await run.measureChanges();
+  const steady = await run.measureSteadyState();
+  const configurationInForceMs = await run.measureConfigurationChanges();
   const detectionSeconds = await run.measureDetection();
   const failoverSeconds = await run.measureFailover();
-  const region = await run.measureRegionCut();
+  const region = await run.measurePartitionHeal();
   const zoneLossDetectionSeconds = await run.measureZoneLoss();
   return {
     size,
@@ -78,12 +78,12 @@
     failoverSeconds,
     zoneLossDetectionSeconds,
     regionHealSeconds: region,
-    regionApartSeconds: REGION_APART_MS / 1000,
+    regionApartSeconds: REGION_PARTITION_MS / 1000,
     wallSeconds: (wall() - startedAt) / 1000,
   };
 }
 
-type SteadyFigures = Pick<
+type SteadyStateMetrics = Pick<
   HollowReport,
   | 'roles'
   | 'cpuShareOfCoreUpperBound'
@@ -94,7 +94,7 @@
   | 'falselyDeclaredDead'
 >;
 
-interface TrafficMark {
+interface TrafficSnapshot {
   readonly bytesOut: number;
   readonly bytesIn: number;
   readonly messagesOut: number;
@@ -109,109 +109,114 @@
     private readonly size: HollowSize,
     seed: number,
   ) {
-    this.heapBefore = collectedHeap();
+    this.heapBefore = heapAfterCollection();
     const scenario = hollowScenario(size);
     this.deployment = new SimulatedDeployment({ scenario, seed });
     const random = new Random(seed);
     const traffic = new TrafficDriver(this.deployment, random.fork());
     const workload = planWorkload({ ...scenario, durationSeconds: 400 }, this.deployment.plan, random.fork());
     this.deployment.start();
-    traffic.schedule(workload, START_LIMIT_MS / 4);
+    traffic.schedule(workload, START_TIMEOUT_MS / 4);
   }
 
-  /** Starts everything; seconds until all views are whole. */
+  /** Runs until all views are complete and roles have settled; returns the seconds until the views were complete. */
   async start(): Promise<number> {
-    const agreed = await this.until(() => this.allSee(this.size.daemons), START_LIMIT_MS);
-    // Leases, voters and inventories settle before anything is measured.
-    await this.advance(START_LIMIT_MS / 4);
+    const agreed = await this.waitUntil(() => this.allViewsContain(this.size.daemons), START_TIMEOUT_MS);
+    // Leases, voters and inventories settle before the measurements.
+    await this.advance(START_TIMEOUT_MS / 4);
     return agreed;
   }
 
-  async measureSteady(): Promise<SteadyFigures> {
-    const slots = this.alive();
-    const before = new Map(slots.map((slot) => [slot.plan.id, this.mark(slot)]));
+  async measureSteadyState(): Promise<SteadyStateMetrics> {
+    const slots = this.aliveDaemons();
+    const before = new Map(slots.map((slot) => [slot.plan.id, this.snapshotTraffic(slot)]));
     const cpuBefore = process.cpuUsage();
-    await this.advance(STEADY_MS);
+    await this.advance(STEADY_STATE_MS);
     const cpu = process.cpuUsage(cpuBefore);
-    const seconds = STEADY_MS / 1000;
+    const seconds = STEADY_STATE_MS / 1000;
     const cpuSeconds = (cpu.user + cpu.system) / 1_000_000;
     const counters = slots.map((slot) => slot.daemon.membership.counters);
     return {
       roles: this.roleTraffic(before, seconds),
       cpuShareOfCoreUpperBound: cpuSeconds / seconds / slots.length,
-      heapMegabytesPerDaemon: (collectedHeap() - this.heapBefore) / MEGABYTE / slots.length,
-      residentMegabytes: Math.round(process.memoryUsage().rss / MEGABYTE),
+      heapMegabytesPerDaemon: (heapAfterCollection() - this.heapBefore) / BYTES_PER_MEGABYTE / slots.length,
+      residentMegabytes: Math.round(process.memoryUsage().rss / BYTES_PER_MEGABYTE),
       platformReaders: this.deployment.platform.readers,
       falseSuspicions: sum(counters.map((counter) => counter.suspicionsStarted)),
       falselyDeclaredDead: sum(counters.map((counter) => counter.declaredDead)),
     };
   }
 
-  /** Changes one object again and again; times until it is in force on every daemon. */
-  async measureChanges(): Promise<Distribution> {
+  /** Changes one object repeatedly; returns the times until each change is in effect on every daemon. */
+  async measureConfigurationChanges(): Promise<Distribution> {
     const times: number[] = [];
-    for (let change = 0; change < CHANGES; change += 1) {
+    for (let change = 0; change < CONFIGURATION_CHANGES; change += 1) {
       const key = 'partners/first';
       this.deployment.platform.seed(key, { ...this.deployment.platform.get(key) });
       const revision = this.deployment.platform.currentRevision;
-      const inForce = (): boolean => this.alive().every((slot) => slot.daemon.store.revision >= revision);
-      times.push((await this.until(inForce, REACTION_LIMIT_MS, 5)) * 1000);
+      const inForce = (): boolean =>
+        this.aliveDaemons().every((slot) => slot.daemon.store.revision >= revision);
+      times.push((await this.waitUntil(inForce, REACTION_TIMEOUT_MS, 5)) * 1000);
     }
     return distributionOf(times);
   }
 
-  /** Kills a daemon that holds no role. */
+  /** Kills a daemon without a role; returns the seconds until it is absent from all views. */
   async measureDetection(): Promise<number> {
-    const victim = this.alive().findLast((slot) => roleOf(slot) === 'member');
-    if (victim === undefined) return 0;
-    this.killForGood(victim);
-    return this.until(() => this.nobodySees([victim]), REACTION_LIMIT_MS);
+    const target = this.aliveDaemons().findLast((slot) => roleOf(slot) === 'member');
+    if (target === undefined) return 0;
+    this.killPermanently(target);
+    return this.waitUntil(() => this.isAbsentFromAllViews([target]), REACTION_TIMEOUT_MS);
   }
 
   async measureFailover(): Promise<number> {
-    const victim = this.alive().find((slot) => slot.daemon.coordinator.isActive);
-    if (victim === undefined) return 0;
-    this.killForGood(victim);
-    const inZone = (): DaemonSlot[] => this.alive().filter((slot) => slot.plan.zone === victim.plan.zone);
-    return this.until(() => inZone().some((slot) => slot.daemon.coordinator.isActive), REACTION_LIMIT_MS);
+    const target = this.aliveDaemons().find((slot) => slot.daemon.coordinator.isActive);
+    if (target === undefined) return 0;
+    this.killPermanently(target);
+    const inZone = (): DaemonSlot[] =>
+      this.aliveDaemons().filter((slot) => slot.plan.zone === target.plan.zone);
+    return this.waitUntil(
+      () => inZone().some((slot) => slot.daemon.coordinator.isActive),
+      REACTION_TIMEOUT_MS,
+    );
   }
 
-  async measureRegionCut(): Promise<number | undefined> {
+  async measurePartitionHeal(): Promise<number | undefined> {
     if (this.size.regions < 2) return undefined;
-    const region = this.alive()[0]?.plan.region;
+    const region = this.aliveDaemons()[0]?.plan.region;
     const heal = this.deployment.network.cut(
       (from, to) => (from.region === region) !== (to.region === region),
     );
-    await this.advance(REGION_APART_MS);
+    await this.advance(REGION_PARTITION_MS);
     heal();
-    const count = this.alive().length;
-    return this.until(() => this.allSee(count), REACTION_LIMIT_MS);
+    const count = this.aliveDaemons().length;
+    return this.waitUntil(() => this.allViewsContain(count), REACTION_TIMEOUT_MS);
   }
 
   async measureZoneLoss(): Promise<number | undefined> {
     if (this.size.zones < 2) return undefined;
-    const zone = this.alive().at(-1)?.plan.zone;
-    const lost = this.alive().filter((slot) => slot.plan.zone === zone);
-    for (const slot of lost) this.killForGood(slot);
-    return this.until(() => this.nobodySees(lost), REACTION_LIMIT_MS);
+    const zone = this.aliveDaemons().at(-1)?.plan.zone;
+    const lost = this.aliveDaemons().filter((slot) => slot.plan.zone === zone);
+    for (const slot of lost) this.killPermanently(slot);
+    return this.waitUntil(() => this.isAbsentFromAllViews(lost), REACTION_TIMEOUT_MS);
   }
 
-  private alive(): DaemonSlot[] {
+  private aliveDaemons(): DaemonSlot[] {
     return [...this.deployment.daemons.values()].filter((slot) => slot.process.alive);
   }
 
-  private killForGood(slot: DaemonSlot): void {
+  private killPermanently(slot: DaemonSlot): void {
     slot.process.kill();
     slot.daemon.abort();
   }
 
-  private allSee(count: number): boolean {
-    return this.alive().every((slot) => slot.daemon.membership.present().length === count);
+  private allViewsContain(count: number): boolean {
+    return this.aliveDaemons().every((slot) => slot.daemon.membership.present().length === count);
   }
 
-  private nobodySees(gone: readonly DaemonSlot[]): boolean {
+  private isAbsentFromAllViews(gone: readonly DaemonSlot[]): boolean {
     const ids = new Set(gone.map((slot) => slot.plan.id));
-    return this.alive().every((slot) =>
+    return this.aliveDaemons().every((slot) =>
       slot.daemon.membership.present().every((member) => !ids.has(member.id)),
     );
   }
@@ -221,36 +226,37 @@
     await world.run(world.now + durationMs);
   }
 
-  /** Seconds until `condition` holds. @throws Error after the limit. */
-  private async until(condition: () => boolean, limitMs: number, stepMs = STEP_MS): Promise<number> {
+  /** Returns the virtual seconds until `condition` holds. @throws Error after `limitMs`. */
+  private async waitUntil(condition: () => boolean, limitMs: number, stepMs = POLL_STEP_MS): Promise<number> {
     const { world } = this.deployment;
     const from = world.now;
     while (!condition()) {
-      if (world.now - from > limitMs) throw new Error(`not within ${String(limitMs)} virtual ms`);
+      if (world.now - from > limitMs)
+        throw new Error(`condition not met within ${String(limitMs)} virtual ms`);
       await this.advance(stepMs);
     }
     return (world.now - from) / 1000;
   }
 
-  private mark(slot: DaemonSlot): TrafficMark {
+  private snapshotTraffic(slot: DaemonSlot): TrafficSnapshot {
     const { bytesSent, bytesReceived, messagesSent } = slot.daemon.peers.traffic;
     const http = this.deployment.controlHttpBytes.get(slot.plan.id) ?? 0;
     return { bytesOut: bytesSent, bytesIn: bytesReceived, messagesOut: messagesSent, http };
   }
 
-  private roleTraffic(before: ReadonlyMap<string, TrafficMark>, seconds: number): HollowReport['roles'] {
+  private roleTraffic(before: ReadonlyMap<string, TrafficSnapshot>, seconds: number): HollowReport['roles'] {
     const roles: Partial<Record<HollowRole, RoleTraffic>> = {};
     for (const role of HOLLOW_ROLES) {
-      const slots = this.alive().filter((slot) => roleOf(slot) === role);
+      const slots = this.aliveDaemons().filter((slot) => roleOf(slot) === role);
       if (slots.length === 0) continue;
       const changes = slots.map((slot) => {
-        const then = before.get(slot.plan.id) ?? { bytesOut: 0, bytesIn: 0, messagesOut: 0, http: 0 };
-        const now = this.mark(slot);
+        const earlier = before.get(slot.plan.id) ?? { bytesOut: 0, bytesIn: 0, messagesOut: 0, http: 0 };
+        const now = this.snapshotTraffic(slot);
         return {
-          bytesOut: (now.bytesOut - then.bytesOut) / seconds,
-          bytesIn: (now.bytesIn - then.bytesIn) / seconds,
-          messagesOut: (now.messagesOut - then.messagesOut) / seconds,
-          http: (now.http - then.http) / seconds,
+          bytesOut: (now.bytesOut - earlier.bytesOut) / seconds,
+          bytesIn: (now.bytesIn - earlier.bytesIn) / seconds,
+          messagesOut: (now.messagesOut - earlier.messagesOut) / seconds,
+          http: (now.http - earlier.http) / seconds,
         };
       });
       roles[role] = {
@@ -273,8 +279,8 @@
   return 'member';
 }
 
-/** Heap in use after a full collection, in bytes. */
-function collectedHeap(): number {
+/** Returns the heap in use after a full garbage collection, in bytes. */
+function heapAfterCollection(): number {
   setFlagsFromString('--expose-gc');
   const collect = runInNewContext('gc') as () => void;
   collect();
--- a/packages/lab/src/model/claims-model.ts
+++ b/packages/lab/src/model/claims-model.ts
@@ -1,11 +1,11 @@
 /**
- * Specification of the at-most-once ledger: two routers with the same key, a ledger whose leader changes, voters that
- * lose their memory, answers that are lost. The key may be run at most once, and a key that the ledger cannot tell
- * is never run.
+ * Specification of the at-most-once ledger: two routers claim the same key while the ledger's leader changes, voters
+ * lose their memory and responses are lost. A key runs at most once, and never if the ledger has no record that
+ * rules out an earlier run.
  */
 import type { Step, TransitionSystem } from './transition-system.js';
 
-/** Guards that can be taken out; each must lead to a counterexample. */
+/** Guards that can be removed; the exploration must find a counterexample without any of them. */
 export const CLAIMS_DEFECTS = [
   'run-before-claim',
   'minority-write',
@@ -17,37 +17,37 @@
 
 export type ClaimsDefect = (typeof CLAIMS_DEFECTS)[number];
 
-/** Bounds that the checks use. */
+/** Bounds of the exhaustive checks. */
 export const CLAIMS_BOUNDS = { leaders: 3, voterLosses: 3, epochs: 2 } as const;
 
 const VOTERS = 3;
 const MAJORITY = 2;
 const ROUTERS = 2;
-const NOBODY = -1;
+const NO_ROUTER = -1;
 
 interface RouterState {
-  /** `idle`, `asked` (its claim may be recorded), `granted`, `ran`, or `gave_up`. */
+  /** In phase `asked` the claim may or may not be recorded. */
   readonly phase: 'idle' | 'asked' | 'granted' | 'ran' | 'gave_up';
 }
 
 interface VoterState {
   readonly seated: boolean;
-  /** Router whose claim is recorded, or -1. */
+  /** Router whose claim this voter has recorded, or -1. */
   readonly claim: number;
-  /** Leader that recorded it; of two records the later leader's counts. */
+  /** Number of the leader that recorded it; the record of the later leader takes precedence. */
   readonly term: number;
 }
 
 /** A state of the specification. */
 export interface ClaimsState {
   readonly epoch: number;
-  /** Leaders so far. */
+  /** Number of leaders so far. */
   readonly leaders: number;
   /** Whether there is a leader now. */
   readonly led: boolean;
-  /** Claim in the leader's memory, or -1. */
+  /** Router whose claim the leader holds in memory, or -1. */
   readonly taken: number;
-  /** Whether the leader's memory reaches back to before the key was made. */
+  /** Whether the ledger's records reach back to before the key was created. */
   readonly complete: boolean;
   readonly voters: readonly VoterState[];
   readonly routers: readonly RouterState[];
@@ -55,7 +55,7 @@
   readonly voterLosses: number;
 }
 
-/** Makes the specification, with some guards taken out. */
+/** Creates the specification without the guards listed in `defects`. */
 export function claimsModel(defects: ReadonlySet<ClaimsDefect> = new Set()): TransitionSystem<ClaimsState> {
   return {
     name: 'claims',
@@ -64,9 +64,9 @@
       epoch: 0,
       leaders: 0,
       led: false,
-      taken: NOBODY,
+      taken: NO_ROUTER,
       complete: true,
-      voters: new Array<VoterState>(VOTERS).fill({ seated: true, claim: NOBODY, term: 0 }),
+      voters: new Array<VoterState>(VOTERS).fill({ seated: true, claim: NO_ROUTER, term: 0 }),
       routers: new Array<RouterState>(ROUTERS).fill({ phase: 'idle' }),
       runs: 0,
       voterLosses: 0,
@@ -85,7 +85,7 @@
 
 function leaderSteps(state: ClaimsState): Step<ClaimsState>[] {
   const steps: Step<ClaimsState>[] = [];
-  if (state.led) steps.push({ label: 'the leader fails', next: { ...state, led: false, taken: NOBODY } });
+  if (state.led) steps.push({ label: 'the leader fails', next: { ...state, led: false, taken: NO_ROUTER } });
   if (state.led || state.leaders >= CLAIMS_BOUNDS.leaders) return steps;
   for (const quorum of quorumsOf(state.voters)) {
     const newest = newestOf(quorum.map((voter) => state.voters[voter] as VoterState));
@@ -100,7 +100,7 @@
 function routerSteps(state: ClaimsState, defects: ReadonlySet<ClaimsDefect>): Step<ClaimsState>[] {
   const steps: Step<ClaimsState>[] = [];
   for (const [index, router] of state.routers.entries()) {
-    const become = (phase: RouterState['phase'], runs = 0): ClaimsState => ({
+    const withPhase = (phase: RouterState['phase'], runs = 0): ClaimsState => ({
       ...state,
       runs: state.runs + runs,
       routers: state.routers.map((other, position) => (position === index ? { phase } : other)),
@@ -108,24 +108,24 @@
     const mayRun =
       router.phase === 'granted' || (defects.has('run-before-claim') && router.phase === 'asked');
     if (router.phase === 'idle')
-      steps.push({ label: `router ${String(index)} receives the key`, next: become('asked') });
-    if (mayRun) steps.push({ label: `router ${String(index)} runs the request`, next: become('ran', 1) });
+      steps.push({ label: `router ${String(index)} receives the key`, next: withPhase('asked') });
+    if (mayRun) steps.push({ label: `router ${String(index)} runs the request`, next: withPhase('ran', 1) });
     if (router.phase === 'asked' || router.phase === 'granted') {
-      steps.push({ label: `router ${String(index)} fails or gives up`, next: become('gave_up') });
+      steps.push({ label: `router ${String(index)} fails or gives up`, next: withPhase('gave_up') });
     }
   }
   return steps;
 }
 
-/** The leader answers a router that asks; a router that heard nothing asks again. */
+/** The leader processes the claim of a router; a router without a response repeats its claim. */
 function claimSteps(state: ClaimsState, defects: ReadonlySet<ClaimsDefect>): Step<ClaimsState>[] {
   const steps: Step<ClaimsState>[] = [];
   if (!state.led) return steps;
   for (const [index, router] of state.routers.entries()) {
     if (router.phase !== 'asked') continue;
-    const isOwn = state.taken === index || (defects.has('claimant-not-checked') && state.taken !== NOBODY);
-    if (state.taken !== NOBODY && !isOwn) continue;
-    if (state.taken === NOBODY && !state.complete && !defects.has('young-ledger-guesses')) continue;
+    const isOwn = state.taken === index || (defects.has('claimant-not-checked') && state.taken !== NO_ROUTER);
+    if (state.taken !== NO_ROUTER && !isOwn) continue;
+    if (state.taken === NO_ROUTER && !state.complete && !defects.has('young-ledger-guesses')) continue;
     if (state.taken === index && defects.has('regrant-without-record')) {
       const routers = state.routers.map((other, position) =>
         position === index ? { phase: 'granted' as const } : other,
@@ -160,8 +160,8 @@
       steps.push({ label, next: { ...base, taken: router, routers: granted } });
       steps.push({ label: `${label}, and the answer is lost`, next: { ...base, taken: router } });
     } else {
-      // The write failed. The key stays taken in the leader's memory.
-      const taken = defects.has('forgets-taken-on-failure') ? NOBODY : router;
+      // The write failed, but some voters may have recorded it: the leader keeps the key as claimed.
+      const taken = defects.has('forgets-taken-on-failure') ? NO_ROUTER : router;
       steps.push({ label: `${label}, too few`, next: { ...base, taken } });
     }
   }
@@ -174,7 +174,7 @@
     for (const [index, voter] of state.voters.entries()) {
       if (!voter.seated) continue;
       const voters = state.voters.map((other, position) =>
-        position === index ? { seated: false, claim: NOBODY, term: 0 } : other,
+        position === index ? { seated: false, claim: NO_ROUTER, term: 0 } : other,
       );
       steps.push({
         label: `voter ${String(index)} restarts`,
@@ -188,22 +188,22 @@
   return steps;
 }
 
-/** A new epoch carries the records over when a majority of the old voters can be sealed, and says so when not. */
+/** Starts a new epoch; it is incomplete unless a majority of the old voters can be sealed and their records copied. */
 function nextEpoch(state: ClaimsState): ClaimsState {
   const seated = state.voters.filter((voter) => voter.seated);
   const sealed = seated.length >= MAJORITY;
-  const { claim, term } = sealed ? newestOf(seated) : { claim: NOBODY, term: 0 };
+  const { claim, term } = sealed ? newestOf(seated) : { claim: NO_ROUTER, term: 0 };
   return {
     ...state,
     epoch: state.epoch + 1,
     led: false,
-    taken: NOBODY,
+    taken: NO_ROUTER,
     complete: state.complete && sealed,
     voters: state.voters.map(() => ({ seated: true, claim, term })),
   };
 }
 
-/** The record of the latest leader. */
+/** Returns the record of the latest leader. */
 function newestOf(voters: readonly VoterState[]): VoterState {
   return voters.reduce((newest, voter) => (voter.term > newest.term ? voter : newest));
 }
@@ -212,7 +212,7 @@
   return subsets(voters).filter((subset) => subset.length === MAJORITY);
 }
 
-/** All sets of seated voters. */
+/** Returns all subsets of the voters that have kept their memory, as lists of indexes. */
 function subsets(voters: readonly VoterState[]): number[][] {
   const seated = voters.flatMap((voter, index) => (voter.seated ? [index] : []));
   return Array.from({ length: 2 ** seated.length }, (_, mask) =>
--- a/packages/lab/src/model/placement-model.ts
+++ b/packages/lab/src/model/placement-model.ts
@@ -1,10 +1,10 @@
 /**
- * Specification of placement under a leased coordinator: lease with majority and epochs, replicated records, fenced
- * orders, take-over, voters that lose their memory. One model with a limit of one replica.
+ * Specification of placement by a coordinator that holds a quorum lease: epochs, replicated records, fenced orders,
+ * failover and voters that lose their memory, for one model with a limit of one replica.
  *
- * Time is abstract: a holder's lease ends on its own side before any voter lets it lapse (the drift bound), orders
- * travel for any time and may be lost, and a holder may stop between any two steps. A connection ends with the
- * worker's process, so an order under way to a crashed worker is lost with it.
+ * Time is abstract. A lease expires at its holder before it expires at any voter, because clock drift is bounded.
+ * Orders may be delayed or lost, and a holder may stop between any two steps. An order in flight to a worker is lost
+ * when that worker crashes, because its connection closes with the process.
  */
 import {
   COORDINATORS,
@@ -23,7 +23,7 @@
 } from './placement-model-state.js';
 import type { Step, TransitionSystem } from './transition-system.js';
 
-/** Guards that can be taken out; each must lead to a counterexample. */
+/** Guards that can be removed; the exploration must find a counterexample without any of them. */
 export const PLACEMENT_DEFECTS = [
   'no-wait-for-old-lease',
   'no-inventory',
@@ -37,7 +37,7 @@
 
 export type PlacementDefect = (typeof PLACEMENT_DEFECTS)[number];
 
-/** Makes the specification, with some guards taken out. */
+/** Creates the specification without the guards listed in `defects`. */
 export function placementModel(
   defects: ReadonlySet<PlacementDefect>,
   bounds: PlacementBounds,
@@ -122,13 +122,13 @@
     };
   }
 
-  /** A majority of the current epoch's voters grants a lease. */
+  /** Grants a lease from each available quorum of the current epoch. */
   private acquisitions(state: PlacementState, index: number, steps: Step<PlacementState>[]): void {
     if (state.coordinators[index]?.valid === true) return;
     const seats = state.seats[state.epoch] as readonly SeatState[];
     for (const quorum of QUORUMS) {
       const members = quorum.map((voter) => seats[voter] as SeatState);
-      const ready = members.every((seat) => seat.seated && !seat.sealed && this.mayGrant(seat));
+      const ready = members.every((seat) => seat.seated && !seat.sealed && this.canGrant(seat));
       const term = Math.max(...members.map((seat) => seat.term)) + 1;
       if (!ready || term > this.bounds.terms) continue;
       steps.push({
@@ -138,7 +138,7 @@
     }
   }
 
-  private mayGrant(seat: SeatState): boolean {
+  private canGrant(seat: SeatState): boolean {
     return seat.holder < 0 || this.defects.has('no-wait-for-old-lease');
   }
 
@@ -154,14 +154,14 @@
       quorum.includes(voter) ? { ...seat, term, holder: index } : seat,
     );
     const blank = this.idleCoordinator();
-    const blind = this.defects.has('no-inventory');
+    const skipsInventory = this.defects.has('no-inventory');
     const holder: CoordinatorState = {
       ...blank,
       valid: true,
       epoch: state.epoch,
       term,
-      complete: blind || newest.complete,
-      mayHold: blind ? blank.mayHold : newest.record,
+      complete: skipsInventory || newest.complete,
+      mayHold: skipsInventory ? blank.mayHold : newest.record,
     };
     let next: PlacementState = {
       ...state,
@@ -172,7 +172,7 @@
     return next;
   }
 
-  /** Seals a majority of the previous epoch and takes its records along; without one the lease stays incomplete. */
+  /** Seals a majority of the previous epoch and copies its records; without a majority the records stay incomplete. */
   private carryOver(state: PlacementState, index: number): PlacementState {
     const previous = state.seats[state.epoch - 1] as readonly SeatState[];
     const reachable = previous.filter((seat) => seat.seated);
@@ -217,7 +217,7 @@
     }
   }
 
-  /** Raises the worker's fence above all earlier orders and learns what it holds. */
+  /** Raises the worker's fence above all earlier orders and reads which models it holds. */
   private raiseFence(
     state: PlacementState,
     index: number,
@@ -231,7 +231,7 @@
     const order = (holder.orders[worker] ?? 0) + (raises ? 1 : 0);
     const fence = fenceOf(holder, order);
     if (target.fence > fence || order > this.bounds.ordersPerLease) return;
-    const learnt = this.withHolder(state, index, {
+    const updated = this.withHolder(state, index, {
       reached: replace(holder.reached, worker, true),
       mayHold: replace(holder.mayHold, worker, target.loaded),
       unknown: replace(holder.unknown, worker, false),
@@ -240,11 +240,11 @@
     const workers = replace(state.workers, worker, raises ? { ...target, fence } : target);
     steps.push({
       label: `coordinator ${String(index)} fences worker ${String(worker)}`,
-      next: { ...learnt, workers },
+      next: { ...updated, workers },
     });
   }
 
-  /** Records at a majority that the worker may hold the model from now on. */
+  /** Records at a majority of voters that the worker may hold the model, before the load order is sent. */
   private recordIntent(
     state: PlacementState,
     index: number,
@@ -253,9 +253,9 @@
   ): void {
     const holder = state.coordinators[index] as CoordinatorState;
     const allReached = holder.reached.every(Boolean);
-    const mayDecide = holder.complete || allReached;
-    const anywhere = holder.mayHold.some(Boolean) || holder.unknown.some(Boolean);
-    if (!mayDecide || anywhere || holder.recorded >= 0 || holder.reached[worker] !== true) return;
+    const canDecide = holder.complete || allReached;
+    const mayBeLoaded = holder.mayHold.some(Boolean) || holder.unknown.some(Boolean);
+    if (!canDecide || mayBeLoaded || holder.recorded >= 0 || holder.reached[worker] !== true) return;
     const mayHold = replace(holder.mayHold, worker, true);
     const decided = this.withHolder(state, index, { mayHold, recorded: worker });
     const label = `coordinator ${String(index)} records worker ${String(worker)}`;
@@ -267,7 +267,7 @@
       steps.push({ label, next: { ...decided, seats } });
   }
 
-  /** Every way in which a record can reach a majority of the voters that still hold to this lease's term. */
+  /** Returns the outcome of writing the record to each quorum whose voters still accept this lease's term. */
   private writes(
     state: PlacementState,
     holder: CoordinatorState,
@@ -309,7 +309,7 @@
     });
   }
 
-  /** An unload that the worker has confirmed. */
+  /** Unloads the model from the worker, with a confirmed response. */
   private unload(state: PlacementState, index: number, worker: number, steps: Step<PlacementState>[]): void {
     const holder = state.coordinators[index] as CoordinatorState;
     const target = state.workers[worker] as WorkerState;
@@ -343,29 +343,29 @@
 
   private voterEvents(state: PlacementState, steps: Step<PlacementState>[]): void {
     for (const [epoch, seats] of state.seats.entries()) {
-      this.lapse(state, epoch, steps);
+      this.expireLeases(state, epoch, steps);
       for (const voter of seats.keys()) this.loseVoter(state, epoch, voter, steps);
     }
     this.nextEpoch(state, steps);
   }
 
-  /** Leases that their holders count as ended lapse at the voters of an epoch. */
-  private lapse(state: PlacementState, epoch: number, steps: Step<PlacementState>[]): void {
+  /** Expires, at the voters of an epoch, the leases that have already ended at their holders. */
+  private expireLeases(state: PlacementState, epoch: number, steps: Step<PlacementState>[]): void {
     const seats = state.seats[epoch] as readonly SeatState[];
-    const isOver = (seat: SeatState): boolean => {
+    const hasEnded = (seat: SeatState): boolean => {
       const holder = state.coordinators[seat.holder];
       const stillHeld = holder?.valid === true && holder.epoch === epoch && holder.term === seat.term;
       return seat.holder >= 0 && !stillHeld;
     };
-    if (!seats.some(isOver)) return;
-    const lapsed = seats.map((seat) => (isOver(seat) ? { ...seat, holder: -1 } : seat));
+    if (!seats.some(hasEnded)) return;
+    const expired = seats.map((seat) => (hasEnded(seat) ? { ...seat, holder: -1 } : seat));
     steps.push({
       label: `ended leases lapse at the voters of epoch ${String(epoch)}`,
-      next: { ...state, seats: replace(state.seats, epoch, lapsed) },
+      next: { ...state, seats: replace(state.seats, epoch, expired) },
     });
   }
 
-  /** A voter restarts: its memory is gone, and its seat with it. */
+  /** Restarts a voter, which loses its memory and may no longer vote in the epoch. */
   private loseVoter(
     state: PlacementState,
     epoch: number,
@@ -387,7 +387,7 @@
     });
   }
 
-  /** The platform names new voters. Nothing is known in the new epoch until it is carried over. */
+  /** Starts an epoch with new voters, whose records are incomplete until copied from the previous epoch. */
   private nextEpoch(state: PlacementState, steps: Step<PlacementState>[]): void {
     const seats = state.seats[state.epoch] as readonly SeatState[];
     const needed = seats.some((seat) => !seat.seated);
--- a/packages/lab/src/policies/policy-simulator.ts
+++ b/packages/lab/src/policies/policy-simulator.ts
@@ -1,6 +1,6 @@
 /**
- * Baseline policies on the same arrivals: a small queueing model without network or failures. Loads take the time of
- * the nearest tier, caches fill, memory and the weight store are limited, replicas run a bounded number of requests.
+ * Queueing model of baseline policies for comparison on the same arrivals, without network or failures. Load times
+ * depend on the nearest cache tier; memory, weight store and concurrency of replicas are limited.
  */
 import type { ModelParameters } from '@woodbarrow/configuration';
 import type { DeploymentPlan, WorkerPlan } from '../scenario/expand-scenario.js';
@@ -9,12 +9,11 @@
 import { allowedWaitOf, isDeferrable, modelIdOf } from '../traffic/request-facts.js';
 import type { PlannedRequest } from '../traffic/workload.js';
 
-/** Baselines by name. */
 export const BASELINES = ['uncoordinated', 'fixed-keep-alive', 'always-warm', 'oracle'] as const;
 
 export type Baseline = (typeof BASELINES)[number];
 
-/** What one policy gave under one seed. */
+/** Results of one policy under one seed. */
 export interface PolicyOutcome {
   readonly policy: string;
   readonly seed: number;
@@ -22,11 +21,11 @@
   readonly firstTokenMs: Distribution;
   readonly idleAcceleratorHours: number;
   readonly loads: number;
-  /** Requests that could not begin within their allowed wait. */
+  /** Number of requests that could not start within their allowed wait. */
   readonly late: number;
 }
 
-/** What a policy is run on. */
+/** Scenario and arrivals on which a policy runs. */
 export interface PolicyInput {
   readonly scenario: Scenario;
   readonly plan: DeploymentPlan;
@@ -40,7 +39,7 @@
 const TOKEN_MS = 20;
 const HOST_CACHE_SIZE = 4;
 const MS_PER_HOUR = 3_600_000;
-/** One second of cold start weighs as much as this many idle seconds at equal weights, as in the product. */
+/** Idle seconds that cost as much as one second of cold start at equal weights; same ratio as in the daemon. */
 const COLD_SECOND_IN_IDLE_SECONDS = 6;
 
 interface Model {
@@ -55,9 +54,9 @@
   readonly model: Model;
   readonly worker: Worker;
   readyAt: number;
-  /** Ends of the runs under way. */
-  ends: number[];
-  /** End of the last run, from which idleness counts. */
+  /** End times of the runs in progress. */
+  runEnds: number[];
+  /** Start of the idle period: the end of the last run. */
   idleSince: number;
 }
 
@@ -68,7 +67,7 @@
   readonly disk: Set<string>;
 }
 
-/** Runs one baseline. */
+/** Runs one baseline policy on the given arrivals. */
 export function runBaseline(policy: Baseline, input: PolicyInput): PolicyOutcome {
   return new PolicyRun(policy, input).run();
 }
@@ -77,9 +76,9 @@
   private readonly models = new Map<string, Model>();
   private readonly workers: Worker[];
   private readonly replicas = new Map<string, Replica>();
-  private readonly storeEnds: number[] = [];
-  private readonly cold: number[] = [];
-  private readonly all: number[] = [];
+  private readonly storeLoadEnds: number[] = [];
+  private readonly coldStartWaitsMs: number[] = [];
+  private readonly waitsMs: number[] = [];
   private readonly nextArrival: readonly number[];
   private idleMs = 0;
   private loads = 0;
@@ -119,8 +118,8 @@
     return {
       policy: this.policy,
       seed: this.input.seed,
-      coldStartMs: distributionOf(this.cold),
-      firstTokenMs: distributionOf(this.all),
+      coldStartMs: distributionOf(this.coldStartWaitsMs),
+      firstTokenMs: distributionOf(this.waitsMs),
       idleAcceleratorHours: Math.round((this.idleMs / MS_PER_HOUR) * 1000) / 1000,
       loads: this.loads,
       late: this.late,
@@ -133,31 +132,31 @@
     const model = this.models.get(modelIdOf(request));
     if (model === undefined) return;
     this.unloadIdle(now);
-    // Without coordination each daemon keeps a replica of its own.
+    // Without coordination each daemon loads its own replica.
     const key =
       this.policy === 'uncoordinated'
         ? `${model.id}@${String(index % this.input.plan.daemons.length)}`
         : model.id;
-    const known = this.replicas.get(key);
-    const replica = known ?? this.load(model, key, now, false);
-    const wasReady = known !== undefined && known.readyAt <= now;
+    const existing = this.replicas.get(key);
+    const replica = existing ?? this.load(model, key, now, false);
+    const wasReady = existing !== undefined && existing.readyAt <= now;
     const beginsAt = replica === undefined ? Infinity : slotFreeAt(replica, now);
     const waitMs = beginsAt - now + PREFILL_MS;
     if (waitMs > allowedWaitOf(request, this.input.plan)) this.late += 1;
     if (replica === undefined || beginsAt === Infinity) return;
     const endsAt = beginsAt + PREFILL_MS + request.tokens * TOKEN_MS;
-    // Between two runs the replica was idle: that time counts now.
-    if (replica.ends.length === 0) this.countIdle(replica, beginsAt);
-    replica.ends.push(endsAt);
+    // Adds the idle time between the last run and this one.
+    if (replica.runEnds.length === 0) this.countIdle(replica, beginsAt);
+    replica.runEnds.push(endsAt);
     replica.idleSince = Math.max(replica.idleSince, endsAt);
     if (isDeferrable(request, this.input.plan)) return;
-    this.all.push(waitMs);
-    if (!wasReady) this.cold.push(waitMs);
-    if (this.policy === 'oracle') this.dropUnlessWorthKeeping(replica, index);
+    this.waitsMs.push(waitMs);
+    if (!wasReady) this.coldStartWaitsMs.push(waitMs);
+    if (this.policy === 'oracle') this.unloadUnlessWorthKeeping(replica, index);
   }
 
-  /** The oracle knows when the next request comes, and keeps a replica only if that is worth its idle time. */
-  private dropUnlessWorthKeeping(replica: Replica, index: number): void {
+  /** The oracle knows the next arrival and keeps a replica only if a reload would cost more than its idle time. */
+  private unloadUnlessWorthKeeping(replica: Replica, index: number): void {
     const { model } = replica;
     const gapMs = (this.nextArrival[index] ?? Infinity) - replica.idleSince;
     const weightRatio = model.coldStartWeight / Math.max(0.01, 1 - model.coldStartWeight);
@@ -165,27 +164,28 @@
     if (gapMs > worthMs) this.unload(replica, replica.idleSince);
   }
 
-  private load(model: Model, key: string, now: number, quietly: boolean): Replica | undefined {
-    const worker = this.pickWorker(model, now, quietly);
+  private load(model: Model, key: string, now: number, isPreload: boolean): Replica | undefined {
+    const worker = this.pickWorker(model, now, isPreload);
     if (worker === undefined) return undefined;
     const loadMs = this.loadMs(model, worker);
     const remote = !worker.host.includes(model.checkpoint) && !worker.disk.has(model.checkpoint);
-    const startsAt = remote && this.policy !== 'oracle' && !quietly ? this.storeSlot(now, loadMs) : now;
-    const readyAt = quietly ? 0 : startsAt + loadMs;
+    const startsAt =
+      remote && this.policy !== 'oracle' && !isPreload ? this.reserveStoreSlot(now, loadMs) : now;
+    const readyAt = isPreload ? 0 : startsAt + loadMs;
     worker.freeGib -= model.parameters.memoryGib;
     worker.disk.add(model.checkpoint);
     const cached = worker.host.indexOf(model.checkpoint);
     if (cached >= 0) worker.host.splice(cached, 1);
     worker.host.push(model.checkpoint);
     if (worker.host.length > HOST_CACHE_SIZE && this.policy !== 'oracle') worker.host.shift();
-    const replica: Replica = { key, model, worker, readyAt, ends: [], idleSince: readyAt };
+    const replica: Replica = { key, model, worker, readyAt, runEnds: [], idleSince: readyAt };
     this.replicas.set(key, replica);
     this.loads += 1;
     return replica;
   }
 
-  /** The oracle takes the worker with the nearest copy; the others the one with most free memory. */
-  private pickWorker(model: Model, now: number, quietly: boolean): Worker | undefined {
+  /** The oracle picks the worker with the fastest load; other policies pick the one with the most free memory. */
+  private pickWorker(model: Model, now: number, isPreload: boolean): Worker | undefined {
     const needed = model.parameters.memoryGib;
     const byPolicy = (left: Worker, right: Worker): number =>
       this.policy === 'oracle'
@@ -193,14 +193,14 @@
         : right.freeGib - left.freeGib;
     if (this.policy === 'oracle') return [...this.workers].sort(byPolicy)[0];
     const fitting = this.workers.filter((worker) => worker.freeGib >= needed).sort(byPolicy);
-    if (fitting[0] !== undefined || quietly) return fitting[0];
-    return this.makeRoom(needed, now);
+    if (fitting[0] !== undefined || isPreload) return fitting[0];
+    return this.evictIdle(needed, now);
   }
 
-  /** Drops the replicas that have been idle longest until one worker has room. */
-  private makeRoom(needed: number, now: number): Worker | undefined {
+  /** Unloads the longest-idle replicas until one worker has enough free memory. */
+  private evictIdle(needed: number, now: number): Worker | undefined {
     const idle = [...this.replicas.values()]
-      .filter((replica) => replica.readyAt <= now && replica.ends.every((end) => end <= now))
+      .filter((replica) => replica.readyAt <= now && replica.runEnds.every((end) => end <= now))
       .sort((left, right) => left.idleSince - right.idleSince);
     for (const replica of idle) {
       this.unload(replica, now);
@@ -215,12 +215,12 @@
     return (worker.disk.has(model.checkpoint) ? loadSeconds.disk : loadSeconds.remote) * 1000;
   }
 
-  /** When the weight store can begin another load. */
-  private storeSlot(now: number, loadMs: number): number {
-    const active = this.storeEnds.filter((end) => end > now).sort((left, right) => left - right);
+  /** Reserves a load slot of the weight store and returns its start time. */
+  private reserveStoreSlot(now: number, loadMs: number): number {
+    const active = this.storeLoadEnds.filter((end) => end > now).sort((left, right) => left - right);
     const limit = this.input.scenario.weightStore.concurrentLoads;
     const startsAt = active.length < limit ? now : (active[active.length - limit] ?? now);
-    this.storeEnds.push(startsAt + loadMs);
+    this.storeLoadEnds.push(startsAt + loadMs);
     return startsAt;
   }
 
@@ -228,8 +228,8 @@
     if (this.policy === 'always-warm' || this.policy === 'oracle') return;
     const keepMs = this.policy === 'uncoordinated' ? UNCOORDINATED_KEEP_ALIVE_MS : FIXED_KEEP_ALIVE_MS;
     for (const replica of [...this.replicas.values()]) {
-      replica.ends = replica.ends.filter((end) => end > now);
-      if (replica.ends.length === 0 && now - replica.idleSince > keepMs)
+      replica.runEnds = replica.runEnds.filter((end) => end > now);
+      if (replica.runEnds.length === 0 && now - replica.idleSince > keepMs)
         this.unload(replica, replica.idleSince + keepMs);
     }
   }
@@ -247,17 +247,17 @@
   }
 }
 
-/** When the replica can take one more run. */
+/** Returns the time at which the replica can start one more run. */
 function slotFreeAt(replica: Replica, now: number): number {
   const from = Math.max(now, replica.readyAt);
-  replica.ends = replica.ends.filter((end) => end > now);
-  const running = [...replica.ends].sort((left, right) => left - right);
+  replica.runEnds = replica.runEnds.filter((end) => end > now);
+  const running = [...replica.runEnds].sort((left, right) => left - right);
   const limit = replica.model.parameters.concurrency;
   if (running.length < limit) return from;
   return Math.max(from, running[running.length - limit] ?? from);
 }
 
-/** For each request, when the next one for the same model comes; Infinity after the last. */
+/** Returns, for each request, the time of the next request for the same model; Infinity if there is none. */
 function arrivalsAfter(workload: readonly PlannedRequest[]): number[] {
   const next = new Array<number>(workload.length).fill(Infinity);
   const last = new Map<string, number>();
--- a/packages/lab/src/real/real-report.ts
+++ b/packages/lab/src/real/real-report.ts
@@ -1,30 +1,30 @@
-/** The table that runs on loopback print, and their verdict. */
+/** Summary table and violations of a run on loopback. */
 import { distributionOf } from '../simulation/simulation-summary.js';
 import type { RealDeployment } from './real-deployment.js';
 import type { TrafficTotals } from './real-traffic.js';
 
-/** Rows of a table. */
 export type ReportRows = readonly (readonly [label: string, value: string])[];
 
-/** What one run showed. */
+/** Results of one run. */
 export interface RealReport {
   readonly rows: ReportRows;
-  /** Promises that were broken; empty when all held. */
+  /** Violated guarantees; empty if all held. */
   readonly broken: readonly string[];
 }
 
-/** Sums up a run. */
+/** Builds the report of a run from engine records and traffic totals. */
 export function reportOf(deployment: RealDeployment, totals: TrafficTotals): RealReport {
   const { observations, engineRecords } = deployment;
   const loads = sum(engineRecords.map((record) => record.loads));
   const overcommits = sum(engineRecords.map((record) => record.overcommitsRefused));
   const refused = Object.entries(totals.refusedByKind);
   const first = distributionOf(totals.firstContentMs);
-  const broken: string[] = [];
-  if (totals.lost > 0) broken.push(`${String(totals.lost)} requests lost`);
-  if (totals.doubled > 0) broken.push(`${String(totals.doubled)} requests doubled`);
-  if (observations.maximumOverLimit > 0) broken.push('more replicas than the limit');
-  if (observations.maximumMemoryShare > 1 || overcommits > 0) broken.push('memory committed beyond capacity');
+  const violations: string[] = [];
+  if (totals.lost > 0) violations.push(`${String(totals.lost)} requests lost`);
+  if (totals.doubled > 0) violations.push(`${String(totals.doubled)} requests doubled`);
+  if (observations.maximumOverLimit > 0) violations.push('more replicas than the limit');
+  if (observations.maximumMemoryShare > 1 || overcommits > 0)
+    violations.push('memory committed beyond capacity');
   const rows: ReportRows = [
     ['sent', String(totals.sent)],
     ['served', String(totals.served)],
@@ -42,10 +42,10 @@
     ['orders beyond memory', String(overcommits)],
     ['platform readers, most at once', String(deployment.platform.maximumReaders)],
   ];
-  return { rows, broken };
+  return { rows, broken: violations };
 }
 
-/** Rows as aligned text. */
+/** Formats rows as aligned text. */
 export function formatRows(rows: ReportRows): string {
   const width = Math.max(...rows.map(([label]) => label.length));
   return rows.map(([label, value]) => `  ${label.padEnd(width)}  ${value}`).join('\n');
--- a/packages/lab/src/real/real-traffic.ts
+++ b/packages/lab/src/real/real-traffic.ts
@@ -1,37 +1,37 @@
-/** Sends requests into a deployment on loopback and sums up how they ended. */
+/** Sends requests to a deployment on loopback and counts their outcomes. */
 import type { Random } from '@woodbarrow/runtime';
 import { sleep } from '@woodbarrow/runtime';
 import { Caller, shouldRetry, type Attempt } from '../traffic/caller.js';
 import type { PlannedRequest } from '../traffic/workload.js';
 import type { RealDaemon, RealDeployment } from './real-deployment.js';
 
-/** A request with all its attempts. */
-interface RealStory {
+/** A request with its attempts so far. */
+interface RequestHistory {
   readonly planned: PlannedRequest;
   readonly attempts: Attempt[];
   done: boolean;
 }
 
-/** Totals of a run. */
+/** Outcome counts of a run. */
 export interface TrafficTotals {
   readonly sent: number;
   readonly served: number;
   readonly refusedByKind: Readonly<Record<string, number>>;
-  /** Ended in a visible error: an interrupted stream or a closed connection. */
+  /** Requests whose last attempt ended in an interrupted stream or a closed connection. */
   readonly failed: number;
-  /** Never answered, or answered with something else. */
+  /** Requests without a response, or with a corrupt one. */
   readonly lost: number;
-  /** Requests that must not run twice and did. */
+  /** Requests that ran more than once although they must not. */
   readonly doubled: number;
-  /** Milliseconds to the first content of served requests. */
+  /** Milliseconds from the first attempt to the first content, for served requests. */
   readonly firstContentMs: readonly number[];
 }
 
-const RETRY_PAUSE_MS = 200;
+const RETRY_DELAY_MS = 200;
 
-/** Drives traffic in real time. */
+/** Sends planned requests in real time and tracks their attempts. */
 export class RealTraffic {
-  private readonly stories: RealStory[] = [];
+  private readonly histories: RequestHistory[] = [];
   private readonly pending = new Set<Promise<void>>();
   private readonly caller: Caller;
 
@@ -42,12 +42,12 @@
     this.caller = new Caller(deployment.http, () => deployment.clock.monotonic());
   }
 
-  /** Requests sent, and those that have ended. */
+  /** Number of requests sent, and number of those that are done. */
   get progress(): { readonly sent: number; readonly ended: number } {
-    return { sent: this.stories.length, ended: this.stories.filter((story) => story.done).length };
+    return { sent: this.histories.length, ended: this.histories.filter((history) => history.done).length };
   }
 
-  /** Sends all requests at their times; resolves when the last has been sent. */
+  /** Sends all requests at their planned times; resolves when the last has been sent. */
   async send(requests: readonly PlannedRequest[]): Promise<void> {
     const { clock } = this.deployment;
     const start = clock.monotonic();
@@ -58,25 +58,25 @@
     }
   }
 
-  /** Sends one request now, to a given daemon first if one is named. */
+  /** Sends one request now; its first attempt goes to daemon `first` if given. */
   begin(planned: PlannedRequest, first?: RealDaemon): void {
-    const story: RealStory = { planned, attempts: [], done: false };
-    this.stories.push(story);
-    const running = this.follow(story, first).finally(() => this.pending.delete(running));
+    const history: RequestHistory = { planned, attempts: [], done: false };
+    this.histories.push(history);
+    const running = this.sendWithRetries(history, first).finally(() => this.pending.delete(running));
     this.pending.add(running);
   }
 
-  /** Waits until everything sent has ended. */
+  /** Waits until all sent requests are done. */
   async settle(): Promise<void> {
     while (this.pending.size > 0) await Promise.all(this.pending);
   }
 
-  /** Sums up. */
+  /** Returns the outcome counts of all sent requests. */
   totals(): TrafficTotals {
     const refusedByKind: Record<string, number> = {};
     const firstContentMs: number[] = [];
     const counts = { served: 0, failed: 0, lost: 0 };
-    for (const { attempts, done } of this.stories) {
+    for (const { attempts, done } of this.histories) {
       const last = attempts.at(-1);
       if (!done || last?.outcome === undefined || last.outcome === 'corrupt') counts.lost += 1;
       else if (last.outcome === 'served') {
@@ -87,44 +87,44 @@
       } else counts.failed += 1;
     }
     return {
-      sent: this.stories.length,
+      sent: this.histories.length,
       ...counts,
       refusedByKind,
-      doubled: this.countDoubled(),
+      doubled: this.countDuplicateRuns(),
       firstContentMs,
     };
   }
 
-  private countDoubled(): number {
+  private countDuplicateRuns(): number {
     const runs = new Map<string, number>();
     for (const record of this.deployment.engineRecords) {
       for (const [marker, count] of record.runs) runs.set(marker, (runs.get(marker) ?? 0) + count);
     }
-    return this.stories.filter(({ planned: { request } }) => {
-      const guarded = request.idempotencyKey !== undefined || request.notRepeatable;
-      return guarded && (runs.get(request.marker) ?? 0) > 1;
+    return this.histories.filter(({ planned: { request } }) => {
+      const mustRunOnce = request.idempotencyKey !== undefined || request.notRepeatable;
+      return mustRunOnce && (runs.get(request.marker) ?? 0) > 1;
     }).length;
   }
 
-  private async follow(story: RealStory, first: RealDaemon | undefined): Promise<void> {
-    const { planned } = story;
+  private async sendWithRetries(history: RequestHistory, first: RealDaemon | undefined): Promise<void> {
+    const { planned } = history;
     const { clock } = this.deployment;
     const firstSentAt = clock.monotonic();
     for (let left = planned.retries; ; left -= 1) {
       const origin =
-        story.attempts.length === 0 && first !== undefined ? first.callerOrigin : this.pickOrigin(story);
+        history.attempts.length === 0 && first !== undefined ? first.callerOrigin : this.pickOrigin(history);
       const keyAge = clock.monotonic() - firstSentAt;
       const attempt = await this.caller.send(planned.request, origin, keyAge, (started) => {
-        story.attempts.push(started);
+        history.attempts.push(started);
       });
       if (left <= 0 || !shouldRetry(attempt)) break;
-      await sleep(clock, (attempt.retryAfterSeconds ?? 0) * 1000 + RETRY_PAUSE_MS);
+      await sleep(clock, (attempt.retryAfterSeconds ?? 0) * 1000 + RETRY_DELAY_MS);
     }
-    story.done = true;
+    history.done = true;
   }
 
-  private pickOrigin(story: RealStory): string {
-    const last = story.attempts.at(-1)?.origin;
+  private pickOrigin(history: RequestHistory): string {
+    const last = history.attempts.at(-1)?.origin;
     const others = this.deployment.daemons.filter((daemon) => daemon.callerOrigin !== last);
     return this.random.pick(others)?.callerOrigin ?? '';
   }
