--- a/packages/forwarding/src/backend-notices.ts
+++ b/packages/forwarding/src/backend-notices.ts
@@ -5,11 +5,11 @@
 import { BackendPauses } from './backend-pauses.js';
 
 /** Latest known rate limit of a back end. */
-export interface HeardRateLimit {
+export interface ReceivedRateLimit {
   /** Requests per second over all daemons; absent if the limit was lifted. */
   readonly requestsPerSecond?: number;
   /** Monotonic time at which the answer with this limit, or without one, arrived. */
-  readonly heardAt: number;
+  readonly receivedAt: number;
 }
 
 /**
@@ -42,12 +42,12 @@
 /** Notices held by one daemon. */
 export class BackendNotices {
   /** Called when an answer changed a rate limit, to report it to the other daemons. */
-  onNews: (backEndId: string, heard: HeardRateLimit) => void = () => undefined;
+  onRateLimitChange: (backEndId: string, heard: ReceivedRateLimit) => void = () => undefined;
   /** Called with each answer that announces the exit of its back end. */
   onLeaving: (backEndId: string) => void = () => undefined;
   /** Pauses that back ends requested from this daemon. */
   readonly pauses: BackendPauses;
-  private readonly rateLimits = new Map<string, HeardRateLimit>();
+  private readonly rateLimits = new Map<string, ReceivedRateLimit>();
   /** Malformed fields that have been logged, by back end. */
   private readonly loggedMalformed = new Map<string, Set<keyof BackendNotice>>();
   /** Monotonic time of the last report on each back end. */
@@ -70,7 +70,7 @@
    * @param sentAt Monotonic time at which the request was sent. Answers may arrive out of order, so the
    *   answer to a request sent before the last notice cannot lift its limit.
    */
-  hear(backEndId: string, notice: BackendNotice, sentAt: number): void {
+  record(backEndId: string, notice: BackendNotice, sentAt: number): void {
     this.recordMalformed(backEndId, notice);
     this.recordRateLimit(backEndId, notice.requestsPerSecond, sentAt);
     if (notice.leaving.kind === 'said') this.recordLeaving(backEndId);
@@ -81,7 +81,7 @@
    * Records a rate limit that another daemon reported, if it is newer. The same limit does not update the time of receipt, since
    * transit makes reported times later than they were.
    */
-  hearFromPeer(backEndId: string, reported: HeardRateLimit): void {
+  recordFromPeer(backEndId: string, reported: ReceivedRateLimit): void {
     const current = this.rateLimits.get(backEndId);
     if (current === undefined && reported.requestsPerSecond === undefined) return;
     if (current !== undefined && !isNewerChange(reported, current)) return;
@@ -95,7 +95,7 @@
   }
 
   /** Latest rate limit of a back end; undefined if it never had one. */
-  lastHeard(backEndId: string): HeardRateLimit | undefined {
+  latestRateLimit(backEndId: string): ReceivedRateLimit | undefined {
     return this.rateLimits.get(backEndId);
   }
 
@@ -122,16 +122,16 @@
 
   private applyRateLimit(backEndId: string, requestsPerSecond: number): void {
     this.limitsHeard += 1;
-    this.storeRateLimit(backEndId, { requestsPerSecond, heardAt: this.clock.monotonic() }, 'answer');
+    this.storeRateLimit(backEndId, { requestsPerSecond, receivedAt: this.clock.monotonic() }, 'answer');
   }
 
   private clearRateLimit(backEndId: string, sentAt: number): void {
     const current = this.rateLimits.get(backEndId);
-    if (current?.requestsPerSecond === undefined || sentAt < current.heardAt) return;
-    this.storeRateLimit(backEndId, { heardAt: this.clock.monotonic() }, 'answer');
+    if (current?.requestsPerSecond === undefined || sentAt < current.receivedAt) return;
+    this.storeRateLimit(backEndId, { receivedAt: this.clock.monotonic() }, 'answer');
   }
 
-  private storeRateLimit(backEndId: string, rateLimit: HeardRateLimit, source: NoticeSource): void {
+  private storeRateLimit(backEndId: string, rateLimit: ReceivedRateLimit, source: NoticeSource): void {
     const before = this.rateLimits.get(backEndId)?.requestsPerSecond;
     const { requestsPerSecond } = rateLimit;
     this.rateLimits.set(backEndId, rateLimit);
@@ -142,12 +142,12 @@
     if (source === 'answer') this.reportChange(backEndId, rateLimit, isAdjustment);
   }
 
-  private reportChange(backEndId: string, rateLimit: HeardRateLimit, isAdjustment: boolean): void {
+  private reportChange(backEndId: string, rateLimit: ReceivedRateLimit, isAdjustment: boolean): void {
     const now = this.clock.monotonic();
     const lastAt = this.reportedAt.get(backEndId) ?? -Infinity;
     if (isAdjustment && now - lastAt < MIN_REPORT_INTERVAL_MS) return;
     this.reportedAt.set(backEndId, now);
-    this.onNews(backEndId, rateLimit);
+    this.onRateLimitChange(backEndId, rateLimit);
   }
 
   private recordRateLimit(backEndId: string, field: NoticeField<number>, sentAt: number): void {
@@ -180,6 +180,6 @@
   }
 }
 
-function isNewerChange(reported: HeardRateLimit, current: HeardRateLimit): boolean {
-  return reported.requestsPerSecond !== current.requestsPerSecond && reported.heardAt > current.heardAt;
+function isNewerChange(reported: ReceivedRateLimit, current: ReceivedRateLimit): boolean {
+  return reported.requestsPerSecond !== current.requestsPerSecond && reported.receivedAt > current.receivedAt;
 }
--- a/packages/forwarding/src/backend-pauses.ts
+++ b/packages/forwarding/src/backend-pauses.ts
@@ -4,7 +4,7 @@
  */
 import type { Clock } from '@woodbarrow/runtime';
 import type { NoticeField } from './backend-notice.js';
-import { FREE_PERMIT, type SendPermit } from './send-permits.js';
+import { UNLIMITED_PERMIT, type SendPermit } from './send-permits.js';
 
 /** Maximum length of a pause, in milliseconds; longer requests are cut to it. */
 const MAX_PAUSE_MS = 3_600_000;
@@ -50,13 +50,13 @@
   acquire(backEndId: string): SendPermit | undefined {
     if (this.waitMs(backEndId) > 0) return undefined;
     const pause = this.pauses.get(backEndId);
-    if (pause === undefined) return { ...FREE_PERMIT, isValid: () => !this.pauses.has(backEndId) };
+    if (pause === undefined) return { ...UNLIMITED_PERMIT, isValid: () => !this.pauses.has(backEndId) };
     pause.isFirstInFlight = true;
     const end = (): void => {
       pause.isFirstInFlight = false;
     };
     const isOpen = (): boolean => (this.pauses.get(backEndId) ?? pause) === pause;
-    return { isValid: isOpen, giveBack: end, end };
+    return { isValid: isOpen, refund: end, end };
   }
 
   /** Number of back ends that accept no requests now. */
--- a/packages/forwarding/src/forwarded-request.ts
+++ b/packages/forwarding/src/forwarded-request.ts
@@ -170,13 +170,13 @@
     const permit = await raceAbort(pendingPermit, this.expired.signal);
     if (permit === ABORTED) {
       // Return a permit that is granted after the request has ended.
-      void pendingPermit.then((latePermit) => latePermit?.giveBack());
+      void pendingPermit.then((latePermit) => latePermit?.refund());
       this.finishExpired();
       return true;
     }
     if (permit === undefined) return false;
     if (!permit.isValid() || !this.canStillSend(backEnd)) {
-      permit.giveBack();
+      permit.refund();
       return false;
     }
     return this.sendWith(permit, choice, slot);
@@ -203,7 +203,7 @@
     const result = await this.sender.attempt(choice).finally(() => {
       permit.end();
     });
-    if (result.kind === 'not_run' && !result.arrived) permit.giveBack();
+    if (result.kind === 'not_run' && !result.arrived) permit.refund();
     if (result.kind !== 'not_run') this.allowance.consume();
     if (result.kind === 'finished') return true;
     if (this.expired.signal.aborted) {
--- a/packages/forwarding/src/forwarding-context.ts
+++ b/packages/forwarding/src/forwarding-context.ts
@@ -7,7 +7,7 @@
 import type { BackendNotices } from './backend-notices.js';
 import type { ConnectionShare } from './connection-share.js';
 import type { PlainSelector } from './plain-selector.js';
-import type { RepeatBudget } from './retry-budget.js';
+import type { RetryBudget } from './retry-budget.js';
 import type { ReplicaSelector } from './replica-selector.js';
 import type { RequestQuota } from './request-quota.js';
 import type { SendPermits } from './send-permits.js';
@@ -26,7 +26,7 @@
   readonly permits: SendPermits;
   readonly plain: PlainSelector;
   readonly replicas: ReplicaSelector;
-  readonly budget: RepeatBudget;
+  readonly budget: RetryBudget;
   readonly quota: RequestQuota;
   readonly quarantine: RequestQuarantine;
   readonly journal: RequestJournal;
--- a/packages/forwarding/src/notice-gate.ts
+++ b/packages/forwarding/src/notice-gate.ts
@@ -19,7 +19,7 @@
     if (pause === undefined) return undefined;
     const rateLimit = await this.rateLimits.acquire(backEnd, signal);
     if (rateLimit === undefined) {
-      pause.giveBack();
+      pause.refund();
       return undefined;
     }
     return combine(pause, rateLimit);
@@ -29,9 +29,9 @@
 function combine(first: SendPermit, second: SendPermit): SendPermit {
   return {
     isValid: () => first.isValid() && second.isValid(),
-    giveBack: () => {
-      first.giveBack();
-      second.giveBack();
+    refund: () => {
+      first.refund();
+      second.refund();
     },
     end: () => {
       first.end();
--- a/packages/forwarding/src/request-allowance.ts
+++ b/packages/forwarding/src/request-allowance.ts
@@ -41,7 +41,7 @@
 
   /** Returns an unused ticket to the quota. */
   refund(): void {
-    this.ticket?.giveBack();
+    this.ticket?.refund();
     this.ticket = undefined;
   }
 }
--- a/packages/forwarding/src/request-quota.ts
+++ b/packages/forwarding/src/request-quota.ts
@@ -7,7 +7,7 @@
   /** Whether the ticket has not expired. Check right before the request is sent. */
   isValid(): boolean;
   /** Returns the units of a request that did not run. */
-  giveBack(): void;
+  refund(): void;
 }
 
 /** Result of acquiring units. */
@@ -37,5 +37,5 @@
 /** Returns the units of a request: 1, its prompt and output tokens, or `plainTokens` if it states no token counts. */
 export function unitsOf({ unit, plainTokens }: TenantQuota, facts: RequestFacts): number {
   if (unit === 'requests') return 1;
-  return facts.tellsTokens ? facts.promptTokens + facts.outputTokens : plainTokens;
+  return facts.hasTokenCounts ? facts.promptTokens + facts.outputTokens : plainTokens;
 }
--- a/packages/forwarding/src/request-sender.ts
+++ b/packages/forwarding/src/request-sender.ts
@@ -75,7 +75,7 @@
       body,
       controller,
       onNotice: (notice: BackendNotice) => {
-        context.notices.hear(backEnd.id, notice, sentAt);
+        context.notices.record(backEnd.id, notice, sentAt);
       },
       ...(timeoutMs === undefined ? {} : { timeoutMs }),
     };
--- a/packages/forwarding/src/retry-budget.ts
+++ b/packages/forwarding/src/retry-budget.ts
@@ -4,15 +4,15 @@
  */
 import { SlidingWindow, type Clock } from '@woodbarrow/runtime';
 
-/** Options of {@link RepeatBudget}. */
-export interface RepeatBudgetOptions {
+/** Options of {@link RetryBudget}. */
+export interface RetryBudgetOptions {
   /** Retries allowed per request. */
   readonly ratio: number;
   /** Retries allowed per window over all daemons, regardless of load. */
   readonly extra: number;
   readonly windowMs: number;
   /** Number of daemons that share the budget. */
-  readonly sharers: () => number;
+  readonly daemonCount: () => number;
 }
 
 /** Share of the allowance that is used; the rest absorbs differences between the counts of daemons. */
@@ -24,11 +24,11 @@
 }
 
 /** One daemon's share of the retry budgets. */
-export class RepeatBudget {
+export class RetryBudget {
   private readonly services = new Map<string, ServiceCounts>();
 
   constructor(
-    private readonly options: RepeatBudgetOptions,
+    private readonly options: RetryBudgetOptions,
     private readonly clock: Clock,
   ) {}
 
@@ -47,8 +47,8 @@
   /** Retries left now; may be fractional. */
   remaining(service: string): number {
     const counts = this.countsOf(service);
-    const { ratio, extra, sharers } = this.options;
-    const fixed = extra / Math.max(1, sharers());
+    const { ratio, extra, daemonCount } = this.options;
+    const fixed = extra / Math.max(1, daemonCount());
     const allowed = BUDGET_SAFETY_FACTOR * (ratio * counts.requests.count() + fixed);
     return allowed - counts.retries.count();
   }
--- a/packages/forwarding/src/send-permits.ts
+++ b/packages/forwarding/src/send-permits.ts
@@ -6,7 +6,7 @@
   /** Whether the permit may still be used. Check right before the request is sent. */
   isValid(): boolean;
   /** Returns the permit of a request that did not reach the back end. */
-  giveBack(): void;
+  refund(): void;
   /** Reports that the send is over, whatever its result. */
   end(): void;
 }
@@ -20,9 +20,9 @@
 }
 
 /** Permit for a back end without limits. */
-export const FREE_PERMIT: SendPermit = {
+export const UNLIMITED_PERMIT: SendPermit = {
   isValid: () => true,
-  giveBack: () => undefined,
+  refund: () => undefined,
   end: () => undefined,
 };
 
--- a/packages/forwarding/src/wire-dialect.ts
+++ b/packages/forwarding/src/wire-dialect.ts
@@ -20,7 +20,7 @@
   readonly waitMs?: number;
   readonly target?: ModelTarget;
   /** Whether the request states its token counts. */
-  readonly tellsTokens: boolean;
+  readonly hasTokenCounts: boolean;
   readonly promptTokens: number;
   /** Maximum number of output tokens. */
   readonly outputTokens: number;
--- a/packages/forwarding/test/backend-notices.test.ts
+++ b/packages/forwarding/test/backend-notices.test.ts
@@ -25,7 +25,7 @@
   });
 
   const receive = (requestsPerSecond: NoticeField<number>, sentAt = clock.monotonic()): void => {
-    notices.hear('b1', { ...EMPTY_NOTICE, requestsPerSecond }, sentAt);
+    notices.record('b1', { ...EMPTY_NOTICE, requestsPerSecond }, sentAt);
   };
   const limit = (): number | undefined => notices.requestsPerSecond('b1');
 
@@ -66,28 +66,28 @@
   });
 
   it('accepts limits from other daemons only if they are newer', async () => {
-    notices.hearFromPeer('b1', { heardAt: clock.monotonic() });
-    expect(notices.lastHeard('b1'), 'nothing new').to.equal(undefined);
-    notices.hearFromPeer('b1', { requestsPerSecond: 3, heardAt: clock.monotonic() });
+    notices.recordFromPeer('b1', { receivedAt: clock.monotonic() });
+    expect(notices.latestRateLimit('b1'), 'nothing new').to.equal(undefined);
+    notices.recordFromPeer('b1', { requestsPerSecond: 3, receivedAt: clock.monotonic() });
     expect(limit()).to.equal(3);
     await world.run(100);
     receive(limitOf(1));
-    notices.hearFromPeer('b1', { requestsPerSecond: 3, heardAt: 50 });
+    notices.recordFromPeer('b1', { requestsPerSecond: 3, receivedAt: 50 });
     expect(limit(), 'older').to.equal(1);
     await world.run(200);
-    notices.hearFromPeer('b1', { requestsPerSecond: 1, heardAt: 150 });
-    expect(notices.lastHeard('b1')?.heardAt, 'the same limit').to.equal(100);
-    notices.hearFromPeer('b1', { heardAt: 160 });
+    notices.recordFromPeer('b1', { requestsPerSecond: 1, receivedAt: 150 });
+    expect(notices.latestRateLimit('b1')?.receivedAt, 'the same limit').to.equal(100);
+    notices.recordFromPeer('b1', { receivedAt: 160 });
     expect(limit()).to.equal(undefined);
   });
 
   it('reports changes from answers to other daemons, and adjusted limits at most once per second', async () => {
     const reports: (number | undefined)[] = [];
-    notices.onNews = (_backEndId, heard) => void reports.push(heard.requestsPerSecond);
+    notices.onRateLimitChange = (_backEndId, heard) => void reports.push(heard.requestsPerSecond);
     receive(limitOf(1));
     receive(limitOf(2));
     receive(NONE);
-    notices.hearFromPeer('b1', { requestsPerSecond: 5, heardAt: clock.monotonic() + 1 });
+    notices.recordFromPeer('b1', { requestsPerSecond: 5, receivedAt: clock.monotonic() + 1 });
     receive(limitOf(5));
     expect(reports).to.deep.equal([1, undefined]);
     await world.run(1000);
--- a/packages/forwarding/test/backend-pauses.test.ts
+++ b/packages/forwarding/test/backend-pauses.test.ts
@@ -66,7 +66,7 @@
     receive(pauseOf(1000));
     await world.run(1000);
     pauses.acquire('b1')?.end();
-    pauses.acquire('b1')?.giveBack();
+    pauses.acquire('b1')?.refund();
     expect(pauses.acquire('b1')).to.not.equal(undefined);
   });
 
--- a/packages/forwarding/test/parts.test.ts
+++ b/packages/forwarding/test/parts.test.ts
@@ -3,7 +3,7 @@
 import {
   BackendHealth,
   EventSplitter,
-  RepeatBudget,
+  RetryBudget,
   RouteTable,
   StreamPosition,
   TrafficSplitter,
@@ -68,7 +68,10 @@
 describe('RepeatBudget', () => {
   it('limits retries per window to a ratio of the requests plus a fixed share per daemon', async () => {
     const { world, process } = simulatedClock();
-    const budget = new RepeatBudget({ ratio: 0.2, extra: 70, windowMs: 10_000, sharers: () => 7 }, process);
+    const budget = new RetryBudget(
+      { ratio: 0.2, extra: 70, windowMs: 10_000, daemonCount: () => 7 },
+      process,
+    );
     let repeats = 0;
     for (let count = 0; count < 100; count += 1) {
       budget.recordRequest('s');
--- a/packages/forwarding/test/send-permits.test.ts
+++ b/packages/forwarding/test/send-permits.test.ts
@@ -1,5 +1,5 @@
 import { expect } from 'chai';
-import { FREE_PERMIT, type SendPermits } from '../src/index.js';
+import { UNLIMITED_PERMIT, type SendPermits } from '../src/index.js';
 import { ENGINE } from './engines.js';
 import { ForwardingWorld, answer, type BackendScript } from './simulated-exchange.js';
 
@@ -29,7 +29,7 @@
     this.remaining.set(id, left - 1);
     return Promise.resolve({
       isValid: () => true,
-      giveBack: () => void this.refunded.push(id),
+      refund: () => void this.refunded.push(id),
       end: () => undefined,
     });
   }
@@ -155,7 +155,7 @@
           await world.wait(200);
           if (isGone) world.directory.remove('b1');
           else world.directory.put({ ...holder, draining: true });
-          return FREE_PERMIT;
+          return UNLIMITED_PERMIT;
         },
       };
       expect((await world.ask({ model: 'm' })).status).to.equal(503);
--- a/packages/forwarding/test/simulated-exchange.ts
+++ b/packages/forwarding/test/simulated-exchange.ts
@@ -35,11 +35,11 @@
   ConfigurationHolder,
   ConnectionShare,
   EMPTY_NOTICE,
-  FREE_PERMIT,
+  UNLIMITED_PERMIT,
   Forwarder,
   PlainSelector,
   PromptAffinity,
-  RepeatBudget,
+  RetryBudget,
   ReplicaSelector,
   noopJournal,
   type ForwardingContext,
@@ -151,7 +151,7 @@
     ...(headers['resume'] === undefined ? {} : { resumeAfter: headers['resume'] }),
     promptTokens: 100,
     outputTokens: 10,
-    tellsTokens: false,
+    hasTokenCounts: false,
     promptParts: [],
     ...(headers['resume'] === undefined ? {} : { resumeAfter: headers['resume'] }),
   }),
@@ -192,10 +192,10 @@
   readonly quarantine: RequestQuarantine;
   private readonly health = new Map<string, BackendHealth>();
   /** Grants permits to send; grants all by default. */
-  permits: SendPermits = { waitMs: () => 0, acquire: () => Promise.resolve(FREE_PERMIT) };
+  permits: SendPermits = { waitMs: () => 0, acquire: () => Promise.resolve(UNLIMITED_PERMIT) };
   /** Answers quota requests of tenants; grants all by default. */
   quota: RequestQuota['acquire'] = () =>
-    Promise.resolve({ kind: 'granted', ticket: { isValid: () => true, giveBack: () => undefined } });
+    Promise.resolve({ kind: 'granted', ticket: { isValid: () => true, refund: () => undefined } });
 
   constructor(routes: readonly Partial<Route>[], engine?: EngineDefinition, connectionLimit = 100) {
     const service: ServiceDefinition = {
@@ -324,7 +324,10 @@
         'a',
         this.process,
       ),
-      budget: new RepeatBudget({ ratio: 0.2, extra: 40, windowMs: 10_000, sharers: () => 1 }, this.process),
+      budget: new RetryBudget(
+        { ratio: 0.2, extra: 40, windowMs: 10_000, daemonCount: () => 1 },
+        this.process,
+      ),
       quota: { acquire: (...wish) => this.quota(...wish) },
       quarantine: this.quarantine,
       journal: {
--- a/packages/quota/src/rate-limit-gate.ts
+++ b/packages/quota/src/rate-limit-gate.ts
@@ -4,7 +4,12 @@
  * because other daemons may be using the whole limit.
  */
 import type { BackEnd } from '@woodbarrow/backends';
-import { FREE_PERMIT, type BackendNotices, type SendPermit, type SendPermits } from '@woodbarrow/forwarding';
+import {
+  UNLIMITED_PERMIT,
+  type BackendNotices,
+  type SendPermit,
+  type SendPermits,
+} from '@woodbarrow/forwarding';
 import { rateLimitGrantMethod, type GrantAnswer, type GrantWish } from '@woodbarrow/protocol';
 import type { Clock } from '@woodbarrow/runtime';
 import { callAllocator, type AllocatorAccess } from './call-allocator.js';
@@ -78,11 +83,11 @@
   async acquire({ id }: BackEnd, signal: AbortSignal): Promise<SendPermit | undefined> {
     const { notices } = this.options;
     const ratePerSecond = notices.requestsPerSecond(id);
-    if (ratePerSecond === undefined) return FREE_PERMIT;
+    if (ratePerSecond === undefined) return UNLIMITED_PERMIT;
     if (this.waitMs(id) > 0) return undefined;
     const outcome = await this.gate.acquire(id, { ratePerSecond, burst: 0 }, ONE_UNIT, 0, signal);
     // The back end may have withdrawn its limit during the call.
-    if (notices.requestsPerSecond(id) === undefined) return FREE_PERMIT;
+    if (notices.requestsPerSecond(id) === undefined) return UNLIMITED_PERMIT;
     switch (outcome.kind) {
       case 'granted':
         this.granted += 1;
@@ -119,11 +124,11 @@
     wish: GrantWish,
   ): Promise<GrantAnswer | undefined> {
     const { notices, clock } = this.options;
-    const observed = notices.lastHeard(backEndId);
+    const observed = notices.latestRateLimit(backEndId);
     if (observed === undefined) return undefined;
     const message = { zone, backEndId, report: toReport(observed, clock), ...wish };
     const answer = await callAllocator(this.options, zone, rateLimitGrantMethod, message);
-    if (answer !== undefined) notices.hearFromPeer(backEndId, fromReport(answer.report, clock));
+    if (answer !== undefined) notices.recordFromPeer(backEndId, fromReport(answer.report, clock));
     return answer;
   }
 }
--- a/packages/quota/src/rate-limit-service.ts
+++ b/packages/quota/src/rate-limit-service.ts
@@ -60,9 +60,9 @@
     const allocator = this.allocators.activeOf(zone);
     if (allocator === undefined)
       throw new WoodbarrowError('not_leader', `this daemon has no active allocator for zone ${zone}`);
-    notices.hearFromPeer(backEndId, fromReport(report, clock));
+    notices.recordFromPeer(backEndId, fromReport(report, clock));
     const answer = allocator.grant(backEndId, wish);
-    const observed = notices.lastHeard(backEndId);
+    const observed = notices.latestRateLimit(backEndId);
     return { ...answer, report: observed === undefined ? report : toReport(observed, clock) };
   }
 
--- a/packages/quota/src/unit-gate.ts
+++ b/packages/quota/src/unit-gate.ts
@@ -273,7 +273,7 @@
     let isOpen = true;
     return {
       isValid: () => clock.elapsed() < taken.earliestExpiresAt,
-      giveBack: () => {
+      refund: () => {
         if (!isOpen) return;
         isOpen = false;
         state.used -= units;
--- a/packages/quota/test/quota-world.ts
+++ b/packages/quota/test/quota-world.ts
@@ -292,7 +292,7 @@
         state.at = now;
         if (state.level < units) return Promise.resolve({ kind: 'over_limit', retryAfterMs: 1000 });
         state.level -= units;
-        const ticket = { isValid: () => true, giveBack: () => undefined };
+        const ticket = { isValid: () => true, refund: () => undefined };
         return Promise.resolve({ kind: 'granted', ticket });
       },
     };
--- a/packages/quota/test/quota.test.ts
+++ b/packages/quota/test/quota.test.ts
@@ -187,8 +187,8 @@
     const { world, ask } = await worldWithoutRequests();
     const first = await ask(9000);
     if (first.kind !== 'granted') throw new Error(first.kind);
-    first.ticket.giveBack();
-    first.ticket.giveBack();
+    first.ticket.refund();
+    first.ticket.refund();
     const before = world.allocatorCalls;
     const second = await ask(9000);
     expect(world.allocatorCalls).to.equal(before);
--- a/packages/quota/test/rate-limit-world.ts
+++ b/packages/quota/test/rate-limit-world.ts
@@ -7,7 +7,7 @@
 import {
   BackendNotices,
   EMPTY_NOTICE,
-  FREE_PERMIT,
+  UNLIMITED_PERMIT,
   type NoticeField,
   type SendPermits,
 } from '@woodbarrow/forwarding';
@@ -152,7 +152,7 @@
     const { process: clock, peers } = node;
     const coordinators = new CoordinatorDirectory(clock, name);
     const notices = new BackendNotices(clock, silentLog);
-    notices.onNews = (backEndId, heard) => {
+    notices.onRateLimitChange = (backEndId, heard) => {
       this.shareNews(index, backEndId, toReport(heard, clock));
     };
     const daemon = {
@@ -183,7 +183,7 @@
       if (index === from || this.random.next() < LOST_GOSSIP_FRACTION) continue;
       this.cluster.world.schedule(this.random.between(0, MAX_GOSSIP_DELAY_MS), () => {
         node.process.deliver(() => {
-          notices.hearFromPeer(backEndId, fromReport(report, node.process));
+          notices.recordFromPeer(backEndId, fromReport(report, node.process));
         });
       });
     }
@@ -241,7 +241,7 @@
     if (limit !== undefined) daemon.notifiedAt ??= this.now;
     const requestsPerSecond: NoticeField<number> =
       limit === undefined ? { kind: 'none' } : { kind: 'said', value: limit };
-    daemon.notices.hear(BACK_END.id, { ...EMPTY_NOTICE, requestsPerSecond }, sentAt);
+    daemon.notices.record(BACK_END.id, { ...EMPTY_NOTICE, requestsPerSecond }, sentAt);
   }
 }
 
@@ -274,7 +274,7 @@
         if (waitMs() > 0) return Promise.resolve(undefined);
         const limit = notices.requestsPerSecond(BACK_END.id);
         if (limit !== undefined) nextAt = node.process.monotonic() + (1000 * daemons) / limit;
-        return Promise.resolve(FREE_PERMIT);
+        return Promise.resolve(UNLIMITED_PERMIT);
       },
     };
   };
--- a/packages/serving/src/backend-notice-service.ts
+++ b/packages/serving/src/backend-notice-service.ts
@@ -48,7 +48,7 @@
   constructor(private readonly options: BackendNoticeServiceOptions) {
     const { directory, announce, clock, log } = options;
     this.notices = new BackendNotices(clock, log);
-    this.notices.onNews = (backEndId, observedLimit) => {
+    this.notices.onRateLimitChange = (backEndId, observedLimit) => {
       announce({ kind: 'rate_limit', backEndId, rateLimit: toReport(observedLimit, clock) });
     };
     this.notices.onLeaving = (backEndId) => {
@@ -81,7 +81,7 @@
         this.noteLeaving(news.backEndId, 'peer');
         return;
       case 'rate_limit':
-        this.notices.hearFromPeer(news.backEndId, fromReport(news.rateLimit, this.options.clock));
+        this.notices.recordFromPeer(news.backEndId, fromReport(news.rateLimit, this.options.clock));
     }
   }
 
--- a/packages/serving/src/serving-daemon.ts
+++ b/packages/serving/src/serving-daemon.ts
@@ -8,7 +8,7 @@
   Forwarder,
   PlainSelector,
   PromptAffinity,
-  RepeatBudget,
+  RetryBudget,
   ReplicaSelector,
 } from '@woodbarrow/forwarding';
 import { CoordinatorDirectory, PeerExchange, type Member } from '@woodbarrow/exchange';
@@ -459,8 +459,8 @@
         settings.zone,
         clock,
       ),
-      budget: new RepeatBudget(
-        { ...settings.repeats, sharers: () => this.membership.eligible().length },
+      budget: new RetryBudget(
+        { ...settings.repeats, daemonCount: () => this.membership.eligible().length },
         clock,
       ),
       quota: this.quotaGate,
