--- a/packages/backends/src/backend-directory.ts
+++ b/packages/backends/src/backend-directory.ts
@@ -119,7 +119,7 @@
   }
 
   /** Returns the current incarnation of a name. */
-  named(name: string): BackEnd | undefined {
+  findByName(name: string): BackEnd | undefined {
     const id = this.idByName.get(name);
     return id === undefined ? undefined : this.get(id);
   }
@@ -127,7 +127,7 @@
   /** Adds or updates a back end. An earlier incarnation with the same name is removed, since it has ended. */
   put(backEnd: BackEnd): void {
     if (this.endedAt.has(backEnd.id)) return;
-    const previous = this.named(backEnd.name);
+    const previous = this.findByName(backEnd.name);
     if (previous !== undefined && previous.id !== backEnd.id) {
       // A record written by an earlier incarnation may arrive after the first record of the next one.
       if ((backEnd.startedAt ?? -Infinity) < (previous.startedAt ?? -Infinity)) return;
@@ -165,7 +165,7 @@
    *
    * @param source `answer` if the back end notified this daemon itself, `peer` if another daemon reported it.
    */
-  noteLeaving(id: string, source: 'answer' | 'peer'): boolean {
+  markLeaving(id: string, source: 'answer' | 'peer'): boolean {
     const now = this.clock.monotonic();
     this.removeExpiredLeaving(now);
     const isKnown = this.isLeaving(id);
--- a/packages/backends/src/load-tracker.ts
+++ b/packages/backends/src/load-tracker.ts
@@ -84,7 +84,7 @@
 const NO_LOAD: BackEndLoad = { requests: 0, unreadTokens: 0, heldTokens: 0 };
 
 /** Tracks the load on all back ends and the demand for models. */
-export class LoadBook {
+export class LoadTracker {
   private readonly ownLoadByBackEnd = new Map<string, Map<string, MutableLoad>>();
   private readonly reports = new Map<string, SourceReport>();
   /** Monotonic time of the last use of each target on each back end. */
@@ -127,7 +127,7 @@
   }
 
   /** Records a request for a model, whether or not a back end can accept it. */
-  noteDemand(model: string): void {
+  recordDemand(model: string): void {
     const now = this.clock.monotonic();
     this.ownDemandByModel.set(model, { weight: this.ownDemand(model, now) + 1, updatedAt: now });
     this.lastRequestedAt.set(model, now);
@@ -155,7 +155,7 @@
   }
 
   /** Returns the work in progress on a back end, over all daemons. */
-  of(backEndId: string): BackEndLoad {
+  loadOf(backEndId: string): BackEndLoad {
     let requests = 0;
     let unreadTokens = 0;
     let heldTokens = 0;
@@ -243,7 +243,7 @@
   }
 
   /** Stores the report of a source, replacing its previous one. */
-  accept(source: string, scope: ReportScope, { loads, demand }: LoadReport): void {
+  acceptReport(source: string, scope: ReportScope, { loads, demand }: LoadReport): void {
     const byBackEnd = new Map<string, TargetLoad[]>();
     for (const load of loads) {
       const backEndLoads = byBackEnd.get(load.backEndId);
@@ -268,7 +268,7 @@
   }
 
   /** Removes the last use times of a back end that is gone. */
-  forget(backEndId: string): void {
+  forgetBackEnd(backEndId: string): void {
     for (const key of this.lastUsedAt.keys()) {
       if (key.startsWith(`${backEndId} `)) this.lastUsedAt.delete(key);
     }
--- a/packages/backends/src/run-times.ts
+++ b/packages/backends/src/run-times.ts
@@ -29,7 +29,7 @@
   }
 
   /** Records a successful run. */
-  note(model: string, tokens: number | undefined, durationMs: number): void {
+  recordRun(model: string, tokens: number | undefined, durationMs: number): void {
     let modelSums = this.byModel.get(model);
     if (modelSums === undefined) {
       modelSums = { runs: 0, tokens: 0, durationMs: 0 };
--- a/packages/backends/test/backend-directory.test.ts
+++ b/packages/backends/test/backend-directory.test.ts
@@ -97,8 +97,8 @@
     const seen: boolean[] = [];
     directory.put(worker('one', ['m']));
     directory.events.on('changed', ({ draining }) => void seen.push(draining));
-    expect(directory.noteLeaving('one', 'answer')).to.equal(true);
-    expect(directory.noteLeaving('one', 'answer')).to.equal(false);
+    expect(directory.markLeaving('one', 'answer')).to.equal(true);
+    expect(directory.markLeaving('one', 'answer')).to.equal(false);
     expect(directory.holdersOf('models', { model: 'm' })).to.deep.equal([]);
     expect(directory.ofService('models').map(({ draining }) => draining)).to.deep.equal([true]);
     directory.put(worker('one', ['m']));
@@ -113,14 +113,14 @@
 
   it('expires a leaving notice from a peer, but not one from the back end itself', async () => {
     directory.put(worker('one'));
-    directory.noteLeaving('one', 'peer');
+    directory.markLeaving('one', 'peer');
     directory.put(worker('one'));
     await world.run(world.now + PEER_LEAVING_TTL_MS - 1);
     expect(directory.get('one')?.draining).to.equal(true);
     await world.run(world.now + 10);
     expect(directory.get('one')?.draining).to.equal(false);
-    directory.noteLeaving('one', 'peer');
-    directory.noteLeaving('one', 'answer');
+    directory.markLeaving('one', 'peer');
+    directory.markLeaving('one', 'answer');
     await world.run(world.now + 2 * PEER_LEAVING_TTL_MS);
     expect(directory.get('one')?.draining).to.equal(true);
   });
--- a/packages/backends/test/load-tracker.test.ts
+++ b/packages/backends/test/load-tracker.test.ts
@@ -1,33 +1,33 @@
 import { expect } from 'chai';
 import { SimulatedProcess, SimulatedWorld } from '@woodbarrow/runtime';
-import { LoadBook, summarizedReport } from '../src/index.js';
+import { LoadTracker, summarizedReport } from '../src/index.js';
 
 const SIZE = { promptTokens: 100, outputTokens: 10 };
 
 describe('load tracker', () => {
   let world: SimulatedWorld;
-  let books: LoadBook[];
+  let books: LoadTracker[];
 
   beforeEach(() => {
     world = new SimulatedWorld();
     const process = new SimulatedProcess(world, { name: 'd', zone: 'a', region: 'r' });
-    books = [0, 1, 2].map(() => new LoadBook(process));
+    books = [0, 1, 2].map(() => new LoadTracker(process));
   });
 
-  const book = (index: number): LoadBook => books[index] as LoadBook;
+  const book = (index: number): LoadTracker => books[index] as LoadTracker;
 
   it('sums the reports of several sources and counts repeated reports once', () => {
     for (const each of books) each.start('w', { model: 'm' }, SIZE);
-    for (let time = 0; time < 3; time += 1) book(0).accept('1', 'attached', book(1).ownReport());
-    book(0).accept('2', 'relay', book(2).ownReport());
-    expect(book(0).of('w')).to.deep.equal({ requests: 3, unreadTokens: 300, heldTokens: 330 });
+    for (let time = 0; time < 3; time += 1) book(0).acceptReport('1', 'attached', book(1).ownReport());
+    book(0).acceptReport('2', 'relay', book(2).ownReport());
+    expect(book(0).loadOf('w')).to.deep.equal({ requests: 3, unreadTokens: 300, heldTokens: 330 });
     expect(book(0).requestsFor('w', 'm')).to.equal(3);
   });
 
   it('combines only reports of the given scopes and without the excluded source', () => {
     for (const each of books) each.start('w', { model: 'm' }, SIZE);
-    book(0).accept('1', 'attached', book(1).ownReport());
-    book(0).accept('2', 'relay', book(2).ownReport());
+    book(0).acceptReport('1', 'attached', book(1).ownReport());
+    book(0).acceptReport('2', 'relay', book(2).ownReport());
     expect(book(0).combinedReport(['attached', 'relay'], '1').loads[0]?.requests).to.equal(2);
     expect(book(0).combinedReport(['attached']).loads[0]?.requests).to.equal(2);
     expect(book(0).combinedReport([]).loads[0]?.requests).to.equal(1);
@@ -35,26 +35,26 @@
 
   it('expires work that is no longer reported, and decays demand', async () => {
     book(1).start('w', { model: 'm' }, SIZE);
-    for (let count = 0; count < 8; count += 1) book(1).noteDemand('m');
-    book(0).accept('1', 'attached', book(1).ownReport());
+    for (let count = 0; count < 8; count += 1) book(1).recordDemand('m');
+    book(0).acceptReport('1', 'attached', book(1).ownReport());
     expect(book(0).demandFor('m')).to.be.closeTo(8, 0.01);
     await world.run(2000);
     expect(book(0).demandFor('m')).to.be.closeTo(8 * Math.SQRT1_2, 0.01);
     await world.run(2100);
-    expect(book(0).of('w').requests).to.equal(0);
+    expect(book(0).loadOf('w').requests).to.equal(0);
   });
 
   it('bounds demand that has stopped, however high it was', async () => {
     const ask = (): void => {
-      for (let count = 0; count < 100; count += 1) book(1).noteDemand('m');
-      book(0).accept('1', 'attached', book(1).ownReport());
+      for (let count = 0; count < 100; count += 1) book(1).recordDemand('m');
+      book(0).acceptReport('1', 'attached', book(1).ownReport());
     };
     ask();
     await world.run(600);
     expect(book(0).demandFor('m')).to.be.greaterThan(80);
     for (let report = 0; report < 10; report += 1) {
       await world.run(world.now + 300);
-      book(0).accept('1', 'attached', book(1).ownReport());
+      book(0).acceptReport('1', 'attached', book(1).ownReport());
     }
     expect(book(0).demandFor('m')).to.be.lessThan(5);
     ask();
@@ -64,7 +64,7 @@
   it('reports a target for a short time after its last request, so that others observe its use', async () => {
     book(1).start('w', { model: 'm', adapter: 'a' }, SIZE).ended();
     await world.run(300);
-    book(0).accept('1', 'attached', book(1).ownReport());
+    book(0).acceptReport('1', 'attached', book(1).ownReport());
     expect(book(0).idleMs('w', 'm/a')).to.equal(0);
     await world.run(2000);
     expect(book(1).ownReport().loads).to.deep.equal([]);
--- a/packages/exchange/src/peer-exchange.ts
+++ b/packages/exchange/src/peer-exchange.ts
@@ -4,7 +4,7 @@
  * relay of its zone: it sends its report, and the relay responds after an interval, or at once when there is
  * an urgent change. A daemon that cannot attach to any relay follows the store itself until it can.
  */
-import { summarizedReport, type LoadBook, type ReportScope } from '@woodbarrow/backends';
+import { summarizedReport, type LoadTracker, type ReportScope } from '@woodbarrow/backends';
 import { relayTopology, STORE_FOLLOWERS, type RelayTopology } from '@woodbarrow/coordination';
 import { logTaskFailures, type CallFailures, type EventLog } from '@woodbarrow/observability';
 import type { PeerNetwork } from '@woodbarrow/peering';
@@ -62,7 +62,7 @@
   /** Whether the members are known well enough to choose relays; until then nothing is exchanged. */
   readonly isGroupKnown: () => boolean;
   readonly peers: PeerNetwork;
-  readonly loads: LoadBook;
+  readonly loads: LoadTracker;
   readonly coordinators: CoordinatorDirectory;
   readonly records: FollowedRecords;
   /** Kinds of records whose changes are forwarded immediately. */
@@ -437,7 +437,7 @@
   }
 
   private applyReport(source: string, scope: ReportScope, state: StateReport): void {
-    this.options.loads.accept(source, scope, toLoadReport(state));
+    this.options.loads.acceptReport(source, scope, toLoadReport(state));
     this.options.coordinators.accept(source, scope, state.claims);
   }
 
--- a/packages/forwarding/src/connection-share.ts
+++ b/packages/forwarding/src/connection-share.ts
@@ -1,5 +1,5 @@
 /** This daemon's share of the connections that a back end accepts from all daemons. */
-import type { LoadBook, ServiceDefinition } from '@woodbarrow/backends';
+import type { LoadTracker, ServiceDefinition } from '@woodbarrow/backends';
 import { IDLE_CONNECTIONS_KEPT } from '@woodbarrow/runtime';
 
 /** Share of the connection limit reserved for starting daemons and for load orders and reports. */
@@ -8,7 +8,7 @@
 /** Divides the connection limit equally among the daemons. */
 export class ConnectionShare {
   constructor(
-    private readonly loads: LoadBook,
+    private readonly loads: LoadTracker,
     private readonly daemonCount: () => number,
   ) {}
 
--- a/packages/forwarding/src/forwarded-request.ts
+++ b/packages/forwarding/src/forwarded-request.ts
@@ -91,7 +91,7 @@
     if (stopWaiting.aborted) stop();
     stopWaiting.addEventListener('abort', stop);
     budget.recordRequest(service.name);
-    if (facts.target !== undefined) loads.noteDemand(facts.target.model);
+    if (facts.target !== undefined) loads.recordDemand(facts.target.model);
     this.recordAdmission();
     try {
       await this.sendUntilFinished();
--- a/packages/forwarding/src/forwarding-context.ts
+++ b/packages/forwarding/src/forwarding-context.ts
@@ -1,5 +1,5 @@
 /** Components that all requests of a daemon share. */
-import type { BackendDirectory, LoadBook, RunTimes } from '@woodbarrow/backends';
+import type { BackendDirectory, LoadTracker, RunTimes } from '@woodbarrow/backends';
 import type { RequestQuarantine } from '@woodbarrow/quarantine';
 import type { BackendClient, Clock } from '@woodbarrow/runtime';
 import type { RequestJournal } from './request-journal.js';
@@ -18,7 +18,7 @@
   readonly client: BackendClient;
   readonly dialect: WireDialect;
   readonly directory: BackendDirectory;
-  readonly loads: LoadBook;
+  readonly loads: LoadTracker;
   readonly runTimes: RunTimes;
   readonly connections: ConnectionShare;
   readonly notices: BackendNotices;
--- a/packages/forwarding/src/plain-selector.ts
+++ b/packages/forwarding/src/plain-selector.ts
@@ -1,5 +1,5 @@
 /** Chooses the least loaded healthy back end of a service without models. */
-import type { BackEnd, BackendDirectory, LoadBook, ServiceDefinition } from '@woodbarrow/backends';
+import type { BackEnd, BackendDirectory, LoadTracker, ServiceDefinition } from '@woodbarrow/backends';
 import { leastBy } from '@woodbarrow/runtime';
 import { refusal, type BackendChoice } from './backend-choice.js';
 import type { BackendHealth } from './backend-health.js';
@@ -19,7 +19,7 @@
 export class PlainSelector {
   constructor(
     private readonly directory: BackendDirectory,
-    private readonly loads: LoadBook,
+    private readonly loads: LoadTracker,
     private readonly connections: ConnectionShare,
     private readonly permits: SendPermits,
     private readonly zone: string,
@@ -50,7 +50,7 @@
   }
 
   private costOf(backEnd: BackEnd, health: BackendHealth, ids: readonly string[]): number {
-    const { requests } = this.loads.of(backEnd.id);
+    const { requests } = this.loads.loadOf(backEnd.id);
     let cost = (requests + 1) * health.slowness(backEnd.id);
     if (requests >= backEnd.slots) cost += requests;
     if (backEnd.zone !== this.zone) cost += OTHER_ZONE_COST;
--- a/packages/forwarding/src/replica-selector.ts
+++ b/packages/forwarding/src/replica-selector.ts
@@ -6,7 +6,7 @@
   type BackEnd,
   type BackendDirectory,
   type EngineDefinition,
-  type LoadBook,
+  type LoadTracker,
   type ModelTarget,
   type ServiceDefinition,
 } from '@woodbarrow/backends';
@@ -56,7 +56,7 @@
 export class ReplicaSelector {
   constructor(
     private readonly directory: BackendDirectory,
-    private readonly loads: LoadBook,
+    private readonly loads: LoadTracker,
     private readonly affinity: PromptAffinity,
     private readonly residency: ResidencyClient,
     private readonly connections: ConnectionShare,
@@ -170,7 +170,7 @@
     ids: readonly string[],
     isPreferred: boolean,
   ): number {
-    const load = this.loads.of(backEnd.id);
+    const load = this.loads.loadOf(backEnd.id);
     const { facts, engine } = request;
     const shared = chain.tokens[chain.tokens.length - 2] ?? 0;
     const presumedTokens = isPreferred ? shared * PRESUMED_CACHED_SHARE : 0;
@@ -191,7 +191,7 @@
   }
 
   private requestReplicaIfOverloaded(backEnd: BackEnd, request: ReplicaRequest): void {
-    const load = this.loads.of(backEnd.id);
+    const load = this.loads.loadOf(backEnd.id);
     const waitMs = load.unreadTokens / PREFILL_TOKENS_PER_MS;
     const isFull =
       load.heldTokens > request.engine.cacheTokens * REPLICA_REQUEST_USAGE_SHARE ||
--- a/packages/forwarding/src/request-sender.ts
+++ b/packages/forwarding/src/request-sender.ts
@@ -57,7 +57,7 @@
       backEnd: backEnd.id,
       zone: backEnd.zone,
       reason,
-      running: context.loads.of(backEnd.id).requests,
+      running: context.loads.loadOf(backEnd.id).requests,
       recordAgeMs: Math.round(context.directory.recordAgeMs(backEnd.id)),
       leftMs: Math.round(times.remainingMs()),
     });
--- a/packages/forwarding/src/run-time-estimate.ts
+++ b/packages/forwarding/src/run-time-estimate.ts
@@ -18,6 +18,6 @@
   /** Records the duration of a complete run. */
   recordRun(durationMs: number): void {
     const { target, expectedTokens } = this.facts;
-    if (target !== undefined) this.times.note(target.model, expectedTokens, durationMs);
+    if (target !== undefined) this.times.recordRun(target.model, expectedTokens, durationMs);
   }
 }
--- a/packages/forwarding/test/simulated-exchange.ts
+++ b/packages/forwarding/test/simulated-exchange.ts
@@ -1,7 +1,7 @@
 /** In-memory exchanges, back ends and dialect for forwarding tests in virtual time. */
 import {
   BackendDirectory,
-  LoadBook,
+  LoadTracker,
   NO_NEARBY_COPIES,
   RunTimes,
   type BackEnd,
@@ -173,7 +173,7 @@
   readonly world = new SimulatedWorld();
   readonly process = new SimulatedProcess(this.world, { name: 'd', zone: 'a', region: 'r' });
   readonly directory = new BackendDirectory(this.process);
-  readonly loads = new LoadBook(this.process);
+  readonly loads = new LoadTracker(this.process);
   readonly stop = new AbortController();
   readonly calls: BackendCall[] = [];
   readonly demands: ResidencyDemand[] = [];
--- a/packages/gateway/src/completions.ts
+++ b/packages/gateway/src/completions.ts
@@ -3,7 +3,7 @@
 import type { ClaimsClient } from '@woodbarrow/coordination';
 import { WoodbarrowError, toWoodbarrowError } from '@woodbarrow/errors';
 import { hashText, type Clock, type HttpRequest, type HttpResponse } from '@woodbarrow/runtime';
-import { hasEndMark, type Admission, type Router } from '@woodbarrow/routing';
+import { hasDoneEvent, type Admission, type Router } from '@woodbarrow/routing';
 import { readCompletionRequest, type CompletionRequest } from './completion-request.js';
 
 /** Options of {@link CompletionService}. */
@@ -182,7 +182,7 @@
       }
     } finally {
       const recordedBody = Buffer.concat(chunks);
-      const isComplete = size <= MAX_STORED_RESPONSE_BYTES && hasEndMark(recordedBody);
+      const isComplete = size <= MAX_STORED_RESPONSE_BYTES && hasDoneEvent(recordedBody);
       this.settle(claim, 'finished', isComplete ? storableBody(status, recordedBody) : undefined);
     }
   }
--- a/packages/residency/src/adapter-orders.ts
+++ b/packages/residency/src/adapter-orders.ts
@@ -10,7 +10,7 @@
   type AdapterCopy,
   type AdapterTarget,
   type BackendDirectory,
-  type LoadBook,
+  type LoadTracker,
   type ModelTarget,
 } from '@woodbarrow/backends';
 import { sleep, type Clock } from '@woodbarrow/runtime';
@@ -22,7 +22,7 @@
 export interface AdapterOrdersOptions {
   readonly backEndId: string;
   readonly directory: BackendDirectory;
-  readonly loads: LoadBook;
+  readonly loads: LoadTracker;
   readonly sender: OrderSender;
   readonly residents: ResidentSet;
   /** Maximum number of adapters that the worker holds. */
--- a/packages/residency/src/load-planner.ts
+++ b/packages/residency/src/load-planner.ts
@@ -2,7 +2,12 @@
  * Plans the loads of one zone from the current state: available workers, capacity of the weight store,
  * replicas and demand. The decisions are made by {@link planLoads} and {@link choosePlacement}.
  */
-import type { BackendDirectory, EngineDefinition, LoadBook, ServiceDefinition } from '@woodbarrow/backends';
+import type {
+  BackendDirectory,
+  EngineDefinition,
+  LoadTracker,
+  ServiceDefinition,
+} from '@woodbarrow/backends';
 import type { Clock } from '@woodbarrow/runtime';
 import { planLoads, urgencyOf, type LoadPlan, type PlannedLoad } from './load-plan.js';
 import type { LoadTimes } from './load-times.js';
@@ -33,7 +38,7 @@
 /** Options of {@link LoadPlanner}. */
 export interface LoadPlannerOptions {
   readonly directory: BackendDirectory;
-  readonly loads: LoadBook;
+  readonly loads: LoadTracker;
   readonly serviceOf: (name: string) => ServiceDefinition | undefined;
   /** Returns the workers of the zone that accept requests, by service. */
   readonly workersOf: (service: string) => readonly WorkerOrders[];
--- a/packages/residency/src/load-view.ts
+++ b/packages/residency/src/load-view.ts
@@ -1,8 +1,8 @@
 /** Memoized view of the load book, as one plan queries the same values many times. */
-import type { LoadBook } from '@woodbarrow/backends';
+import type { LoadTracker } from '@woodbarrow/backends';
 
 /** Demand and predicted end of runs, as read by a plan. */
-export type LoadView = Pick<LoadBook, 'demandFor' | 'endsInMs'>;
+export type LoadView = Pick<LoadTracker, 'demandFor' | 'endsInMs'>;
 
 /** Caches the answers of a load book for the duration of one plan. */
 export class MemoizedLoads implements LoadView {
--- a/packages/residency/src/residency-service.ts
+++ b/packages/residency/src/residency-service.ts
@@ -2,7 +2,7 @@
  * A daemon's role in model residency: candidate for the leases of the zones, and coordinator of the zones
  * that it holds.
  */
-import type { BackendDirectory, LoadBook, ServiceDefinition } from '@woodbarrow/backends';
+import type { BackendDirectory, LoadTracker, ServiceDefinition } from '@woodbarrow/backends';
 import {
   StoreLease,
   rankByCapacity,
@@ -42,7 +42,7 @@
   readonly isGroupKnown: () => boolean;
   readonly peers: PeerNetwork;
   readonly directory: BackendDirectory;
-  readonly loads: LoadBook;
+  readonly loads: LoadTracker;
   readonly coordinators: CoordinatorDirectory;
   readonly leases: LeaseRecordStore;
   readonly orders: OrderClient;
@@ -121,7 +121,7 @@
     this.contacts.start();
     directory.events.on('removed', (backEnd) => {
       for (const zone of this.held.values()) zone.residency.forget(backEnd.id);
-      this.options.loads.forget(backEnd.id);
+      this.options.loads.forgetBackEnd(backEnd.id);
     });
     this.tasks.loop(
       'residency.candidate',
--- a/packages/residency/src/worker-orders.ts
+++ b/packages/residency/src/worker-orders.ts
@@ -4,7 +4,7 @@
   type AdapterTarget,
   type BackendDirectory,
   type EngineDefinition,
-  type LoadBook,
+  type LoadTracker,
   type ModelTarget,
 } from '@woodbarrow/backends';
 import { messageOf, WoodbarrowError } from '@woodbarrow/errors';
@@ -21,7 +21,7 @@
 export interface WorkerOrdersOptions {
   readonly backEndId: string;
   readonly directory: BackendDirectory;
-  readonly loads: LoadBook;
+  readonly loads: LoadTracker;
   readonly orders: OrderClient;
   readonly authority: OrderAuthority;
   readonly engine: () => EngineDefinition | undefined;
--- a/packages/residency/src/zone-residency.ts
+++ b/packages/residency/src/zone-residency.ts
@@ -5,7 +5,7 @@
   type AdapterTarget,
   type BackEnd,
   type BackendDirectory,
-  type LoadBook,
+  type LoadTracker,
   type ModelTarget,
   type ServiceDefinition,
 } from '@woodbarrow/backends';
@@ -35,7 +35,7 @@
   readonly holder: string;
   readonly lease: StoreLease;
   readonly directory: BackendDirectory;
-  readonly loads: LoadBook;
+  readonly loads: LoadTracker;
   readonly orders: OrderClient;
   readonly serviceOf: (name: string) => ServiceDefinition | undefined;
   readonly clock: Clock;
--- a/packages/residency/test/crashing-loads-world.ts
+++ b/packages/residency/test/crashing-loads-world.ts
@@ -1,7 +1,7 @@
 /**
  * Several zones with a coordinator each, on virtual time, and loads that crash every worker that starts them.
  */
-import { BackendDirectory, LoadBook, NO_NEARBY_COPIES, type ModelTarget } from '@woodbarrow/backends';
+import { BackendDirectory, LoadTracker, NO_NEARBY_COPIES, type ModelTarget } from '@woodbarrow/backends';
 import { StoreLease } from '@woodbarrow/coordination';
 import { silentLog } from '@woodbarrow/observability';
 import type { LoadUnderWay, ResidencyDemandAnswer } from '@woodbarrow/protocol';
@@ -205,7 +205,7 @@
       holder: process.name,
       lease,
       directory: this.directory,
-      loads: new LoadBook(process),
+      loads: new LoadTracker(process),
       orders: new SimulatedOrderClient(this.world, process, this.workers, this.random.fork()),
       serviceOf: () => ({ name: SERVICE, connectionLimit: 100, engine: ENGINE }),
       clock: process,
--- a/packages/residency/test/placement-choice.test.ts
+++ b/packages/residency/test/placement-choice.test.ts
@@ -1,5 +1,10 @@
 import { expect } from 'chai';
-import { LoadBook, NO_NEARBY_COPIES, type EngineDefinition, type NearbyCopies } from '@woodbarrow/backends';
+import {
+  LoadTracker,
+  NO_NEARBY_COPIES,
+  type EngineDefinition,
+  type NearbyCopies,
+} from '@woodbarrow/backends';
 import { SimulatedProcess, SimulatedWorld } from '@woodbarrow/runtime';
 import {
   LoadTimes,
@@ -32,10 +37,10 @@
 
 describe('choosePlacement', () => {
   const clock = new SimulatedProcess(new SimulatedWorld(), { name: 'd', zone: 'z', region: 'r' });
-  let loads: LoadBook;
+  let loads: LoadTracker;
 
   beforeEach(() => {
-    loads = new LoadBook(clock);
+    loads = new LoadTracker(clock);
   });
 
   function candidate(
@@ -97,9 +102,9 @@
   });
 
   it('evicts the model with the least demand per replica', () => {
-    for (let count = 0; count < 2; count += 1) loads.noteDemand('a');
-    loads.noteDemand('b');
-    for (let count = 0; count < 6; count += 1) loads.noteDemand('c');
+    for (let count = 0; count < 2; count += 1) loads.recordDemand('a');
+    loads.recordDemand('b');
+    for (let count = 0; count < 6; count += 1) loads.recordDemand('c');
     const full = candidate('full', ['a', 'b', 'c']);
     expect(choosePlacement(inputs([full]))?.victims).to.deep.equal(['b']);
     const replicasOf = (name: string): number => (name === 'c' ? 12 : 1);
@@ -107,7 +112,7 @@
   });
 
   it('evicts neither models above the allowed demand nor models that are loading', () => {
-    for (const name of ['a', 'b', 'c']) for (let count = 0; count < 5; count += 1) loads.noteDemand(name);
+    for (const name of ['a', 'b', 'c']) for (let count = 0; count < 5; count += 1) loads.recordDemand(name);
     const full = candidate('full', ['a', 'b', 'c']);
     expect(choosePlacement(inputs([full]))).to.equal(undefined);
     const loading = candidate('loading', []);
--- a/packages/residency/test/rare-models.test.ts
+++ b/packages/residency/test/rare-models.test.ts
@@ -72,14 +72,14 @@
     const popular = ['m0', 'm1', 'm2', 'm3', 'm4', 'm5'];
     for (const model of popular) await zone.settle(patientDemand(coordinator, model));
     const askForPopularModels = (): void => {
-      for (const model of popular) for (let count = 0; count < 3; count += 1) zone.loads.noteDemand(model);
+      for (const model of popular) for (let count = 0; count < 3; count += 1) zone.loads.recordDemand(model);
       zone.process.schedule(500, askForPopularModels);
     };
     askForPopularModels();
     await zone.world.run(zone.world.now + 5000);
     const answers: ResidencyDemandAnswer[] = [];
     for (let request = 0; request < 4; request += 1) {
-      zone.loads.noteDemand('m99');
+      zone.loads.recordDemand('m99');
       answers.push(await zone.settle(patientDemand(coordinator, 'm99', { withinMs: WITHIN_MS })));
       await zone.world.run(zone.world.now + 3000);
     }
--- a/packages/residency/test/residency-service.test.ts
+++ b/packages/residency/test/residency-service.test.ts
@@ -1,5 +1,5 @@
 import { expect } from 'chai';
-import { BackendDirectory, LoadBook, NO_NEARBY_COPIES } from '@woodbarrow/backends';
+import { BackendDirectory, LoadTracker, NO_NEARBY_COPIES } from '@woodbarrow/backends';
 import type { KnownEra, LeaseRecord, LeaseRecordStore, StoredLease } from '@woodbarrow/coordination';
 import { CallFailures, silentLog } from '@woodbarrow/observability';
 import { SimulatedCluster } from '@woodbarrow/peering';
@@ -100,7 +100,7 @@
     // A daemon that has just started knows only itself.
     const members = (): RunningMember[] =>
       node.process.monotonic() < 1000 ? [self] : [...this.members.values()];
-    const loads = new LoadBook(node.process);
+    const loads = new LoadTracker(node.process);
     const coordinators = new CoordinatorDirectory(node.process, name);
     const exchange: PeerExchange = new PeerExchange({
       crashMarks: { digest: 0, entries: () => [], merge: () => undefined },
--- a/packages/residency/test/unserved-models.test.ts
+++ b/packages/residency/test/unserved-models.test.ts
@@ -89,7 +89,7 @@
   it('reports no_victim when all resident models are in high demand', async () => {
     const raiseDemand = (zone: ZoneWorld): void => {
       for (const model of ['m0', 'm1', 'm2'])
-        for (let count = 0; count < 50; count += 1) zone.loads.noteDemand(model);
+        for (let count = 0; count < 50; count += 1) zone.loads.recordDemand(model);
     };
     expect(await causesOf(raiseDemand)).to.deep.equal(['no_victim']);
   });
--- a/packages/residency/test/zone-residency.test.ts
+++ b/packages/residency/test/zone-residency.test.ts
@@ -161,8 +161,8 @@
   it('starts a load for later requests when it is too late for the current one', async () => {
     const zone = new ZoneWorld(5);
     const coordinator = await zone.coordinator();
-    zone.loads.noteDemand('m9');
-    zone.loads.noteDemand('m9');
+    zone.loads.recordDemand('m9');
+    zone.loads.recordDemand('m9');
     const message = {
       zone: ZONE,
       service: SERVICE,
@@ -223,7 +223,7 @@
     // The other models are in high demand, so the one just loaded is the cheapest victim.
     for (const model of ['m0', 'm1', 'm2']) await zone.settle(demand(coordinator, model));
     for (const model of ['m0', 'm1'])
-      for (let count = 0; count < 50; count += 1) zone.loads.noteDemand(model);
+      for (let count = 0; count < 50; count += 1) zone.loads.recordDemand(model);
     const first = zone.settle(demand(coordinator, 'm3'));
     const second = demand(coordinator, 'm4');
     const answer = await first;
--- a/packages/residency/test/zone-world.ts
+++ b/packages/residency/test/zone-world.ts
@@ -1,5 +1,5 @@
 /** One zone with its workers and a coordinator, on virtual time. */
-import { BackendDirectory, LoadBook, NO_NEARBY_COPIES, type EngineDefinition } from '@woodbarrow/backends';
+import { BackendDirectory, LoadTracker, NO_NEARBY_COPIES, type EngineDefinition } from '@woodbarrow/backends';
 import { StoreLease, type LeaseRecordStore, type StoredLease } from '@woodbarrow/coordination';
 import { silentLog } from '@woodbarrow/observability';
 import type { ResidencyDemandAnswer } from '@woodbarrow/protocol';
@@ -52,7 +52,7 @@
   readonly directory: BackendDirectory;
   readonly process: SimulatedProcess;
   readonly orders: SimulatedOrderClient;
-  readonly loads: LoadBook;
+  readonly loads: LoadTracker;
   readonly quarantine: DaemonQuarantine;
   engine = ENGINE;
   /** Models that another zone is loading, with the milliseconds until they are resident there. */
@@ -66,7 +66,7 @@
     this.random = new Random(seed);
     this.process = new SimulatedProcess(this.world, { name: 'daemon', zone: ZONE, region: 'r' });
     this.directory = new BackendDirectory(this.process);
-    this.loads = new LoadBook(this.process);
+    this.loads = new LoadTracker(this.process);
     this.orders = new SimulatedOrderClient(this.world, this.process, this.workers, this.random.fork());
     this.quarantine = daemonQuarantine(this.process, this.directory, this.workers);
     for (let index = 0; index < workerCount; index += 1) this.addWorker(`w${String(index)}`);
--- a/packages/routing/src/completion-stream.ts
+++ b/packages/routing/src/completion-stream.ts
@@ -30,7 +30,7 @@
 }
 
 /** Whether a stream of complete events contains the `[DONE]` event. */
-export function hasEndMark(stream: Uint8Array): boolean {
+export function hasDoneEvent(stream: Uint8Array): boolean {
   return endOfDoneEvent(Buffer.from(stream.buffer, stream.byteOffset, stream.byteLength)) !== undefined;
 }
 
--- a/packages/serving/src/backend-notice-service.ts
+++ b/packages/serving/src/backend-notice-service.ts
@@ -93,7 +93,7 @@
   private noteLeaving(backEndId: string, source: 'answer' | 'peer'): void {
     const { directory, announce, log } = this.options;
     const wasDraining = directory.get(backEndId)?.draining === true;
-    if (!directory.noteLeaving(backEndId, source) || wasDraining) return;
+    if (!directory.markLeaving(backEndId, source) || wasDraining) return;
     log.changed('back_end_leaving', { backEnd: backEndId, source });
     if (source === 'answer') announce({ kind: 'leaving', backEndId });
   }
--- a/packages/serving/src/deployment-view.ts
+++ b/packages/serving/src/deployment-view.ts
@@ -61,7 +61,7 @@
   }
 
   backEndGone(name: string): void {
-    const removed = this.directory.named(name);
+    const removed = this.directory.findByName(name);
     if (removed === undefined) return;
     this.directory.recordVanished(name);
     this.log.changed('back_end_gone', { backEnd: removed.id });
--- a/packages/serving/src/serving-daemon.ts
+++ b/packages/serving/src/serving-daemon.ts
@@ -1,6 +1,6 @@
 /** Assembles, starts and stops the parts of one serving daemon. */
 import { setMaxListeners } from 'node:events';
-import { BackendDirectory, LoadBook, RunTimes, type ServiceDefinition } from '@woodbarrow/backends';
+import { BackendDirectory, LoadTracker, RunTimes, type ServiceDefinition } from '@woodbarrow/backends';
 import {
   BackendHealth,
   ConfigurationHolder,
@@ -70,7 +70,7 @@
 export class ServingDaemon {
   private readonly configuration = new ConfigurationHolder();
   private readonly directory: BackendDirectory;
-  private readonly loads: LoadBook;
+  private readonly loads: LoadTracker;
   private readonly affinity = new PromptAffinity();
   private readonly health = new Map<string, BackendHealth>();
   private readonly peers: PeerNetwork;
@@ -108,7 +108,7 @@
     this.tasks = new TaskGroup(clock, logTaskFailures(log));
     this.failures = new CallFailures(clock, log);
     this.directory = new BackendDirectory(clock);
-    this.loads = new LoadBook(clock);
+    this.loads = new LoadTracker(clock);
     this.quarantine = this.createQuarantine();
     const { directory, quarantine: contents } = this;
     this.loadQuarantine = new LoadQuarantine({ contents, directory, clock, log });
--- a/packages/serving/test/exchange.test.ts
+++ b/packages/serving/test/exchange.test.ts
@@ -1,5 +1,5 @@
 import { expect } from 'chai';
-import { LoadBook } from '@woodbarrow/backends';
+import { LoadTracker } from '@woodbarrow/backends';
 import { relayTopology, STORE_FOLLOWERS } from '@woodbarrow/coordination';
 import { CoordinatorDirectory, PeerExchange, type Member } from '@woodbarrow/exchange';
 import { CallFailures, silentLog } from '@woodbarrow/observability';
@@ -35,7 +35,7 @@
 
 /** Exchange of one daemon, with everything that it received. */
 class ExchangingDaemon {
-  readonly loads: LoadBook;
+  readonly loads: LoadTracker;
   readonly coordinators: CoordinatorDirectory;
   readonly crashMarks: CountingCrashMarks;
   readonly changes: ResidencyChange[] = [];
@@ -53,7 +53,7 @@
     members: () => readonly Member[],
   ) {
     const { process: clock, peers, random } = node;
-    this.loads = new LoadBook(clock);
+    this.loads = new LoadTracker(clock);
     this.coordinators = new CoordinatorDirectory(clock, self.id);
     this.crashMarks = new CountingCrashMarks(clock);
     this.follower = new RecordFollower({
@@ -312,13 +312,13 @@
     const tickets = world.daemons.map(({ loads }) =>
       loads.start('w1', { model: 'm' }, { promptTokens: 10, outputTokens: 5 }),
     );
-    for (const { loads } of world.daemons) loads.noteDemand('m');
+    for (const { loads } of world.daemons) loads.recordDemand('m');
     await world.cluster.advance(1200);
-    expect(world.daemonsFailing(({ loads }) => loads.of('w1').requests === 20)).to.deep.equal([]);
-    expect(world.daemonsFailing(({ loads }) => loads.of('w1').heldTokens === 300)).to.deep.equal([]);
+    expect(world.daemonsFailing(({ loads }) => loads.loadOf('w1').requests === 20)).to.deep.equal([]);
+    expect(world.daemonsFailing(({ loads }) => loads.loadOf('w1').heldTokens === 300)).to.deep.equal([]);
     for (const ticket of tickets) ticket.ended();
     await world.cluster.advance(1500);
-    expect(world.daemonsFailing(({ loads }) => loads.of('w1').requests === 0)).to.deep.equal([]);
+    expect(world.daemonsFailing(({ loads }) => loads.loadOf('w1').requests === 0)).to.deep.equal([]);
   });
 
   it('reports loads by target and demand to coordinators, and their claims to all daemons', async () => {
@@ -329,7 +329,7 @@
     ];
     for (const { loads } of world.daemons) {
       loads.start('w1', { model: 'm' }, { promptTokens: 1, outputTokens: 1 });
-      loads.noteDemand('m');
+      loads.recordDemand('m');
     }
     await world.cluster.advance(1200);
     expect(coordinator.loads.requestsFor('w1', 'm')).to.equal(20);
@@ -394,7 +394,7 @@
     coordinator.loads.start('w1', undefined, { promptTokens: 10, outputTokens: 5 });
     await world.cluster.advance(1500);
     const isKnown = ({ coordinators, loads }: ExchangingDaemon): boolean =>
-      coordinators.of('alpha') !== undefined && loads.of('w1').requests === 1;
+      coordinators.of('alpha') !== undefined && loads.loadOf('w1').requests === 1;
     for (const [index, { crashMarks, exchange, now }] of world.daemons.entries()) {
       const content = `c${String(index)}`;
       crashMarks.add({ content, processId: 'w2', begunAt: now - 50, endedAt: now, isCleared: false });
@@ -433,7 +433,7 @@
     await world.cluster.advance(1500);
     expect(world.daemonsFailing(hasConfiguration(2), alive)).to.deep.equal([]);
     await world.cluster.advance(2500);
-    expect(world.daemonsFailing(({ loads }) => loads.of('w1').requests === 19, alive)).to.deep.equal([]);
+    expect(world.daemonsFailing(({ loads }) => loads.loadOf('w1').requests === 19, alive)).to.deep.equal([]);
   });
 
   it('delivers changes when a relay is suspended', async () => {
