--- a/packages/forwarding/src/answer-forwarder.ts
+++ b/packages/forwarding/src/answer-forwarder.ts
@@ -164,7 +164,7 @@
     const { context, expired, route } = this.scope;
     const isLeaving = context.directory.get(backEnd.id)?.draining === true;
     if (isLeaving && !mayRunAgain(route.kind)) return true;
-    const fate = await raceAbort(context.quarantine.fateOf(backEnd), expired);
+    const fate = await raceAbort(context.quarantine.processStateOf(backEnd), expired);
     return fate !== ABORTED && fate !== 'ended';
   }
 
--- a/packages/forwarding/src/forwarded-request.ts
+++ b/packages/forwarding/src/forwarded-request.ts
@@ -1,6 +1,6 @@
 /** Handles one request: chooses a back end, sends, forwards the answer, and retries where the route allows it. */
 import type { BackEnd, ServiceDefinition } from '@woodbarrow/backends';
-import type { Turn, Verdict } from '@woodbarrow/quarantine';
+import type { SuspectSlot, Verdict } from '@woodbarrow/quarantine';
 import type { IncomingExchange } from '@woodbarrow/runtime';
 import { ABORTED, raceAbort } from './race-abort.js';
 import type { BackendChoice, RefusalReason } from './backend-choice.js';
@@ -126,7 +126,7 @@
         this.finishAwaitingTrial(delayMs);
         return;
       }
-      const slot = await this.context.quarantine.takeTurn(this.scope.digest, this.expired.signal);
+      const slot = await this.context.quarantine.acquireSlot(this.scope.digest, this.expired.signal);
       try {
         if (await this.trySend(slot)) return;
       } finally {
@@ -136,7 +136,7 @@
   }
 
   /** Chooses a back end and sends once. Returns whether the request has ended. */
-  private async trySend(slot: Turn): Promise<boolean> {
+  private async trySend(slot: SuspectSlot): Promise<boolean> {
     if (this.finishIfQuarantined() || (await this.finishIfOverQuota())) return true;
     const choice = await this.choose();
     if (choice.kind === 'refuse') {
@@ -162,7 +162,10 @@
   }
 
   /** Obtains a permit and sends. Returns whether the request has ended. */
-  private async sendTo(choice: Extract<BackendChoice, { kind: 'send' }>, slot: Turn): Promise<boolean> {
+  private async sendTo(
+    choice: Extract<BackendChoice, { kind: 'send' }>,
+    slot: SuspectSlot,
+  ): Promise<boolean> {
     if (!this.allowance.isValid && (await this.finishIfOverQuota())) return true;
     const { backEnd } = choice;
     if (!this.acceptsRequests(backEnd)) return false;
@@ -197,9 +200,9 @@
   private async sendWith(
     permit: SendPermit,
     choice: Extract<BackendChoice, { kind: 'send' }>,
-    slot: Turn,
+    slot: SuspectSlot,
   ): Promise<boolean> {
-    slot.sentTo(choice.backEnd.id);
+    slot.assignProcess(choice.backEnd.id);
     const result = await this.sender.attempt(choice).finally(() => {
       permit.end();
     });
--- a/packages/forwarding/test/simulated-exchange.ts
+++ b/packages/forwarding/test/simulated-exchange.ts
@@ -25,7 +25,7 @@
 import {
   RequestQuarantine,
   isVerdict,
-  type ProcessAnswer,
+  type ProbeResult,
   type QuarantineRecord,
 } from '@woodbarrow/quarantine';
 import { silentLog } from '@woodbarrow/observability';
@@ -186,7 +186,7 @@
   private readonly configuration = new ConfigurationHolder();
   readonly scripts = new Map<string, BackendScript>();
   /** Result of probing whether the process of a back end runs. */
-  probe: (backEnd: BackEnd) => ProcessAnswer = () => 'running';
+  probe: (backEnd: BackEnd) => ProbeResult = () => 'running';
   /** Verdicts that the quarantine has stored. */
   readonly quarantineRecords: QuarantineRecord[] = [];
   readonly quarantine: RequestQuarantine;
@@ -216,7 +216,7 @@
     });
     this.quarantine = new RequestQuarantine({
       daemon: 'd',
-      probe: { ask: (backEnd) => Promise.resolve(this.probe(backEnd)) },
+      probe: { probe: (backEnd) => Promise.resolve(this.probe(backEnd)) },
       store: {
         create: (record) => {
           if (isVerdict(record)) this.quarantineRecords.push(record);
--- a/packages/quarantine/src/crash-marks.ts
+++ b/packages/quarantine/src/crash-marks.ts
@@ -29,7 +29,7 @@
  * culprit collect marks as well, but most succeed on a retry before they reach this number.
  * {@link CulpritSearch} separates the others.
  */
-export const ENDS_FOR_VERDICT = 3;
+export const CRASHES_FOR_VERDICT = 3;
 /** Lifetime of a mark in milliseconds. Covers several client retries. */
 export const MARK_LIFETIME_MS = 600_000;
 /**
@@ -68,7 +68,7 @@
   /** Contents with active marks. */
   get suspects(): string[] {
     this.dropExpired();
-    return [...this.byContent.keys()].filter((content) => this.endsOf(content) > 0);
+    return [...this.byContent.keys()].filter((content) => this.crashCountOf(content) > 0);
   }
 
   /** Adds a mark. Returns whether this changed the set of marks or cleared one. */
@@ -103,7 +103,7 @@
   }
 
   /** Returns the number of active marks of a content. */
-  endsOf(content: string): number {
+  crashCountOf(content: string): number {
     return this.findActiveMarks(content).length;
   }
 
--- a/packages/quarantine/src/culprit-search.ts
+++ b/packages/quarantine/src/culprit-search.ts
@@ -4,7 +4,7 @@
  * content is proven by crashes that no other content explains. Contents that cannot be told apart run
  * in trials, one at a time: success clears a content, a crash proves it.
  */
-import { CrashMarks, ENDS_FOR_VERDICT, type CrashMark } from './crash-marks.js';
+import { CrashMarks, CRASHES_FOR_VERDICT, type CrashMark } from './crash-marks.js';
 import { isLoadContent } from './load-content.js';
 import type { Clock } from '@woodbarrow/runtime';
 
@@ -39,7 +39,7 @@
  * Each further trial would let a culprit crash one more process; a harmless content usually succeeds
  * in its first trial.
  */
-const CRASHES_FOR_UNCONDITIONAL_VERDICT = ENDS_FOR_VERDICT + 1;
+const CRASHES_FOR_UNCONDITIONAL_VERDICT = CRASHES_FOR_VERDICT + 1;
 
 /** Evaluates the marks of one daemon. */
 export class CulpritSearch {
@@ -109,7 +109,7 @@
     const rivals = new Set(
       unexplained.flatMap(({ processId }) => this.rivalsOnProcess(processId, content, MIN_CRASHES_OF_RIVAL)),
     );
-    return [...rivals].every((rival) => this.marks.endsOf(rival) < this.marks.endsOf(content));
+    return [...rivals].every((rival) => this.marks.crashCountOf(rival) < this.marks.crashCountOf(content));
   }
 
   /**
@@ -118,7 +118,9 @@
    */
   private rivalsOnProcess(processId: string, content: string, minCrashes: number): string[] {
     const others = this.marks.contentsOf(processId).filter((other) => other !== content);
-    return others.filter((other) => !this.culprits.has(other) && this.marks.endsOf(other) >= minCrashes);
+    return others.filter(
+      (other) => !this.culprits.has(other) && this.marks.crashCountOf(other) >= minCrashes,
+    );
   }
 
   /**
@@ -144,7 +146,7 @@
   private isConclusive({ content, processId, endedAt, isTrial }: CrashMark): boolean {
     if (this.clock.monotonic() - endedAt < EVIDENCE_SETTLE_MS) return false;
     // Contents with enough crashes for a verdict are kept off the process of a trial.
-    const minCrashesOfRival = isTrial === true ? ENDS_FOR_VERDICT : MIN_CRASHES_OF_RIVAL;
+    const minCrashesOfRival = isTrial === true ? CRASHES_FOR_VERDICT : MIN_CRASHES_OF_RIVAL;
     return this.rivalsOnProcess(processId, content, minCrashesOfRival).length === 0;
   }
 
@@ -158,7 +160,7 @@
 
 function meetsVerdictThreshold(marks: readonly CrashMark[]): boolean {
   return (
-    marks.length >= ENDS_FOR_VERDICT && countConsecutiveCrashes(marks) >= CONSECUTIVE_CRASHES_FOR_VERDICT
+    marks.length >= CRASHES_FOR_VERDICT && countConsecutiveCrashes(marks) >= CONSECUTIVE_CRASHES_FOR_VERDICT
   );
 }
 
--- a/packages/quarantine/src/load-quarantine.ts
+++ b/packages/quarantine/src/load-quarantine.ts
@@ -8,7 +8,7 @@
 import type { Clock } from '@woodbarrow/runtime';
 import { isLoadContent, loadContent, loadName } from './load-content.js';
 import type { ContentAttempt, RequestQuarantine, Verdict } from './request-quarantine.js';
-import type { Turn } from './suspect-slots.js';
+import type { SuspectSlot } from './suspect-slots.js';
 
 /** Options of {@link LoadQuarantine}. */
 export interface LoadQuarantineOptions {
@@ -88,7 +88,7 @@
    * Returns the monotonic time of the last crash under a load of a target; undefined if the target is
    * no suspect.
    */
-  lastEndOf(service: string, target: ModelTarget): number | undefined {
+  lastCrashAt(service: string, target: ModelTarget): number | undefined {
     const { contents } = this.options;
     return contents.hasNoEvidence ? undefined : contents.lastCrashAt(loadContent(service, target));
   }
@@ -97,7 +97,7 @@
    * Returns whether this daemon has an incomplete load order for a target, or one whose outcome is
    * still unknown.
    */
-  isUnderWay(service: string, target: ModelTarget): boolean {
+  hasLoadInProgress(service: string, target: ModelTarget): boolean {
     return this.loadsOf(loadContent(service, target)).length > 0;
   }
 
@@ -106,10 +106,10 @@
    * wait; a suspect waits until no other load of it from this daemon is in progress and the outcome of
    * the last one is known.
    */
-  async takeTurn(service: string, target: ModelTarget, signal: AbortSignal): Promise<Turn> {
+  async acquireSlot(service: string, target: ModelTarget, signal: AbortSignal): Promise<SuspectSlot> {
     const content = loadContent(service, target);
-    const slot = await this.options.contents.takeTurn(content, signal);
-    if (this.lastEndOf(service, target) === undefined) return slot;
+    const slot = await this.options.contents.acquireSlot(content, signal);
+    if (this.lastCrashAt(service, target) === undefined) return slot;
     await Promise.all(this.loadsOf(content).flatMap(({ check }) => (check === undefined ? [] : [check])));
     return slot;
   }
@@ -126,7 +126,7 @@
    *
    * @param orderedAt Monotonic time at which it was sent.
    */
-  ordered(backEnd: BackEnd, target: ModelTarget, orderedAt: number): void {
+  noteOrdered(backEnd: BackEnd, target: ModelTarget, orderedAt: number): void {
     const content = loadContent(backEnd.service, target);
     const key = loadKey(backEnd.id, content);
     if (this.watched.get(key)?.isConcluding === false || this.options.contents.hasEnded(backEnd.id)) return;
@@ -136,19 +136,19 @@
   }
 
   /** Checks the process of a worker that did not answer while it had load orders. */
-  unanswered(backEndId: string): void {
+  noteUnanswered(backEndId: string): void {
     for (const load of this.loadsOnProcess(backEndId)) void this.checkProcess(load);
   }
 
   /** Handles a completed load, which clears the evidence against its target. */
-  finished({ id, service }: BackEnd, target: ModelTarget): void {
+  noteLoaded({ id, service }: BackEnd, target: ModelTarget): void {
     const content = loadContent(service, target);
     if (this.watched.delete(loadKey(id, content)))
       this.options.contents.noteServed(content, loadName(service, target));
   }
 
   /** Handles a failed load: checks whether the process has ended, then stops tracking it. */
-  failed({ id, service }: BackEnd, target: ModelTarget): void {
+  noteFailed({ id, service }: BackEnd, target: ModelTarget): void {
     const load = this.watched.get(loadKey(id, loadContent(service, target)));
     if (load !== undefined) void this.conclude(load);
   }
@@ -164,7 +164,7 @@
   private checkProcess(load: WatchedLoad): Promise<void> {
     const { contents, clock } = this.options;
     load.unresponsiveSince ??= clock.monotonic();
-    load.check ??= contents.fateOf(load.attempt.backEnd).then((state) => {
+    load.check ??= contents.processStateOf(load.attempt.backEnd).then((state) => {
       delete load.check;
       // The process runs, so a later missing answer starts a new unresponsive period.
       if (state === 'running') delete load.unresponsiveSince;
--- a/packages/quarantine/src/process-state-checker.ts
+++ b/packages/quarantine/src/process-state-checker.ts
@@ -7,7 +7,7 @@
 import { sleep, type Clock } from '@woodbarrow/runtime';
 
 /** Result of one probe. */
-export type ProcessAnswer =
+export type ProbeResult =
   /** The process answered under its own id. */
   | 'running'
   /** Another process answers at its address. */
@@ -19,7 +19,7 @@
 
 /** Port that probes whether a process runs. Never rejects. */
 export interface ProcessProbe {
-  ask(backEnd: BackEnd): Promise<ProcessAnswer>;
+  probe(backEnd: BackEnd): Promise<ProbeResult>;
 }
 
 /** Outcome of a check. */
@@ -87,7 +87,7 @@
     for (const pauseMs of PROBE_DELAYS_MS) {
       await sleep(this.clock, pauseMs);
       if (this.hasEnded(backEnd.id)) return 'ended';
-      const result = await this.probe.ask(backEnd);
+      const result = await this.probe.probe(backEnd);
       if (result === 'running') return 'running';
       refusals = result === 'refused' ? refusals + 1 : 0;
       if (result === 'replaced' || refusals >= REFUSALS_FOR_ENDED) {
--- a/packages/quarantine/src/quarantine-record.ts
+++ b/packages/quarantine/src/quarantine-record.ts
@@ -18,7 +18,7 @@
 }
 
 /** A stored crash mark. Times are wall-clock times in milliseconds. */
-export interface KeptMark {
+export interface StoredMark {
   readonly processId: string;
   readonly begunAt: number;
   readonly endedAt: number;
@@ -35,14 +35,14 @@
   /** Name of the record, see {@link suspectName}. */
   readonly content: string;
   readonly suspect: string;
-  readonly marks: readonly KeptMark[];
+  readonly marks: readonly StoredMark[];
   readonly foundBy: string;
   /** Wall-clock time in milliseconds. */
   readonly at: number;
 }
 
 /** A stored crash mark with its content. */
-export interface KeptEnd extends KeptMark {
+export interface StoredCrash extends StoredMark {
   readonly suspect: string;
 }
 
@@ -53,7 +53,7 @@
 export interface CrashBatchRecord {
   /** Name of the record; never equal to a content. */
   readonly content: string;
-  readonly ends: readonly KeptEnd[];
+  readonly ends: readonly StoredCrash[];
   readonly foundBy: string;
   /** Wall-clock time in milliseconds. */
   readonly at: number;
--- a/packages/quarantine/src/request-quarantine.ts
+++ b/packages/quarantine/src/request-quarantine.ts
@@ -31,7 +31,7 @@
   SuspectTrials,
   type TrialAdmission,
 } from './suspect-trials.js';
-import { UNRESTRICTED_SLOT, SuspectSlots, type Turn } from './suspect-slots.js';
+import { UNRESTRICTED_SLOT, SuspectSlots, type SuspectSlot } from './suspect-slots.js';
 import { VerdictRecords } from './verdict-records.js';
 
 /** Options of {@link RequestQuarantine}. */
@@ -128,7 +128,7 @@
   private readonly evaluation: DebouncedEvaluation;
   private isPublishScheduled = false;
   /** Called when changed marks should be published to other daemons. */
-  onNews: () => void = () => undefined;
+  onMarksChanged: () => void = () => undefined;
   /**
    * Called when a process is found to have ended, by any daemon. May be called repeatedly for the same
    * process.
@@ -207,7 +207,7 @@
   }
 
   /** Checks whether a process runs, see {@link ProcessStateChecker.check}. Never rejects. */
-  fateOf(backEnd: BackEnd): Promise<ProcessState> {
+  processStateOf(backEnd: BackEnd): Promise<ProcessState> {
     return this.processStates.check(backEnd);
   }
 
@@ -217,7 +217,7 @@
     if (record === undefined && !this.search.isProven(content)) return undefined;
     const ageMs = record === undefined ? 0 : this.options.clock.wall() - record.at;
     return {
-      ends: Math.max(this.marks.endsOf(content), record?.processes.length ?? 0),
+      ends: Math.max(this.marks.crashCountOf(content), record?.processes.length ?? 0),
       retryAfterMs: Math.min(QUARANTINE_MS, Math.max(1, QUARANTINE_MS - ageMs)),
     };
   }
@@ -227,7 +227,7 @@
    * the first retry after a broken response, do not wait. A suspect waits until no other attempt of it
    * runs on this daemon and the processes of the last attempts have been checked.
    */
-  async takeTurn(content: string, signal: AbortSignal): Promise<Turn> {
+  async acquireSlot(content: string, signal: AbortSignal): Promise<SuspectSlot> {
     const open = this.openChecks.get(content)?.size ?? 0;
     if (this.unexplainedCrashCount(content) === 0 && open < 2) return UNRESTRICTED_SLOT;
     const isSuspect = (): boolean => this.unexplainedCrashCount(content) > 0 || this.openChecks.has(content);
@@ -282,9 +282,9 @@
 
   /** Waits until the processes of a trial have been checked and a crash has been evaluated. */
   private async awaitTrialOutcome(content: string): Promise<void> {
-    const crashCount = this.marks.endsOf(content);
+    const crashCount = this.marks.crashCountOf(content);
     await Promise.all([...(this.openChecks.get(content) ?? [])]);
-    if (this.marks.endsOf(content) > crashCount)
+    if (this.marks.crashCountOf(content) > crashCount)
       await settleWithin(this.options.clock, EVALUATION_TIMEOUT_MS, this.evaluation.whenEvaluated());
   }
 
@@ -369,10 +369,10 @@
   }
 
   /** Handles a complete listing of the stored records. */
-  recordsListed(entries: readonly QuarantineEntry[]): void {
-    for (const name of this.recordCache.missingFrom(entries)) this.recordGone(name);
+  handleRecordsListed(entries: readonly QuarantineEntry[]): void {
+    for (const name of this.recordCache.missingFrom(entries)) this.handleRecordRemoved(name);
     entries.forEach((entry) => {
-      this.recordSeen(entry);
+      this.handleRecordStored(entry);
     });
   }
 
@@ -380,7 +380,7 @@
    * Handles the listing of a store that was restored from a backup: writes missing records again and
    * removes those that had been removed.
    */
-  recordsRestored(backup: readonly QuarantineEntry[]): void {
+  handleStoreRestored(backup: readonly QuarantineEntry[]): void {
     const { lost, removed, valid } = this.recordCache.compareWithBackup(backup);
     for (const entry of lost) {
       if (this.options.removesRecord(entry.content))
@@ -388,12 +388,12 @@
     }
     for (const { content } of removed) if (this.options.removesRecord(content)) this.writer.remove(content);
     valid.forEach((entry) => {
-      this.recordSeen(entry);
+      this.handleRecordStored(entry);
     });
   }
 
   /** Handles a stored record. */
-  recordSeen(entry: QuarantineEntry): void {
+  handleRecordStored(entry: QuarantineEntry): void {
     this.recordCache.handleStored(entry);
     if (isVerdict(entry)) this.handleVerdictStored(entry);
     else if ('trial' in entry) this.trials.handleStored(entry);
@@ -415,7 +415,7 @@
    *
    * @param content Name of the record.
    */
-  recordGone(content: string): void {
+  handleRecordRemoved(content: string): void {
     this.recordCache.handleRemoved(content);
     if (
       this.suspectRecords.handleRemoved(content) ||
@@ -442,7 +442,7 @@
       content,
       backEnd: backEnd.id,
       ranMs: Math.round(endedAt - sentAt),
-      ends: this.marks.endsOf(content),
+      ends: this.marks.crashCountOf(content),
       foundAfterMs: Math.round(clock.monotonic() - endedAt),
     };
     if (load === undefined) log.warned('process_ended_under_request', { request: requestId, ...facts });
@@ -463,13 +463,13 @@
     this.isPublishScheduled = true;
     this.options.clock.schedule(PUBLISH_DELAY_MS, () => {
       this.isPublishScheduled = false;
-      this.onNews();
+      this.onMarksChanged();
     });
   }
 
   private async removeExpired(): Promise<void> {
     for (const content of [...this.ownAttempts.keys()]) {
-      if (this.marks.endsOf(content) === 0) this.ownAttempts.delete(content);
+      if (this.marks.crashCountOf(content) === 0) this.ownAttempts.delete(content);
     }
     const { removesRecord } = this.options;
     this.recordCache.pruneRemoved();
--- a/packages/quarantine/src/stored-marks.ts
+++ b/packages/quarantine/src/stored-marks.ts
@@ -2,13 +2,13 @@
 import type { CrashMarkEntry } from '@woodbarrow/protocol';
 import type { Clock } from '@woodbarrow/runtime';
 import type { CrashMark } from './crash-marks.js';
-import type { KeptEnd } from './quarantine-record.js';
+import type { StoredCrash } from './quarantine-record.js';
 
 /** Converts a mark for storage. */
 export function toStoredCrash(
   { content, processId, begunAt, endedAt, isTrial }: CrashMark,
   clock: Clock,
-): KeptEnd {
+): StoredCrash {
   const wallOffsetMs = clock.wall() - clock.monotonic();
   return {
     suspect: content,
@@ -21,7 +21,7 @@
 
 /** Converts a stored mark to a message entry. A time ahead of this daemon's clock gets the age 0. */
 export function toMarkEntry(
-  { suspect, processId, begunAt, endedAt, isTrial }: KeptEnd,
+  { suspect, processId, begunAt, endedAt, isTrial }: StoredCrash,
   clock: Clock,
 ): CrashMarkEntry {
   const now = clock.wall();
--- a/packages/quarantine/src/suspect-records.ts
+++ b/packages/quarantine/src/suspect-records.ts
@@ -6,7 +6,7 @@
 import { MARK_LIFETIME_MS, type CrashMarks } from './crash-marks.js';
 import type { CulpritSearch } from './culprit-search.js';
 import { toStoredCrash, toMarkEntry } from './stored-marks.js';
-import { suspectName, type KeptMark, type SuspectRecord } from './quarantine-record.js';
+import { suspectName, type StoredMark, type SuspectRecord } from './quarantine-record.js';
 import type { RecordWriter } from './record-writer.js';
 
 /** Evidence records as observed by one daemon. */
@@ -45,7 +45,7 @@
   write(content: string): void {
     if (this.writtenProcesses.has(content) || this.records.has(suspectName(content))) return;
     const { clock, daemon } = this.writer.options;
-    const marks = this.marks.activeMarksOf(content).map((mark): KeptMark => {
+    const marks = this.marks.activeMarksOf(content).map((mark): StoredMark => {
       const { processId, begunAt, endedAt, isTrial } = toStoredCrash(mark, clock);
       return { processId, begunAt, endedAt, ...(isTrial === true ? { isTrial } : {}) };
     });
--- a/packages/quarantine/src/suspect-slots.ts
+++ b/packages/quarantine/src/suspect-slots.ts
@@ -4,15 +4,15 @@
  */
 
 /** The right to run one attempt of a content. */
-export interface Turn {
+export interface SuspectSlot {
   /** Records the process that the attempt is sent to. */
-  sentTo(processId: string): void;
+  assignProcess(processId: string): void;
   /** Releases the slot. Further calls have no effect. */
   release(): void;
 }
 
 /** Slot of a content that is no suspect. */
-export const UNRESTRICTED_SLOT: Turn = { sentTo: () => undefined, release: () => undefined };
+export const UNRESTRICTED_SLOT: SuspectSlot = { assignProcess: () => undefined, release: () => undefined };
 
 interface HeldSlot {
   /** Process that the attempt was sent to, if any. */
@@ -29,7 +29,7 @@
    * Waits until no other attempt of the content holds the slot. Returns {@link UNRESTRICTED_SLOT} if
    * `signal` aborts or the content is no longer a suspect. Never rejects.
    */
-  async acquire(content: string, isSuspect: () => boolean, signal: AbortSignal): Promise<Turn> {
+  async acquire(content: string, isSuspect: () => boolean, signal: AbortSignal): Promise<SuspectSlot> {
     while (this.held.has(content)) {
       if (signal.aborted || !isSuspect()) return UNRESTRICTED_SLOT;
       await this.waitForWake(content, signal);
@@ -37,7 +37,7 @@
     const slot: HeldSlot = {};
     this.held.set(content, slot);
     return {
-      sentTo: (processId) => {
+      assignProcess: (processId) => {
         slot.processId = processId;
       },
       release: () => {
--- a/packages/quarantine/src/verdict-records.ts
+++ b/packages/quarantine/src/verdict-records.ts
@@ -103,7 +103,7 @@
   async removeExpired(): Promise<void> {
     const { marks, writer, removesRecord } = this.options;
     for (const content of [...this.reported]) {
-      if (!this.records.has(content) && marks.endsOf(content) === 0) this.forget(content);
+      if (!this.records.has(content) && marks.crashCountOf(content) === 0) this.forget(content);
     }
     await writer.removeExpired(this.records.values(), QUARANTINE_MS, removesRecord);
   }
--- a/packages/quarantine/test/crash-marks.test.ts
+++ b/packages/quarantine/test/crash-marks.test.ts
@@ -56,8 +56,8 @@
     for (let index = 0; index < MAX_MARKS + 10; index += 1)
       marks.add(mark(`c${String(index)}`, 'w', index - 100_000));
     expect(marks.totals.marks).to.equal(MAX_MARKS);
-    expect(marks.endsOf('c9')).to.equal(0);
-    expect(marks.endsOf('c10')).to.equal(1);
+    expect(marks.crashCountOf('c9')).to.equal(0);
+    expect(marks.crashCountOf('c10')).to.equal(1);
     const told = { c: 'older', p: 'w', b: 200_050, e: 200_000 };
     expect(marks.merge([told])).to.deep.equal([]);
   });
--- a/packages/quarantine/test/load-quarantine.test.ts
+++ b/packages/quarantine/test/load-quarantine.test.ts
@@ -2,7 +2,7 @@
 import { BackendDirectory } from '@woodbarrow/backends';
 import { silentLog } from '@woodbarrow/observability';
 import { SimulatedProcess } from '@woodbarrow/runtime';
-import { ENDS_FOR_VERDICT, LoadQuarantine, loadContent, type RequestQuarantine } from '../src/index.js';
+import { CRASHES_FOR_VERDICT, LoadQuarantine, loadContent, type RequestQuarantine } from '../src/index.js';
 import { QuarantineDeployment, backEndOf } from './quarantine-deployment.js';
 
 const MODEL = { model: 'm1' };
@@ -31,14 +31,14 @@
   function order(id: string, target = MODEL): void {
     const backEnd = backEndOf(id);
     directory.put(backEnd);
-    loads.ordered(backEnd, target, deployment.world.now);
+    loads.noteOrdered(backEnd, target, deployment.world.now);
   }
 
   async function crashUnder(id: string, target = MODEL): Promise<void> {
     order(id, target);
     await deployment.advance(50);
     deployment.ended.add(id);
-    loads.unanswered(id);
+    loads.noteUnanswered(id);
     await deployment.advance(PROCESS_CHECK_MS);
   }
 
@@ -46,7 +46,7 @@
     for (const id of ['w1', 'w2']) await crashUnder(id);
     expect(loads.verdictOf(SERVICE, MODEL)).to.equal(undefined);
     await crashUnder('w3');
-    expect(loads.verdictOf(SERVICE, MODEL)).to.include({ ends: ENDS_FOR_VERDICT });
+    expect(loads.verdictOf(SERVICE, MODEL)).to.include({ ends: CRASHES_FOR_VERDICT });
     const record = deployment.records.get(loadContent(SERVICE, MODEL));
     expect(record).to.include({ load: `${SERVICE} m1`, route: '', requestId: '' });
     expect(record?.processes).to.deep.equal(['w1', 'w2', 'w3']);
@@ -63,18 +63,18 @@
 
   it('records no crash for a worker that is unresponsive, refuses a load or is removed while its process runs', async () => {
     order('w1');
-    loads.unanswered('w1');
+    loads.noteUnanswered('w1');
     order('w2');
-    loads.failed(backEndOf('w2'), MODEL);
+    loads.noteFailed(backEndOf('w2'), MODEL);
     order('w3');
     directory.recordVanished('w3');
     await deployment.advance(5000);
     for (const id of ['w1', 'w2', 'w3']) deployment.ended.add(id);
-    loads.failed(backEndOf('w2'), MODEL);
+    loads.noteFailed(backEndOf('w2'), MODEL);
     await deployment.advance(PROCESS_CHECK_MS);
     expect(contents.totals.marks).to.equal(0);
-    expect(loads.isUnderWay(SERVICE, MODEL)).to.equal(true);
-    loads.unanswered('w1');
+    expect(loads.hasLoadInProgress(SERVICE, MODEL)).to.equal(true);
+    loads.noteUnanswered('w1');
     await deployment.advance(PROCESS_CHECK_MS);
     expect(contents.totals.marks).to.equal(1);
   });
@@ -83,29 +83,29 @@
     const other = deployment.addDaemon();
     order('w1');
     await deployment.crashUnder(other, 'a request', 'w1');
-    expect(loads.lastEndOf(SERVICE, MODEL)).to.be.a('number');
-    expect(loads.isUnderWay(SERVICE, MODEL)).to.equal(false);
+    expect(loads.lastCrashAt(SERVICE, MODEL)).to.be.a('number');
+    expect(loads.hasLoadInProgress(SERVICE, MODEL)).to.equal(false);
   });
 
   it('lets a suspect be loaded again only once the outcome of its last load is known', async () => {
     await crashUnder('w1', ADAPTER);
-    const first = await loads.takeTurn(SERVICE, ADAPTER, neverAborted);
+    const first = await loads.acquireSlot(SERVICE, ADAPTER, neverAborted);
     order('w2', ADAPTER);
     let isNext = false;
-    void loads.takeTurn(SERVICE, ADAPTER, neverAborted).then((turn) => {
+    void loads.acquireSlot(SERVICE, ADAPTER, neverAborted).then((turn) => {
       isNext = true;
       turn.release();
     });
     await deployment.advance(1000);
     expect(isNext).to.equal(false);
     deployment.ended.add('w2');
-    loads.failed(backEndOf('w2'), ADAPTER);
+    loads.noteFailed(backEndOf('w2'), ADAPTER);
     first.release();
     await deployment.advance(50);
     expect(isNext).to.equal(false);
     await deployment.advance(PROCESS_CHECK_MS);
     expect(isNext).to.equal(true);
-    const aside = await loads.takeTurn(SERVICE, MODEL, neverAborted);
+    const aside = await loads.acquireSlot(SERVICE, MODEL, neverAborted);
     aside.release();
   });
 });
--- a/packages/quarantine/test/neighbours-simulation.ts
+++ b/packages/quarantine/test/neighbours-simulation.ts
@@ -123,7 +123,7 @@
 
   private async attempt(content: string): Promise<Outcome> {
     const daemon = this.random.pick(this.deployment.daemons) as RequestQuarantine;
-    const turn = await daemon.takeTurn(content, new AbortController().signal);
+    const turn = await daemon.acquireSlot(content, new AbortController().signal);
     try {
       const verdict = daemon.verdictOf(content);
       if (verdict !== undefined) return { kind: 'refused', retryAfterMs: verdict.retryAfterMs };
@@ -134,7 +134,7 @@
       if (admission.kind === 'occupied') return { kind: 'refused', retryAfterMs: 100 };
       if (admission.kind === 'refused') return admission;
       try {
-        turn.sentTo(worker);
+        turn.assignProcess(worker);
         return await this.run(daemon, content, worker);
       } finally {
         admission.end();
--- a/packages/quarantine/test/quarantine-deployment.ts
+++ b/packages/quarantine/test/quarantine-deployment.ts
@@ -5,7 +5,7 @@
 import {
   RequestQuarantine,
   isVerdict,
-  type ProcessAnswer,
+  type ProbeResult,
   type QuarantineEntry,
   type QuarantineRecord,
 } from '../src/index.js';
@@ -43,24 +43,24 @@
     });
     const daemon: RequestQuarantine = new RequestQuarantine({
       daemon: process.name,
-      probe: { ask: (backEnd) => Promise.resolve(this.probeResultOf(backEnd)) },
+      probe: { probe: (backEnd) => Promise.resolve(this.probeResultOf(backEnd)) },
       store: {
         create: (record) => {
           if (this.isStoreDown) return Promise.reject(new Error('store down'));
           if (!this.entries.has(record.content)) this.entries.set(record.content, record);
-          for (const each of this.daemons) each.recordSeen(record);
+          for (const each of this.daemons) each.handleRecordStored(record);
           return Promise.resolve();
         },
         claim: (record) => {
           if (this.isStoreDown) return Promise.reject(new Error('store down'));
           if (this.entries.has(record.content)) return Promise.resolve(false);
           this.entries.set(record.content, record);
-          for (const each of this.daemons) each.recordSeen(record);
+          for (const each of this.daemons) each.handleRecordStored(record);
           return Promise.resolve(true);
         },
         remove: (content) => {
           this.entries.delete(content);
-          for (const each of this.daemons) each.recordGone(content);
+          for (const each of this.daemons) each.handleRecordRemoved(content);
           return Promise.resolve();
         },
       },
@@ -69,12 +69,12 @@
       random: new Random(this.started),
       log: silentLog,
     });
-    daemon.onNews = () => {
+    daemon.onMarksChanged = () => {
       this.clock.schedule(PUBLISH_LATENCY_MS, () => {
         this.publishFrom(daemon);
       });
     };
-    daemon.recordsListed([...this.entries.values()]);
+    daemon.handleRecordsListed([...this.entries.values()]);
     daemon.start();
     this.daemons.push(daemon);
     return daemon;
@@ -92,13 +92,13 @@
   restore(copy: ReadonlyMap<string, QuarantineEntry>): void {
     this.entries.clear();
     for (const [name, entry] of copy) this.entries.set(name, entry);
-    for (const daemon of this.daemons) daemon.recordsRestored([...copy.values()]);
+    for (const daemon of this.daemons) daemon.handleStoreRestored([...copy.values()]);
   }
 
   /** Lifts a verdict as an operator does. */
   lift(content: string): void {
     this.entries.delete(content);
-    for (const daemon of this.daemons) daemon.recordGone(content);
+    for (const daemon of this.daemons) daemon.handleRecordRemoved(content);
   }
 
   /** Kills all daemons. Only the store survives. */
@@ -125,7 +125,7 @@
     await this.world.run(this.world.now + durationMs);
   }
 
-  private probeResultOf({ id }: BackEnd): ProcessAnswer {
+  private probeResultOf({ id }: BackEnd): ProbeResult {
     return this.ended.has(id) ? 'refused' : 'running';
   }
 }
--- a/packages/quarantine/test/request-quarantine.test.ts
+++ b/packages/quarantine/test/request-quarantine.test.ts
@@ -225,7 +225,7 @@
   it('lets a content run after its verdict is lifted, until it has crashed three more processes', async () => {
     for (const id of ['w1', 'w2', 'w3']) await deployment.crashUnder(first, CONTENT, id);
     deployment.entries.delete(CONTENT);
-    for (const daemon of deployment.daemons) daemon.recordGone(CONTENT);
+    for (const daemon of deployment.daemons) daemon.handleRecordRemoved(CONTENT);
     expect(deployment.daemons.some((daemon) => isRefused(daemon))).to.equal(false);
     for (const id of ['w4', 'w5', 'w6']) await deployment.crashUnder(second, CONTENT, id);
     expect(deployment.daemons.every((daemon) => isRefused(daemon))).to.equal(true);
@@ -249,9 +249,9 @@
 
   it('runs one attempt of a suspect at a time, and the next one only once the process of the last has been checked', async () => {
     await deployment.crashUnder(first, CONTENT, 'w1');
-    const turn = await first.takeTurn(CONTENT, neverAborted);
+    const turn = await first.acquireSlot(CONTENT, neverAborted);
     let hasNext = false;
-    void first.takeTurn(CONTENT, neverAborted).then(() => (hasNext = true));
+    void first.acquireSlot(CONTENT, neverAborted).then(() => (hasNext = true));
     await deployment.advance(100);
     expect(hasNext).to.equal(false);
     deployment.ended.add('w2');
@@ -265,10 +265,10 @@
 
   it('stops waiting for a slot when the request is aborted', async () => {
     await deployment.crashUnder(first, CONTENT, 'w1');
-    await first.takeTurn(CONTENT, neverAborted);
+    await first.acquireSlot(CONTENT, neverAborted);
     const expired = new AbortController();
     let hasEnded = false;
-    void first.takeTurn(CONTENT, expired.signal).then(() => (hasEnded = true));
+    void first.acquireSlot(CONTENT, expired.signal).then(() => (hasEnded = true));
     await deployment.advance(100);
     expect(hasEnded).to.equal(false);
     expired.abort();
@@ -278,10 +278,10 @@
 
   it('admits all attempts that wait for a slot once the content has been served', async () => {
     await deployment.crashUnder(first, CONTENT, 'w1');
-    const turn = await first.takeTurn(CONTENT, neverAborted);
+    const turn = await first.acquireSlot(CONTENT, neverAborted);
     let going = 0;
     for (let index = 0; index < 5; index += 1)
-      void first.takeTurn(CONTENT, neverAborted).then(() => (going += 1));
+      void first.acquireSlot(CONTENT, neverAborted).then(() => (going += 1));
     await deployment.advance(100);
     expect(going).to.equal(0);
     first.noteServed(CONTENT);
@@ -294,8 +294,8 @@
     for (const content of ['a', 'b']) {
       for (const id of ['w1', 'w2']) await deployment.crashUnder(first, content, `${content}-${id}`);
     }
-    const turn = await first.takeTurn('a', neverAborted);
-    turn.sentTo('w9');
+    const turn = await first.acquireSlot('a', neverAborted);
+    turn.assignProcess('w9');
     expect(first.processesToAvoid('b')).to.deep.equal(['w9']);
     expect(first.processesToAvoid('a')).to.deep.equal([]);
     turn.release();
--- a/packages/quarantine/test/restored-records.test.ts
+++ b/packages/quarantine/test/restored-records.test.ts
@@ -46,7 +46,7 @@
     await prove();
     deployment.isStoreDown = true;
     deployment.restore(copy);
-    for (const daemon of deployment.daemons) daemon.recordsListed([]);
+    for (const daemon of deployment.daemons) daemon.handleRecordsListed([]);
     expect(isRefusedEverywhere()).to.equal(true);
     deployment.isStoreDown = false;
     await deployment.advance(6000);
--- a/packages/quota/src/quota-gate.ts
+++ b/packages/quota/src/quota-gate.ts
@@ -10,8 +10,8 @@
 import { quotaGrantMethod, type GrantAnswer, type GrantWish } from '@woodbarrow/protocol';
 import type { Clock } from '@woodbarrow/runtime';
 import { callAllocator } from './call-allocator.js';
-import { UnitGate, type GateUse } from './unit-gate.js';
-import type { UnitAllowance } from './unit-share.js';
+import { UnitGate, type GateUsage } from './unit-gate.js';
+import type { OvershootAllowance } from './unit-share.js';
 
 /** Options of {@link QuotaGate}. */
 export interface QuotaGateOptions {
@@ -21,7 +21,7 @@
   readonly zone: string;
   /** Zones of the deployment. */
   readonly zones: readonly string[];
-  readonly allowance: UnitAllowance;
+  readonly allowance: OvershootAllowance;
   readonly coordinators: CoordinatorDirectory;
   readonly peers: Pick<PeerNetwork, 'call'>;
   readonly failures: CallFailures;
@@ -54,7 +54,7 @@
   }
 
   /** Returns the units used and refused since the start, by tenant. */
-  use(): ReadonlyMap<string, GateUse> {
+  usage(): ReadonlyMap<string, GateUsage> {
     return this.gate.usage();
   }
 
--- a/packages/quota/src/quota-service.ts
+++ b/packages/quota/src/quota-service.ts
@@ -5,15 +5,15 @@
 import type { PeerNetwork } from '@woodbarrow/peering';
 import { quotaGrantMethod, type GrantAnswer, type QuotaGrantMessage } from '@woodbarrow/protocol';
 import type { Clock } from '@woodbarrow/runtime';
-import { UnitAllocator, type GranterUse } from './unit-allocator.js';
-import type { UnitAllowance } from './unit-share.js';
+import { UnitAllocator, type AllocatorUsage } from './unit-allocator.js';
+import type { OvershootAllowance } from './unit-share.js';
 import { ZoneAllocators, type ZoneAuthority } from './zone-allocators.js';
 
 /** Options of {@link QuotaService}. */
 export interface QuotaServiceOptions {
   /** Zones of the deployment. Each has one allocator. */
   readonly zones: readonly string[];
-  readonly allowance: UnitAllowance;
+  readonly allowance: OvershootAllowance;
   /** Returns the current limit of a tenant; undefined if it has none or is unknown. */
   readonly quotaOf: (tenant: string) => TenantQuota | undefined;
   /** Returns the lease of a zone while this daemon holds it. */
@@ -49,13 +49,13 @@
    * Creates and drops allocators after a change of the held zones, so that their buckets begin to fill
    * at once.
    */
-  noteZones(): void {
+  refreshZones(): void {
     for (const zone of this.options.zones) this.allocators.of(zone);
   }
 
   /** Returns the units granted and refused by this daemon, by tenant, summed over the zones held now. */
-  use(): ReadonlyMap<string, GranterUse> {
-    const sums = new Map<string, GranterUse>();
+  usage(): ReadonlyMap<string, AllocatorUsage> {
+    const sums = new Map<string, AllocatorUsage>();
     for (const allocator of this.allocators.all()) {
       for (const [tenant, { granted, turnedDown }] of allocator.usage()) {
         const sum = sums.get(tenant) ?? { granted: 0, turnedDown: 0 };
--- a/packages/quota/src/rate-limit-gate.ts
+++ b/packages/quota/src/rate-limit-gate.ts
@@ -15,11 +15,11 @@
 import { callAllocator, type AllocatorAccess } from './call-allocator.js';
 import { fromReport, toReport } from './rate-limit-report.js';
 import { UnitGate } from './unit-gate.js';
-import type { UnitAllowance } from './unit-share.js';
+import type { OvershootAllowance } from './unit-share.js';
 
 /** Options of {@link RateLimitGate}. */
 export interface RateLimitGateOptions extends AllocatorAccess {
-  readonly allowance: UnitAllowance;
+  readonly allowance: OvershootAllowance;
   readonly notices: BackendNotices;
   /** Returns the zone of a back end; undefined if the back end is gone. */
   readonly zoneOf: (backEndId: string) => string | undefined;
--- a/packages/quota/src/rate-limit-service.ts
+++ b/packages/quota/src/rate-limit-service.ts
@@ -14,12 +14,12 @@
 import type { Clock } from '@woodbarrow/runtime';
 import { fromReport, toReport } from './rate-limit-report.js';
 import { UnitAllocator } from './unit-allocator.js';
-import type { UnitAllowance, UnitLimit } from './unit-share.js';
+import type { OvershootAllowance, UnitLimit } from './unit-share.js';
 import { ZoneAllocators, type ZoneAuthority } from './zone-allocators.js';
 
 /** Options of {@link RateLimitService}. */
 export interface RateLimitServiceOptions {
-  readonly allowance: UnitAllowance;
+  readonly allowance: OvershootAllowance;
   readonly notices: BackendNotices;
   /** Returns the lease of a zone while this daemon holds it. */
   readonly authorityOf: (zone: string) => ZoneAuthority | undefined;
--- a/packages/quota/src/unit-allocator.ts
+++ b/packages/quota/src/unit-allocator.ts
@@ -1,12 +1,12 @@
 /** Allocates units of limits for one zone while this daemon holds the zone's lease. */
 import type { GrantAnswer, GrantWish } from '@woodbarrow/protocol';
 import type { Clock } from '@woodbarrow/runtime';
-import { shareOf, type UnitAllowance, type UnitLimit } from './unit-share.js';
+import { shareOf, type OvershootAllowance, type UnitLimit } from './unit-share.js';
 import { UnitBucket } from './unit-bucket.js';
 
 /** Options of {@link UnitAllocator}. */
 export interface UnitAllocatorOptions {
-  readonly allowance: UnitAllowance;
+  readonly allowance: OvershootAllowance;
   /** Number of allocators that share each limit. */
   readonly allocatorCount: number;
   /** Returns the current limit of a subject, such as a tenant; undefined if it has none or is unknown. */
@@ -17,7 +17,7 @@
 }
 
 /** Units granted and refused for one subject. */
-export interface GranterUse {
+export interface AllocatorUsage {
   readonly granted: number;
   readonly turnedDown: number;
 }
@@ -63,7 +63,7 @@
   }
 
   /** Returns the units granted and refused since the start, by subject. */
-  usage(): ReadonlyMap<string, GranterUse> {
+  usage(): ReadonlyMap<string, AllocatorUsage> {
     return new Map(
       [...this.subjects].map(([name, { granted, turnedDown }]) => [name, { granted, turnedDown }]),
     );
--- a/packages/quota/src/unit-gate.ts
+++ b/packages/quota/src/unit-gate.ts
@@ -7,12 +7,12 @@
 import type { GrantAnswer, GrantWish } from '@woodbarrow/protocol';
 import { sleep, type Clock } from '@woodbarrow/runtime';
 import { LocalAllowance } from './local-allowance.js';
-import { shareOf, type UnitAllowance, type UnitLimit } from './unit-share.js';
+import { shareOf, type OvershootAllowance, type UnitLimit } from './unit-share.js';
 import { UsageRate } from './usage-rate.js';
 
 /** Options of {@link UnitGate}. */
 export interface UnitGateOptions {
-  readonly allowance: UnitAllowance;
+  readonly allowance: OvershootAllowance;
   /** Number of allocators that share each limit. */
   readonly allocatorCount: number;
   /** Returns the zones whose allocators are called for a subject, in order. */
@@ -29,7 +29,7 @@
 }
 
 /** Units that a daemon has used and refused for one subject. */
-export interface GateUse {
+export interface GateUsage {
   readonly used: number;
   readonly refused: number;
 }
@@ -134,7 +134,7 @@
   }
 
   /** Returns the units used and refused since the start, by subject. */
-  usage(): ReadonlyMap<string, GateUse> {
+  usage(): ReadonlyMap<string, GateUsage> {
     return new Map([...this.subjects].map(([name, { used, refused }]) => [name, { used, refused }]));
   }
 
--- a/packages/quota/src/unit-share.ts
+++ b/packages/quota/src/unit-share.ts
@@ -20,7 +20,7 @@
 }
 
 /** Tolerated use beyond a limit in each window. */
-export interface UnitAllowance {
+export interface OvershootAllowance {
   /** Length of the window in which use is measured, in milliseconds. */
   readonly windowMs: number;
   /** Tolerated fraction beyond the limit, for example 0.1. */
@@ -57,7 +57,7 @@
  *
  * @param allocatorCount Number of allocators, which must be the same on all daemons.
  */
-export function shareOf(limit: UnitLimit, allowance: UnitAllowance, allocatorCount: number): UnitShare {
+export function shareOf(limit: UnitLimit, allowance: OvershootAllowance, allocatorCount: number): UnitShare {
   const { ratePerSecond, burst } = limit;
   const { windowMs, overshoot, slack } = allowance;
   const ratePerMs = ratePerSecond / MS_PER_SECOND;
--- a/packages/quota/test/quota-world.ts
+++ b/packages/quota/test/quota-world.ts
@@ -4,11 +4,11 @@
 import { CallFailures, silentLog } from '@woodbarrow/observability';
 import { SimulatedCluster, type PeerNetwork, type SimulatedNode } from '@woodbarrow/peering';
 import { Random, type Clock } from '@woodbarrow/runtime';
-import { QuotaGate, QuotaService, type UnitAllowance } from '../src/index.js';
+import { QuotaGate, QuotaService, type OvershootAllowance } from '../src/index.js';
 import { ZoneLeases } from './zone-leases.js';
 
 export const ZONES = ['alpha', 'beta', 'gamma', 'delta'];
-export const ALLOWANCE: UnitAllowance = { windowMs: 8000, overshoot: 0.1, slack: 110_000 };
+export const ALLOWANCE: OvershootAllowance = { windowMs: 8000, overshoot: 0.1, slack: 110_000 };
 /** Time from the start of the daemons to the first requests, in milliseconds. */
 const WARM_UP_MS = 12_000;
 /** Interval between publications of lease claims, in milliseconds. */
@@ -185,7 +185,7 @@
 
   private publishClaims(daemon: WorldDaemon, clock: Clock, service: QuotaService): void {
     daemon.coordinators.accept('told', 'own', this.leases.claims());
-    service.noteZones();
+    service.refreshZones();
     clock.schedule(CLAIM_INTERVAL_MS, () => {
       this.publishClaims(daemon, clock, service);
     });
--- a/packages/quota/test/rate-limit-world.ts
+++ b/packages/quota/test/rate-limit-world.ts
@@ -15,12 +15,18 @@
 import { SimulatedCluster, type SimulatedNode } from '@woodbarrow/peering';
 import type { RateLimitReport } from '@woodbarrow/protocol';
 import { Random } from '@woodbarrow/runtime';
-import { RateLimitGate, RateLimitService, fromReport, toReport, type UnitAllowance } from '../src/index.js';
+import {
+  RateLimitGate,
+  RateLimitService,
+  fromReport,
+  toReport,
+  type OvershootAllowance,
+} from '../src/index.js';
 import { ZoneLeases } from './zone-leases.js';
 
 const ZONES = ['alpha', 'beta', 'gamma'];
 /** Tolerated requests beyond the limit. */
-export const RATE_LIMIT_ALLOWANCE: UnitAllowance = { windowMs: 4000, overshoot: 0.5, slack: 5 };
+export const RATE_LIMIT_ALLOWANCE: OvershootAllowance = { windowMs: 4000, overshoot: 0.5, slack: 5 };
 /** Time after which all daemons must apply a new limit, in milliseconds. */
 const SETTLE_MS = 3000;
 /** Time for which a daemon must have observed the limit before its requests count, in milliseconds. */
--- a/packages/residency/src/load-admission.ts
+++ b/packages/residency/src/load-admission.ts
@@ -44,9 +44,9 @@
    */
   mayBegin({ service, model, demands }: DemandGroup, isLoadingHere: boolean): boolean {
     const { quarantine, expectedElsewhereInMs, clock } = this.options;
-    const lastCrashAt = quarantine.lastEndOf(service, { model });
+    const lastCrashAt = quarantine.lastCrashAt(service, { model });
     if (lastCrashAt === undefined) return true;
-    if (isLoadingHere || quarantine.isUnderWay(service, { model })) return false;
+    if (isLoadingHere || quarantine.hasLoadInProgress(service, { model })) return false;
     if (expectedElsewhereInMs(model) !== Infinity) return false;
     const wantedSince = Math.min(...demands.map(({ arrivedAt }) => arrivedAt));
     return clock.monotonic() - Math.max(lastCrashAt, wantedSince) >= this.staggerMs(model);
--- a/packages/residency/src/order-sender.ts
+++ b/packages/residency/src/order-sender.ts
@@ -95,7 +95,7 @@
       return undefined;
     }
     this.recordAnswer(report !== undefined);
-    if (report === undefined) this.options.quarantine.unanswered(this.options.backEndId);
+    if (report === undefined) this.options.quarantine.noteUnanswered(this.options.backEndId);
     else this.sequence ??= report.sequence;
     return report;
   }
@@ -113,8 +113,8 @@
     const backEnd = directory.get(backEndId);
     // The quarantine was notified when the worker was removed.
     if (backEnd === undefined) return;
-    if (isLoaded) quarantine.finished(backEnd, target);
-    else quarantine.failed(backEnd, target);
+    if (isLoaded) quarantine.noteLoaded(backEnd, target);
+    else quarantine.noteFailed(backEnd, target);
   }
 
   /** Adopts the sequence of a report. */
@@ -242,8 +242,8 @@
     const isAnswered = outcome !== 'unknown' && outcome !== 'unreachable';
     this.recordAnswer(isAnswered);
     if (operation === 'load' && (outcome === 'accepted' || outcome === 'unknown'))
-      this.options.quarantine.ordered(backEnd, target, sentAt);
-    if (!isAnswered) this.options.quarantine.unanswered(backEndId);
+      this.options.quarantine.noteOrdered(backEnd, target, sentAt);
+    if (!isAnswered) this.options.quarantine.noteUnanswered(backEndId);
     log.changed('order_answered', {
       backEnd: backEndId,
       operation,
--- a/packages/residency/src/zone-residency.ts
+++ b/packages/residency/src/zone-residency.ts
@@ -236,7 +236,7 @@
     const cancelTimer = clock.schedule(withinMs, () => {
       timeout.abort();
     });
-    const turn = await quarantine.takeTurn(service, target, timeout.signal);
+    const turn = await quarantine.acquireSlot(service, target, timeout.signal);
     try {
       const leftMs = deadline - clock.monotonic();
       if (leftMs <= 0 || quarantine.verdictOf(service, target) !== undefined) return false;
--- a/packages/residency/test/crashing-loads-world.ts
+++ b/packages/residency/test/crashing-loads-world.ts
@@ -57,13 +57,13 @@
   readonly store: QuarantineStore = {
     create: (record) => {
       if (!this.entries.has(record.content)) this.entries.set(record.content, record);
-      for (const { quarantine } of this.zones) quarantine.contents.recordSeen(record);
+      for (const { quarantine } of this.zones) quarantine.contents.handleRecordStored(record);
       return Promise.resolve();
     },
     claim: () => Promise.resolve(true),
     remove: (content) => {
       this.entries.delete(content);
-      for (const { quarantine } of this.zones) quarantine.contents.recordGone(content);
+      for (const { quarantine } of this.zones) quarantine.contents.handleRecordRemoved(content);
       return Promise.resolve();
     },
   };
@@ -226,8 +226,8 @@
 
   private addQuarantine(clock: Clock): DaemonQuarantine {
     const quarantine = daemonQuarantine(clock, this.directory, this.workers, this.store);
-    quarantine.contents.recordsListed([...this.entries.values()]);
-    quarantine.contents.onNews = () => {
+    quarantine.contents.handleRecordsListed([...this.entries.values()]);
+    quarantine.contents.onMarksChanged = () => {
       this.world.schedule(CRASH_REPORT_DELAY_MS, () => {
         for (const { quarantine: other } of this.zones) {
           if (other !== quarantine) other.contents.merge(quarantine.contents.entries());
--- a/packages/residency/test/crashing-loads.test.ts
+++ b/packages/residency/test/crashing-loads.test.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai';
 import type { ModelTarget } from '@woodbarrow/backends';
-import { ENDS_FOR_VERDICT, QUARANTINE_MS, loadContent } from '@woodbarrow/quarantine';
+import { CRASHES_FOR_VERDICT, QUARANTINE_MS, loadContent } from '@woodbarrow/quarantine';
 import { CrashingLoadsWorld, WORKERS_PER_ZONE, type CoordinatedZone } from './crashing-loads-world.js';
 import { SERVICE } from './zone-world.js';
 
@@ -45,13 +45,13 @@
   it('crashes only three workers when one coordinator is asked for it repeatedly', async () => {
     await start(1);
     await scene.keepAsking(CRASHING, REQUEST_PERIOD_MS, [first]);
-    expect(scene.exitedWorkers).to.have.length(ENDS_FOR_VERDICT);
+    expect(scene.exitedWorkers).to.have.length(CRASHES_FOR_VERDICT);
   });
 
   it('crashes at most one worker per zone and one more when all coordinators start it at once', async () => {
     await start(2);
     await scene.keepAsking(CRASHING, REQUEST_PERIOD_MS);
-    expect(scene.exitedWorkers.length).to.be.within(ENDS_FOR_VERDICT, ZONE_COUNT + 1);
+    expect(scene.exitedWorkers.length).to.be.within(CRASHES_FOR_VERDICT, ZONE_COUNT + 1);
   });
 
   it('is tried by one coordinator at a time once a worker has crashed under it', async () => {
@@ -59,7 +59,7 @@
     await crashWorkers(1);
     await scene.advance(CRASH_DETECTION_MS);
     await scene.keepAsking(CRASHING, REQUEST_PERIOD_MS);
-    expect(scene.exitedWorkers).to.have.length(ENDS_FOR_VERDICT);
+    expect(scene.exitedWorkers).to.have.length(CRASHES_FOR_VERDICT);
   });
 
   it('is refused at once by every coordinator after the verdict, while other models are loaded', async () => {
@@ -84,7 +84,7 @@
     await scene.keepAsking(CRASHING, REQUEST_PERIOD_MS, [first]);
     await scene.restartAll();
     await scene.keepAsking(CRASHING, REQUEST_PERIOD_MS);
-    expect(scene.exitedWorkers).to.have.length(ENDS_FOR_VERDICT);
+    expect(scene.exitedWorkers).to.have.length(CRASHES_FOR_VERDICT);
     expect([...scene.records.values()][0]).to.include({ load: 'models m7', route: '' });
   });
 
@@ -104,7 +104,7 @@
     scene.ask(first, { model: CRASHING_ADAPTER.model });
     await scene.advance(LOAD_COMPLETION_MS);
     await scene.keepAsking(CRASHING_ADAPTER, REQUEST_PERIOD_MS, [first]);
-    expect(scene.exitedWorkers).to.have.length(ENDS_FOR_VERDICT);
+    expect(scene.exitedWorkers).to.have.length(CRASHES_FOR_VERDICT);
     expect(scene.isQuarantined(CRASHING_ADAPTER)).to.equal(true);
     expect(scene.isQuarantined({ model: CRASHING_ADAPTER.model })).to.equal(false);
     scene.answers.splice(0);
@@ -132,12 +132,12 @@
       );
     }
     await scene.advance(REQUEST_PERIOD_MS);
-    expect(scene.exitedWorkers).to.have.length(ENDS_FOR_VERDICT);
+    expect(scene.exitedWorkers).to.have.length(CRASHES_FOR_VERDICT);
   });
 
   it('is no longer a suspect once it has succeeded anywhere', async () => {
     await start(8);
-    await crashWorkers(ENDS_FOR_VERDICT - 1);
+    await crashWorkers(CRASHES_FOR_VERDICT - 1);
     isBroken = false;
     scene.ask(scene.zones[1] as CoordinatedZone, CRASHING);
     await scene.advance(LOAD_COMPLETION_MS);
--- a/packages/residency/test/demand-router.test.ts
+++ b/packages/residency/test/demand-router.test.ts
@@ -93,7 +93,7 @@
 
   /** Gives the daemon a verdict on a load. */
   quarantine(target: ModelTarget): void {
-    this.quarantined?.contents.recordSeen({
+    this.quarantined?.contents.handleRecordStored({
       content: loadContent('models', target),
       processes: ['w1', 'w2', 'w3'],
       route: '',
--- a/packages/residency/test/load-quarantines.ts
+++ b/packages/residency/test/load-quarantines.ts
@@ -4,7 +4,7 @@
 import {
   LoadQuarantine,
   RequestQuarantine,
-  type ProcessAnswer,
+  type ProbeResult,
   type QuarantineStore,
 } from '@woodbarrow/quarantine';
 import { Random, type Clock } from '@woodbarrow/runtime';
@@ -32,7 +32,7 @@
 ): DaemonQuarantine {
   const contents = new RequestQuarantine({
     daemon: 'daemon',
-    probe: { ask: (backEnd) => Promise.resolve(processAnswer(workers, backEnd)) },
+    probe: { probe: (backEnd) => Promise.resolve(processAnswer(workers, backEnd)) },
     store,
     removesRecord: () => true,
     clock,
@@ -42,7 +42,7 @@
   return { contents, loads: new LoadQuarantine({ contents, directory, clock, log: silentLog }) };
 }
 
-function processAnswer(workers: ReadonlyMap<string, SimulatedWorker>, { id }: BackEnd): ProcessAnswer {
+function processAnswer(workers: ReadonlyMap<string, SimulatedWorker>, { id }: BackEnd): ProbeResult {
   const worker = workers.get(id);
   if (worker === undefined) return 'unknown';
   if (!worker.hasExited) return 'running';
--- a/packages/serving/src/backend-notice-service.ts
+++ b/packages/serving/src/backend-notice-service.ts
@@ -11,7 +11,7 @@
   fromReport,
   toReport,
   type PermitTotals,
-  type UnitAllowance,
+  type OvershootAllowance,
   type ZoneAuthority,
 } from '@woodbarrow/quota';
 import type { Clock } from '@woodbarrow/runtime';
@@ -19,7 +19,7 @@
 /** Options of {@link BackendNoticeService}. */
 export interface BackendNoticeServiceOptions {
   /** Allowance beyond the rate limit that a back end reports. */
-  readonly allowance: UnitAllowance;
+  readonly allowance: OvershootAllowance;
   readonly directory: BackendDirectory;
   readonly coordinators: CoordinatorDirectory;
   /** Returns the lease of a zone while this daemon holds it. */
--- a/packages/serving/src/deployment-view.ts
+++ b/packages/serving/src/deployment-view.ts
@@ -69,15 +69,15 @@
 
   quarantineListed(records: readonly QuarantineEntry[], origin: ListingOrigin): void {
     this.isQuarantineListed = true;
-    if (origin === 'restored_store') this.quarantine.recordsRestored(records);
-    else this.quarantine.recordsListed(records);
+    if (origin === 'restored_store') this.quarantine.handleStoreRestored(records);
+    else this.quarantine.handleRecordsListed(records);
   }
 
   contentQuarantined(record: QuarantineEntry): void {
-    this.quarantine.recordSeen(record);
+    this.quarantine.handleRecordStored(record);
   }
 
   quarantineLifted(content: string): void {
-    this.quarantine.recordGone(content);
+    this.quarantine.handleRecordRemoved(content);
   }
 }
--- a/packages/serving/src/serving-daemon.ts
+++ b/packages/serving/src/serving-daemon.ts
@@ -131,7 +131,7 @@
     const coordinators = new CoordinatorDirectory(clock, settings.name);
     this.records = this.createFollower();
     this.exchange = this.createExchange(coordinators);
-    this.quarantine.onNews = () => {
+    this.quarantine.onMarksChanged = () => {
       this.exchange.passOnCrashMarks();
     };
     this.membership.events.on('attachment', ({ attachment: revision, attachmentEra: era }) => {
@@ -289,7 +289,7 @@
       },
       onClaimsChanged: () => {
         this.exchange.tellNow();
-        this.quotaService.noteZones();
+        this.quotaService.refreshZones();
       },
       handoverPauseMs: settings.handoverPauseMs,
       storeWindow: settings.storeWindow,
@@ -425,8 +425,8 @@
       loadQuarantine: () => this.loadQuarantine.totals,
       notices: () => this.noticeService.notices.totals,
       permits: () => this.noticeService.permitTotals,
-      quotaUse: () => this.quotaGate.use(),
-      quotaGranted: () => this.quotaService.use(),
+      quotaUse: () => this.quotaGate.usage(),
+      quotaGranted: () => this.quotaService.usage(),
       log,
     });
   }
--- a/packages/serving/src/serving-metrics.ts
+++ b/packages/serving/src/serving-metrics.ts
@@ -1,7 +1,7 @@
 /** Metrics that a serving daemon exports. */
 import type { LoadQuarantineTotals, QuarantineTotals } from '@woodbarrow/quarantine';
 import type { NoticeTotals } from '@woodbarrow/forwarding';
-import type { GateUse, GranterUse, PermitTotals } from '@woodbarrow/quota';
+import type { GateUsage, AllocatorUsage, PermitTotals } from '@woodbarrow/quota';
 import type { UnservedDemands } from '@woodbarrow/residency';
 import { MetricRegistry, type BoundedLog, type Counter, type Histogram } from '@woodbarrow/observability';
 
@@ -28,9 +28,9 @@
   readonly notices: () => NoticeTotals;
   readonly permits: () => PermitTotals;
   /** Units of limited tenants used and refused at this daemon, by tenant. */
-  readonly quotaUse: () => ReadonlyMap<string, GateUse>;
+  readonly quotaUse: () => ReadonlyMap<string, GateUsage>;
   /** Units granted by the quota allocators that run here, by tenant. */
-  readonly quotaGranted: () => ReadonlyMap<string, GranterUse>;
+  readonly quotaGranted: () => ReadonlyMap<string, AllocatorUsage>;
   readonly log: BoundedLog;
 }
 
--- a/packages/serving/src/serving-settings.ts
+++ b/packages/serving/src/serving-settings.ts
@@ -1,5 +1,5 @@
 /** Settings of the serving daemon. */
-import type { UnitAllowance } from '@woodbarrow/quota';
+import type { OvershootAllowance } from '@woodbarrow/quota';
 import type { StoreWindowOptions } from '@woodbarrow/residency';
 
 /** Address (`ip:port`) and path of the metrics endpoint. */
@@ -32,9 +32,9 @@
   readonly peerAddress: string;
   readonly metrics?: MetricsEndpoint;
   readonly repeats: RepeatSettings;
-  readonly quotaAllowance: UnitAllowance;
+  readonly quotaAllowance: OvershootAllowance;
   /** Allowance beyond the rate limit that a back end reports. */
-  readonly rateLimitAllowance: UnitAllowance;
+  readonly rateLimitAllowance: OvershootAllowance;
   /** Whether the whole deployment starts for the first time. */
   readonly isFirstStart: boolean;
   /** Minimum time between orders of successive coordinators of a zone. */
--- a/packages/serving/test/exchange.test.ts
+++ b/packages/serving/test/exchange.test.ts
@@ -379,7 +379,7 @@
     });
     reporter?.exchange.passOnCrashMarks();
     await world.cluster.advance(1000);
-    expect(world.daemonsFailing(({ crashMarks }) => crashMarks.endsOf('c') === 1)).to.deep.equal([]);
+    expect(world.daemonsFailing(({ crashMarks }) => crashMarks.crashCountOf('c') === 1)).to.deep.equal([]);
     const sent = world.daemons.map(({ crashMarks }) => crashMarks.timesSent);
     await world.cluster.advance(3000);
     expect(world.daemons.map(({ crashMarks }) => crashMarks.timesSent)).to.deep.equal(sent);
@@ -421,7 +421,9 @@
     });
     await world.cluster.advance(3000);
     const alive = world.daemons.filter((daemon) => daemon !== relay);
-    expect(world.daemonsFailing(({ crashMarks }) => crashMarks.endsOf('c') === 3, alive)).to.deep.equal([]);
+    expect(world.daemonsFailing(({ crashMarks }) => crashMarks.crashCountOf('c') === 3, alive)).to.deep.equal(
+      [],
+    );
   });
 
   it('delivers changes and counts no request twice when a relay is killed', async () => {
