--- a/packages/coordination/src/holder-contact.ts
+++ b/packages/coordination/src/holder-contact.ts
@@ -1,6 +1,6 @@
 /** Tracks which witnesses of a lease have answered its holder. */
 import type { Clock } from '@woodbarrow/runtime';
-import { areSameWitnesses, CONTACT_LIFETIME_MS, majorityOf, type WitnessId } from './lease-witness.js';
+import { areSameWitnesses, CONTACT_LIFETIME_MS, majoritySize, type WitnessId } from './lease-witness.js';
 
 /** Contact between one lease holder and its witnesses. */
 export class HolderContact {
@@ -28,7 +28,7 @@
    *
    * @param askedAt Time at which the request was sent, in elapsed time.
    */
-  noteAnswer({ id, instance }: WitnessId, askedAt: number): void {
+  recordAnswer({ id, instance }: WitnessId, askedAt: number): void {
     if (!this.witnesses.some((witness) => witness.id === id && witness.instance === instance)) return;
     this.lastAnsweredRequestAt.set(id, Math.max(askedAt, this.lastAnsweredRequestAt.get(id) ?? -Infinity));
   }
@@ -45,7 +45,7 @@
    * Milliseconds since a majority last answered or since the witnesses were set, whichever is later; 0
    * without witnesses.
    */
-  lostMs(): number {
+  withoutMajorityMs(): number {
     const lastAt = Math.max(this.witnessesSetAt, this.majorityRequestAt());
     return this.witnesses.length === 0 ? 0 : this.clock.elapsed() - lastAt;
   }
@@ -67,6 +67,6 @@
   private majorityRequestAt(): number {
     const times = this.witnesses.map(({ id }) => this.lastAnsweredRequestAt.get(id) ?? -Infinity);
     times.sort((left, right) => right - left);
-    return times[majorityOf(this.witnesses) - 1] ?? -Infinity;
+    return times[majoritySize(this.witnesses) - 1] ?? -Infinity;
   }
 }
--- a/packages/coordination/src/lease-record.ts
+++ b/packages/coordination/src/lease-record.ts
@@ -40,13 +40,13 @@
 }
 
 /** Era of the store that this process last observed. */
-export interface KnownEra {
+export interface ObservedEra {
   readonly era: number;
   /**
    * Milliseconds since this process first observed the era; Infinity where no earlier era can have had
    * leases.
    */
-  readonly knownForMs: number;
+  readonly observedForMs: number;
 }
 
 /**
@@ -54,7 +54,7 @@
  */
 export interface LeaseRecordStore {
   /** Returns the last observed era of the store. */
-  currentEra(): KnownEra;
+  currentEra(): ObservedEra;
   /** Reads the record; undefined when there is none. */
   read(name: string): Promise<StoredLease | undefined>;
   /** Writes the first record; undefined when one already exists. */
@@ -79,11 +79,11 @@
 }
 
 /** Returns the lowest fence of an era. */
-export function firstFenceOf(era: number): number {
+export function firstFenceOfEra(era: number): number {
   return era * MAX_FENCES_PER_ERA + 1;
 }
 
 /** Returns the fence for the holder that replaces a record. */
 export function nextFence({ record, era }: StoredLease): number {
-  return Math.max(record.fence + 1, firstFenceOf(era));
+  return Math.max(record.fence + 1, firstFenceOfEra(era));
 }
--- a/packages/coordination/src/lease-witness.ts
+++ b/packages/coordination/src/lease-witness.ts
@@ -43,7 +43,7 @@
 }
 
 /** Returns the smallest number of witnesses that is a majority. */
-export function majorityOf(witnesses: readonly WitnessId[]): number {
+export function majoritySize(witnesses: readonly WitnessId[]): number {
   return Math.floor(witnesses.length / 2) + 1;
 }
 
@@ -67,7 +67,7 @@
   }
 
   /** Handles a holder's request to continue; returns whether the holder may act. */
-  contact(request: ContactRequest): boolean {
+  confirmContact(request: ContactRequest): boolean {
     const { lease } = request;
     const refused = this.refusedPositions.get(lease);
     if (refused !== undefined && compareStorePositions(refused, this.positionOf(request)) >= 0) return false;
--- a/packages/coordination/src/relay-topology.ts
+++ b/packages/coordination/src/relay-topology.ts
@@ -19,7 +19,7 @@
  * Number of relays, over all zones, that follow the store; the others receive changes from them. Each adds
  * load to the store. With three, one still reports changes while another is unresponsive and a third is lost.
  */
-export const STORE_FOLLOWERS = 3;
+export const STORE_FOLLOWER_COUNT = 3;
 /** Relays of each zone; with two, the loss of one causes no interruption. */
 export const RELAYS_PER_ZONE = 2;
 
@@ -28,7 +28,7 @@
   /** Whether this daemon is a relay. */
   readonly isRelay: boolean;
   /** Other relays of this daemon's zone, in the order in which it tries to attach to them. */
-  readonly ownRelays: readonly T[];
+  readonly zoneRelays: readonly T[];
   /** All relays except this daemon. */
   readonly relays: readonly T[];
   /** Relays that precede this daemon in the order in which they follow the store. */
@@ -41,7 +41,7 @@
   if (others.length < MAX_FULL_MESH_SIZE) {
     return {
       isRelay: true,
-      ownRelays: [],
+      zoneRelays: [],
       relays: others,
       precedingFollowers: precedingFollowers(self, others),
     };
@@ -59,7 +59,7 @@
   // Each daemon has its own order, which spreads the daemons over the relays of a zone.
   return {
     isRelay,
-    ownRelays: rankByRendezvous(`attach ${self.id}`, sameZoneRelays),
+    zoneRelays: rankByRendezvous(`attach ${self.id}`, sameZoneRelays),
     relays: otherRelays,
     precedingFollowers: isRelay ? precedingFollowers(self, otherRelays) : [],
   };
--- a/packages/coordination/src/store-lease.ts
+++ b/packages/coordination/src/store-lease.ts
@@ -17,7 +17,7 @@
 import type { Clock } from '@woodbarrow/runtime';
 import { HolderContact } from './holder-contact.js';
 import {
-  firstFenceOf,
+  firstFenceOfEra,
   isFromEarlierEra,
   isSamePosition,
   nextFence,
@@ -163,7 +163,7 @@
   }
 
   /** Whether this daemon holds the lease and its lifetime has not ended. */
-  get mayStillAct(): boolean {
+  get isWithinLifetime(): boolean {
     return this.isHolder && this.options.clock.elapsed() < this.mayActUntil();
   }
 
@@ -221,13 +221,13 @@
     refused: RefusedHolder | undefined,
   ): Promise<AcquireResult> {
     const { store, name } = this.options;
-    const { era, knownForMs } = store.currentEra();
+    const { era, observedForMs } = store.currentEra();
     const position = { era, revision: 0 };
-    const remainingMs = this.lifetimeMs * (1 + CLOCK_DRIFT_SHARE) - knownForMs;
+    const remainingMs = this.lifetimeMs * (1 + CLOCK_DRIFT_SHARE) - observedForMs;
     const pauseMs = remainingMs > 0 ? this.pauseAfterUnknownHolderMs(position, refused) : 0;
     if (pauseMs === undefined) return this.waitForUnknownHolder(position, remainingMs);
     this.mayActFrom = Math.max(this.mayActFrom, this.options.clock.monotonic() + pauseMs);
-    const newRecord = this.createRecord(firstFenceOf(era), pauseMs, era);
+    const newRecord = this.createRecord(firstFenceOfEra(era), pauseMs, era);
     return this.becomeHolder(newRecord, await store.create(name, newRecord), readAt);
   }
 
@@ -264,7 +264,7 @@
   }
 
   private waitForUnknownHolder(position: StorePosition, remainingMs: number): AcquireResult {
-    const settlesInMs = ERA_SETTLING_MS - this.options.store.currentEra().knownForMs;
+    const settlesInMs = ERA_SETTLING_MS - this.options.store.currentEra().observedForMs;
     if (settlesInMs > 0) return this.waitFor(Math.min(remainingMs, settlesInMs));
     return { kind: 'waiting', retryAfterMs: remainingMs, unknownHolderAt: position };
   }
--- a/packages/coordination/test/lease-simulation.ts
+++ b/packages/coordination/test/lease-simulation.ts
@@ -5,7 +5,7 @@
 import { Random, SimulatedProcess, SimulatedWorld } from '@woodbarrow/runtime';
 import {
   LeaseWitness,
-  majorityOf,
+  majoritySize,
   StoreLease,
   type LeaseConfirmation,
   type LeaseRecord,
@@ -78,7 +78,7 @@
       return kept === undefined ? undefined : { ...kept, era };
     };
     return {
-      currentEra: () => ({ era: observed.era, knownForMs: process.monotonic() - observed.since }),
+      currentEra: () => ({ era: observed.era, observedForMs: process.monotonic() - observed.since }),
       read: () => call(() => this.stored),
       create: (_name, record) => call(() => (this.stored === undefined ? this.write(record) : undefined)),
       replace: (_name, record, revision) =>
@@ -254,9 +254,9 @@
       this.ask(
         machine,
         witness,
-        (asked) => asked.contact(message),
+        (asked) => asked.confirmContact(message),
         (accepted) => {
-          if (accepted === true) lease.contact.noteAnswer(witness, askedAt);
+          if (accepted === true) lease.contact.recordAnswer(witness, askedAt);
         },
       );
     }
@@ -283,7 +283,7 @@
             if (answer?.agreed === true) agreed.push(answer);
             open -= 1;
             if (open > 0) return;
-            const isRefused = agreed.length >= majorityOf(record.witnesses);
+            const isRefused = agreed.length >= majoritySize(record.witnesses);
             const lastContactAgoMs = Math.min(...agreed.map((each) => each.lastContactAgoMs));
             resolve(isRefused ? { era, revision, by: 'witnesses', lastContactAgoMs } : undefined);
           },
@@ -322,7 +322,7 @@
     position: StorePosition,
   ): Promise<RefusalAnswer | undefined> {
     const refuse = (witness: LeaseWitness): RefusalAnswer =>
-      this.runsByMachine.get(asked.id)?.lease.mayStillAct === true
+      this.runsByMachine.get(asked.id)?.lease.isWithinLifetime === true
         ? { agreed: false, lastContactAgoMs: 0 }
         : witness.refuse({ lease: LEASE_NAME, ...position });
     return new Promise((resolve) => {
--- a/packages/exchange/src/behind.ts
+++ b/packages/exchange/src/behind.ts
@@ -4,7 +4,7 @@
 import { isNewerPosition, type OwnPosition } from './record-position.js';
 
 /** Compares this daemon's position with the positions of others, observed in any order. */
-export class BehindTracker {
+export class StalenessTracker {
   private newest: OwnPosition | undefined;
   private staleSince = 0;
 
@@ -14,26 +14,26 @@
   ) {}
 
   /** Observes another daemon's position. One that is not newer is ignored. */
-  note(position: RecordPosition): void {
+  observe(position: RecordPosition): void {
     const ownPosition = this.ownPosition();
     if (!isNewerPosition(position, ownPosition)) return;
-    if (!this.isBehind) this.staleSince = this.clock.monotonic();
+    if (!this.isStale) this.staleSince = this.clock.monotonic();
     const observed = { ...position, era: position.era ?? ownPosition.era };
     if (this.newest === undefined || isNewerPosition(observed, this.newest)) this.newest = observed;
   }
 
   /** Whether another daemon has a newer record. */
-  get isBehind(): boolean {
+  get isStale(): boolean {
     return this.newest !== undefined && isNewerPosition(this.newest, this.ownPosition());
   }
 
   /** Milliseconds for which this daemon has been stale; 0 when it is not. */
-  get behindMs(): number {
-    return this.isBehind ? this.clock.monotonic() - this.staleSince : 0;
+  get staleForMs(): number {
+    return this.isStale ? this.clock.monotonic() - this.staleSince : 0;
   }
 
   /** Restarts the measurement of the stale time. */
-  restart(): void {
+  restartTimer(): void {
     this.staleSince = this.clock.monotonic();
   }
 }
--- a/packages/exchange/src/peer-exchange.ts
+++ b/packages/exchange/src/peer-exchange.ts
@@ -5,7 +5,7 @@
  * an urgent change. A daemon that cannot attach to any relay follows the store itself until it can.
  */
 import { summarizedReport, type LoadTracker, type ReportScope } from '@woodbarrow/backends';
-import { relayTopology, STORE_FOLLOWERS, type RelayTopology } from '@woodbarrow/coordination';
+import { relayTopology, STORE_FOLLOWER_COUNT, type RelayTopology } from '@woodbarrow/coordination';
 import { logTaskFailures, type CallFailures, type EventLog } from '@woodbarrow/observability';
 import type { PeerNetwork } from '@woodbarrow/peering';
 import {
@@ -24,7 +24,7 @@
   type ZoneClaim,
 } from '@woodbarrow/protocol';
 import { BackgroundService, type Clock } from '@woodbarrow/runtime';
-import { BehindTracker } from './behind.js';
+import { StalenessTracker } from './behind.js';
 import { ChangeTransfer } from './change-transfer.js';
 import type { CoordinatorDirectory } from './coordinator-directory.js';
 import { CrashMarkTransfer, type SharedCrashMarks } from './crash-mark-transfer.js';
@@ -52,7 +52,7 @@
   /** Sets whether this daemon follows the store itself. */
   followStore(wanted: boolean): void;
   /** Observes the positions that another daemon has reached. */
-  noteElsewhere(positions: readonly SourcePosition[]): void;
+  observePositions(positions: readonly SourcePosition[]): void;
 }
 
 export interface PeerExchangeOptions {
@@ -135,7 +135,7 @@
   private topology: RelayTopology<Member>;
   /** Relay that this daemon is attached to. */
   private attachedRelay: Member | undefined;
-  private readonly staleness: BehindTracker;
+  private readonly staleness: StalenessTracker;
   private readonly followerTracker: FollowerWatch;
   private hasLoggedUnattached = false;
 
@@ -146,7 +146,7 @@
     this.crashMarkTransfer = new CrashMarkTransfer(options.crashMarks, options.clock);
     const { clock, records, urgentSources } = options;
     this.recordTransfer = new RecordTransfer({ sets: records.sets, urgentSources, clock });
-    this.staleness = new BehindTracker(clock, () => this.recordTransfer.newestUrgentPosition());
+    this.staleness = new StalenessTracker(clock, () => this.recordTransfer.newestUrgentPosition());
     this.topology = relayTopology(options.self, []);
     const { self, peers, onChanges, onBackendNews, failures } = options;
     const relays = (): readonly Member[] => this.topology.relays;
@@ -179,14 +179,14 @@
   }
 
   /** Newest position of this daemon among the urgent kinds of records. */
-  get newestUrgent(): StorePosition {
+  get newestUrgentPosition(): StorePosition {
     return this.recordTransfer.newestUrgentPosition();
   }
 
   /**
    * Sends this daemon's state now: to all relays if it is a relay, otherwise to the one it is attached to.
    */
-  tellNow(): void {
+  reportNow(): void {
     const { self, coordinators, ownClaims } = this.options;
     coordinators.accept(self.id, 'own', this.toClaims(ownClaims()));
     const attachedTo = this.attachedRelay === undefined ? [] : [this.attachedRelay];
@@ -224,32 +224,32 @@
   }
 
   /** Forwards an urgent record: releases the held calls and reports to the other relays. */
-  passOnUrgent(): void {
+  forwardUrgentRecords(): void {
     this.heldCalls.releaseAll();
-    if (this.topology.isRelay && this.options.records.isFollowing) this.tellNow();
+    if (this.topology.isRelay && this.options.records.isFollowing) this.reportNow();
   }
 
   /**
    * Reports that the store has stopped answering, so that another relay follows it before the next regular
    * report.
    */
-  passOnStoreLost(): void {
-    if (this.topology.isRelay) this.tellNow();
+  reportStoreLost(): void {
+    if (this.topology.isRelay) this.reportNow();
   }
 
   /** Forwards new crash marks to other daemons. */
-  passOnCrashMarks(): void {
+  forwardCrashMarks(): void {
     this.heldCalls.releaseAll();
-    this.tellNow();
+    this.reportNow();
   }
 
   /**
    * Observes another daemon's position in the urgent records; avoids the attached relay if it stays stale.
    */
-  noteUrgentElsewhere(position: RecordPosition): void {
-    this.staleness.note(position);
-    if (this.attachedRelay === undefined || this.staleness.behindMs < STALE_RELAY_TIMEOUT_MS) return;
-    this.staleness.restart();
+  observeUrgentPosition(position: RecordPosition): void {
+    this.staleness.observe(position);
+    if (this.attachedRelay === undefined || this.staleness.staleForMs < STALE_RELAY_TIMEOUT_MS) return;
+    this.staleness.restartTimer();
     this.avoid(this.attachedRelay, 'behind');
   }
 
@@ -283,7 +283,7 @@
 
   /** Whether fewer relays than required follow the store among those that precede this one. */
   private shouldFollowStore(): boolean {
-    return this.followerTracker.countFollowing(this.topology.precedingFollowers) < STORE_FOLLOWERS;
+    return this.followerTracker.countFollowing(this.topology.precedingFollowers) < STORE_FOLLOWER_COUNT;
   }
 
   /** Reports arrive by another path from now on; those of the previous path would be counted twice. */
@@ -317,7 +317,7 @@
   private async attach(): Promise<void> {
     const { records, clock, log } = this.options;
     const now = clock.monotonic();
-    for (const relay of this.topology.ownRelays) {
+    for (const relay of this.topology.zoneRelays) {
       if ((this.avoidedUntil.get(relay.id) ?? 0) > now) continue;
       if (await this.attachTo(relay)) return;
     }
@@ -325,7 +325,7 @@
     this.unattachedSince ??= now;
     if (clock.monotonic() - this.unattachedSince < STORE_FALLBACK_DELAY_MS) return;
     if (!this.hasLoggedUnattached)
-      log.warned('exchange_unattached', { relays: this.topology.ownRelays.length });
+      log.warned('exchange_unattached', { relays: this.topology.zoneRelays.length });
     this.hasLoggedUnattached = true;
     records.followStore(true);
   }
@@ -372,7 +372,7 @@
     const { records } = this.options;
     if (message.isRelay) this.receiveRelayReport(message.from, message);
     else this.applyReport(message.from, 'attached', message.state);
-    records.noteElsewhere(message.positions);
+    records.observePositions(message.positions);
     this.crashMarkTransfer.receive(message.from, message.crashMarks);
     this.fetchUrgent(message);
     return {
@@ -414,7 +414,7 @@
   private async onAttach(message: AttachMessage): Promise<AttachAnswer> {
     if (!this.topology.isRelay) return NOT_A_RELAY_ANSWER;
     this.applyReport(message.from, 'attached', message.state);
-    this.options.records.noteElsewhere(message.positions);
+    this.options.records.observePositions(message.positions);
     this.crashMarkTransfer.receive(message.from, message.crashMarks);
     if (!this.hasUrgentUpdateFor(message)) await this.heldCalls.hold(REPORT_INTERVAL_MS);
     const { loads, coordinators } = this.options;
--- a/packages/exchange/src/record-set.ts
+++ b/packages/exchange/src/record-set.ts
@@ -25,7 +25,7 @@
   /** Called with all records of a listing. */
   readonly onList: (records: readonly RecordEntry[], origin: ListingOrigin) => void;
   readonly onChange: (record: RecordEntry) => void;
-  readonly onGone: (name: string) => void;
+  readonly onRemoved: (name: string) => void;
 }
 
 export interface RecordSetOptions {
@@ -98,7 +98,7 @@
     for (const record of records) this.store(record);
     this.listed = true;
     this.handlers.onList(records, isRestored ? 'restored_store' : 'store');
-    this.noteComplete(at.revision);
+    this.markComplete(at.revision);
     this.advanceTo(
       records.reduce(
         (newest, record) => Math.max(newest, Math.min(record.revision, at.revision)),
@@ -129,11 +129,11 @@
     this.records.delete(name);
     this.versions.delete(name);
     this.namesDigest ^= digestOf(name);
-    this.handlers.onGone(name);
+    this.handlers.onRemoved(name);
   }
 
   /** Marks all changes of the era up to a revision as received. */
-  noteComplete(revision: number): void {
+  markComplete(revision: number): void {
     this.completeRevision = Math.max(this.completeRevision, revision);
   }
 
@@ -167,7 +167,7 @@
       // A record from before that revision that is absent here has been removed since.
       if (record.revision > previouslyCompleteTo || this.records.has(record.name)) this.put(record);
     }
-    this.noteComplete(revision);
+    this.markComplete(revision);
     if (names === undefined) return;
     const remaining = new Set(names);
     for (const record of [...this.records.values()]) {
@@ -230,7 +230,7 @@
   private advanceTo(revision: number): void {
     if (revision <= this.newestRevision) return;
     this.newestRevision = revision;
-    this.noteComplete(revision);
+    this.markComplete(revision);
     this.options.onNewer?.();
   }
 }
--- a/packages/exchange/test/record-set.test.ts
+++ b/packages/exchange/test/record-set.test.ts
@@ -22,7 +22,7 @@
       onChange: (record: RecordEntry) => {
         this.receive(record.name, record.value);
       },
-      onGone: (name: string) => this.received.delete(name),
+      onRemoved: (name: string) => this.received.delete(name),
     };
     this.set = new RecordSet('things', handlers, { versionOf });
   }
@@ -111,7 +111,7 @@
     const changes = this.store.changesAfter(this.from);
     if (changes === undefined) return;
     for (const change of changes) set.put(change);
-    set.noteComplete(this.store.at.revision);
+    set.markComplete(this.store.at.revision);
     this.from = this.store.at;
   }
 }
@@ -166,7 +166,7 @@
             if (change.gone) set.remove(change.name, change.revision);
             else set.put({ name: change.name, revision: change.revision, value: change.value });
           }
-          set.noteComplete(revision);
+          set.markComplete(revision);
           watchedTo[index] = revision;
         };
         for (const step of steps) {
@@ -327,7 +327,7 @@
     expect([...follower.received.keys()]).to.deep.equal(['b']);
     listing.set.put(created);
     listing.set.put({ name: 'c', revision: 9, value: 9 });
-    listing.set.noteComplete(9);
+    listing.set.markComplete(9);
     expect(listing.set.position.revision).to.equal(9);
     fetchUpdate(follower, listing);
     expect([...follower.received.keys()].sort()).to.deep.equal(['b', 'c']);
--- a/packages/residency/src/lease-contacts.ts
+++ b/packages/residency/src/lease-contacts.ts
@@ -5,7 +5,7 @@
  */
 import {
   LeaseWitness,
-  majorityOf,
+  majoritySize,
   rankByRendezvous,
   CONTACT_LIFETIME_MS,
   type RefusedHolder,
@@ -74,7 +74,10 @@
   /** Registers the message handlers. */
   start(): void {
     const { peers, instance, onResume } = this.options;
-    peers.handle(leaseContactMethod, (message) => ({ accepted: this.witness.contact(message), instance }));
+    peers.handle(leaseContactMethod, (message) => ({
+      accepted: this.witness.confirmContact(message),
+      instance,
+    }));
     peers.handle(leaseRefusalMethod, (message) => this.answerRefusalRequest(message));
     peers.handle(leaseResumeMethod, ({ zone }) => {
       onResume(zone);
@@ -114,7 +117,7 @@
    */
   canReachMajority({ witnesses }: StoreLease): boolean {
     const running = witnesses.filter((witness) => this.runningMember(witness) !== undefined);
-    return witnesses.length === 0 || running.length >= majorityOf(witnesses);
+    return witnesses.length === 0 || running.length >= majoritySize(witnesses);
   }
 
   /** Contacts the witnesses of a lease held here so that the holder may keep acting. */
@@ -135,7 +138,7 @@
             return undefined;
           });
         if (answer?.accepted === true && answer.instance === witness.instance)
-          lease.contact.noteAnswer(witness, askedAt);
+          lease.contact.recordAnswer(witness, askedAt);
       }),
     );
   }
@@ -150,7 +153,7 @@
     signal: AbortSignal,
   ): Promise<RefusedHolder | undefined> {
     const position = { era, revision };
-    const needed = majorityOf(record.witnesses);
+    const needed = majoritySize(record.witnesses);
     if (record.witnesses.length === 0) return undefined;
     for (let round = 0; round < MAX_REFUSAL_ROUNDS && !signal.aborted; round += 1) {
       const answers = await Promise.all(
--- a/packages/residency/src/residency-service.ts
+++ b/packages/residency/src/residency-service.ts
@@ -104,7 +104,7 @@
       members,
       knownMembers,
       mayStillAct: (name) =>
-        [...this.leases].some(([zone, lease]) => leaseName(zone) === name && lease.mayStillAct),
+        [...this.leases].some(([zone, lease]) => leaseName(zone) === name && lease.isWithinLifetime),
       peers,
       failures,
       clock,
@@ -297,10 +297,14 @@
     while (!signal.aborted && this.held.get(zone)?.lease === lease) {
       await this.contacts.contactWitnesses(leaseName(zone), lease);
       const now = this.options.clock.monotonic();
-      const isLost = lease.contact.lostMs() > CONTACT_LOST_AFTER_MS || !this.contacts.canReachMajority(lease);
+      const isLost =
+        lease.contact.withoutMajorityMs() > CONTACT_LOST_AFTER_MS || !this.contacts.canReachMajority(lease);
       if (isLost && now - namedAt > CONTACT_LOST_AFTER_MS) {
         namedAt = now;
-        this.options.log.warned('lease_out_of_contact', { zone, lostMs: Math.round(lease.contact.lostMs()) });
+        this.options.log.warned('lease_out_of_contact', {
+          zone,
+          lostMs: Math.round(lease.contact.withoutMajorityMs()),
+        });
         // The renewal loop detects whether the lease is lost.
         await lease.renew().catch((error: unknown) => {
           this.options.log.warned('lease_unconfirmed', {
--- a/packages/residency/test/residency-service.test.ts
+++ b/packages/residency/test/residency-service.test.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai';
 import { BackendDirectory, LoadTracker, NO_NEARBY_COPIES } from '@woodbarrow/backends';
-import type { KnownEra, LeaseRecord, LeaseRecordStore, StoredLease } from '@woodbarrow/coordination';
+import type { ObservedEra, LeaseRecord, LeaseRecordStore, StoredLease } from '@woodbarrow/coordination';
 import { CallFailures, silentLog } from '@woodbarrow/observability';
 import { SimulatedCluster } from '@woodbarrow/peering';
 import { Random } from '@woodbarrow/runtime';
@@ -17,8 +17,8 @@
 
   constructor(private readonly now: () => number) {}
 
-  currentEra(): KnownEra {
-    return { era: 0, knownForMs: Infinity };
+  currentEra(): ObservedEra {
+    return { era: 0, observedForMs: Infinity };
   }
 
   /** Whether calls are answered. */
@@ -60,7 +60,7 @@
   sets: [],
   isFollowing: true,
   followStore: () => undefined,
-  noteElsewhere: () => undefined,
+  observePositions: () => undefined,
 };
 
 /** Daemons of three zones with one worker per zone. */
@@ -133,7 +133,7 @@
         exchange.announce(change);
       },
       onClaimsChanged: () => {
-        exchange.tellNow();
+        exchange.reportNow();
       },
       leases: this.store,
       orders: noOrders,
--- a/packages/residency/test/zone-world.ts
+++ b/packages/residency/test/zone-world.ts
@@ -36,7 +36,7 @@
 export function inMemoryLeaseStore(): LeaseRecordStore {
   let stored: StoredLease | undefined;
   return {
-    currentEra: () => ({ era: 0, knownForMs: Infinity }),
+    currentEra: () => ({ era: 0, observedForMs: Infinity }),
     read: () => Promise.resolve(stored),
     create: (_name, record) => Promise.resolve((stored = { record, revision: 1, era: 0 })),
     replace: (_name, record, revision) =>
--- a/packages/serving/src/record-follower.ts
+++ b/packages/serving/src/record-follower.ts
@@ -50,7 +50,7 @@
     for (const watch of this.watches) watch.setWanted(wanted);
   }
 
-  noteElsewhere(positions: readonly SourcePosition[]): void {
+  observePositions(positions: readonly SourcePosition[]): void {
     for (const position of positions) {
       const index = this.sets.findIndex((set) => set.source === position.source);
       this.watches[index]?.noteElsewhere(position);
--- a/packages/serving/src/record-watch.ts
+++ b/packages/serving/src/record-watch.ts
@@ -6,7 +6,7 @@
 import { messageOf, WoodbarrowError } from '@woodbarrow/errors';
 import type { EventLog } from '@woodbarrow/observability';
 import { backoffDelay, sleep, Wakeup, type Clock, type Random } from '@woodbarrow/runtime';
-import { BehindTracker, type RecordSet } from '@woodbarrow/exchange';
+import { StalenessTracker, type RecordSet } from '@woodbarrow/exchange';
 import type { RecordPosition, StorePosition } from '@woodbarrow/protocol';
 import type { RecordChange, RecordSource } from './ports.js';
 
@@ -44,15 +44,15 @@
   private watchAbort: AbortController | undefined;
   private readonly wakeup = new Wakeup();
 
-  private readonly staleness: BehindTracker;
+  private readonly staleness: StalenessTracker;
 
   constructor(private readonly options: RecordWatchOptions) {
-    this.staleness = new BehindTracker(options.clock, () => options.set.position);
+    this.staleness = new StalenessTracker(options.clock, () => options.set.position);
   }
 
   /** Whether the store responds and no peer has reported newer records. */
   get isFollowing(): boolean {
-    return this.isStoreResponding && !this.staleness.isBehind;
+    return this.isStoreResponding && !this.staleness.isStale;
   }
 
   /** Enables or disables following the store. A watch in progress completes first. */
@@ -63,9 +63,9 @@
 
   /** Notes the position that another daemon has reached, and lists the records again when this daemon has been stale for too long. */
   noteElsewhere(position: RecordPosition): void {
-    this.staleness.note(position);
-    if (this.staleness.behindMs < STALE_WATCH_TIMEOUT_MS) return;
-    this.staleness.restart();
+    this.staleness.observe(position);
+    if (this.staleness.staleForMs < STALE_WATCH_TIMEOUT_MS) return;
+    this.staleness.restartTimer();
     this.watchAbort?.abort();
   }
 
@@ -132,7 +132,7 @@
       // A new era reuses revisions, so changes up to this revision in that era may have been missed.
       if (result.at.era !== from.era || set.position.era !== from.era) return undefined;
       for (const change of result.changes) this.apply(change);
-      set.noteComplete(result.at.revision);
+      set.markComplete(result.at.revision);
       if (result.changes.length > 0) await sleep(clock, pauseMs, watchAbort.signal);
       return watchAbort.signal.aborted ? undefined : result.at;
     } catch (error) {
--- a/packages/serving/src/serving-daemon.ts
+++ b/packages/serving/src/serving-daemon.ts
@@ -132,10 +132,10 @@
     this.records = this.createFollower();
     this.exchange = this.createExchange(coordinators);
     this.quarantine.onMarksChanged = () => {
-      this.exchange.passOnCrashMarks();
+      this.exchange.forwardCrashMarks();
     };
     this.membership.events.on('attachment', ({ attachment: revision, attachmentEra: era }) => {
-      this.exchange.noteUrgentElsewhere(era === undefined ? { revision } : { era, revision });
+      this.exchange.observeUrgentPosition(era === undefined ? { revision } : { era, revision });
     });
     this.residency = this.createResidency(instance, coordinators);
     this.quotaService = this.createQuotaService();
@@ -254,8 +254,8 @@
       random: ports.random.fork(),
       seeds: () => this.registration.seeds,
       timings: MEMBERSHIP_TIMINGS,
-      attachment: () => this.exchange.newestUrgent.revision,
-      attachmentEra: () => this.exchange.newestUrgent.era,
+      attachment: () => this.exchange.newestUrgentPosition.revision,
+      attachmentEra: () => this.exchange.newestUrgentPosition.era,
       onTaskFailure: logTaskFailures(log),
     });
     membership.events.on('up', (member) => {
@@ -288,7 +288,7 @@
         this.exchange.announce(change);
       },
       onClaimsChanged: () => {
-        this.exchange.tellNow();
+        this.exchange.reportNow();
         this.quotaService.refreshZones();
       },
       handoverPauseMs: settings.handoverPauseMs,
@@ -366,13 +366,13 @@
       feed: ports.feed,
       sink: deploymentView,
       onUrgent: () => {
-        this.exchange.passOnUrgent();
+        this.exchange.forwardUrgentRecords();
       },
       onRestored: () => {
         this.registration.noteRestored();
       },
       onStoreLost: () => {
-        this.exchange.passOnStoreLost();
+        this.exchange.reportStoreLost();
       },
       clock: ports.clock,
       random: ports.random.fork(),
--- a/packages/serving/test/exchange.test.ts
+++ b/packages/serving/test/exchange.test.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai';
 import { LoadTracker } from '@woodbarrow/backends';
-import { relayTopology, STORE_FOLLOWERS } from '@woodbarrow/coordination';
+import { relayTopology, STORE_FOLLOWER_COUNT } from '@woodbarrow/coordination';
 import { CoordinatorDirectory, PeerExchange, type Member } from '@woodbarrow/exchange';
 import { CallFailures, silentLog } from '@woodbarrow/observability';
 import { SimulatedCluster, type SimulatedNode } from '@woodbarrow/peering';
@@ -63,11 +63,11 @@
       },
       sink: noSink,
       onUrgent: () => {
-        this.exchange.passOnUrgent();
+        this.exchange.forwardUrgentRecords();
       },
       onRestored: () => undefined,
       onStoreLost: () => {
-        this.exchange.passOnStoreLost();
+        this.exchange.reportStoreLost();
       },
       clock,
       random,
@@ -125,7 +125,7 @@
           for (const record of records) this.values.set(`${source}/${record.name}`, record.value);
         },
         onChange: (record) => this.values.set(`${source}/${record.name}`, record.value),
-        onGone: (name) => this.values.delete(`${source}/${name}`),
+        onRemoved: (name) => this.values.delete(`${source}/${name}`),
       }),
     };
   }
@@ -189,10 +189,10 @@
     const relays = members.filter((self) => relayTopology(self, members).isRelay);
     expect(relays).to.have.lengthOf(6);
     for (const self of members) {
-      const { ownRelays, relays: others } = relayTopology(self, members);
+      const { zoneRelays, relays: others } = relayTopology(self, members);
       const expected = relays.filter((relay) => relay.id !== self.id);
       expect(others.map((relay) => relay.id)).to.have.members(expected.map((relay) => relay.id));
-      expect(ownRelays.every((relay) => relay.zone === self.zone)).to.equal(true);
+      expect(zoneRelays.every((relay) => relay.zone === self.zone)).to.equal(true);
     }
   });
 });
@@ -233,7 +233,7 @@
     expect(world.daemonsFailing(({ values }) => !values.has(`${BACK_ENDS}/w1`))).to.deep.equal([]);
     const callers = world.store.takeCallers();
     expect(world.relays().map(({ self }) => self.id)).to.include.members(callers);
-    expect(callers).to.have.lengthOf(STORE_FOLLOWERS);
+    expect(callers).to.have.lengthOf(STORE_FOLLOWER_COUNT);
   });
 
   it('discards the records of all daemons when the store is restored, and applies later changes', async () => {
@@ -338,7 +338,7 @@
       coordinators.of('alpha')?.memberId === coordinator.self.id;
     expect(world.daemonsFailing(hasReceivedClaim)).to.deep.equal([]);
     coordinator.claims = [];
-    coordinator.exchange.tellNow();
+    coordinator.exchange.reportNow();
     await world.cluster.advance(1000);
     expect(world.daemonsFailing((daemon) => !hasReceivedClaim(daemon))).to.deep.equal([]);
   });
@@ -377,7 +377,7 @@
       endedAt,
       isCleared: false,
     });
-    reporter?.exchange.passOnCrashMarks();
+    reporter?.exchange.forwardCrashMarks();
     await world.cluster.advance(1000);
     expect(world.daemonsFailing(({ crashMarks }) => crashMarks.crashCountOf('c') === 1)).to.deep.equal([]);
     const sent = world.daemons.map(({ crashMarks }) => crashMarks.timesSent);
@@ -398,7 +398,7 @@
     for (const [index, { crashMarks, exchange, now }] of world.daemons.entries()) {
       const content = `c${String(index)}`;
       crashMarks.add({ content, processId: 'w2', begunAt: now - 50, endedAt: now, isCleared: false });
-      exchange.passOnCrashMarks();
+      exchange.forwardCrashMarks();
       for (let step = 0; step < 10; step += 1) {
         await world.cluster.advance(5);
         expect(world.daemonsFailing(isKnown), `after mark ${content}`).to.deep.equal([]);
@@ -517,7 +517,7 @@
     const { revision } = world.store.put(CONFIGURATION, 'main', 2);
     for (let step = 0; step < 16; step += 1) {
       await world.cluster.advance(100);
-      for (const { exchange } of world.daemons) exchange.noteUrgentElsewhere({ revision });
+      for (const { exchange } of world.daemons) exchange.observeUrgentPosition({ revision });
     }
     await world.cluster.advance(900);
     const others = world.daemons.filter((daemon) => daemon !== relay);
