--- a/packages/serving/src/record-follower.ts
+++ b/packages/serving/src/record-follower.ts
@@ -53,7 +53,7 @@
   observePositions(positions: readonly SourcePosition[]): void {
     for (const position of positions) {
       const index = this.sets.findIndex((set) => set.source === position.source);
-      this.watches[index]?.noteElsewhere(position);
+      this.watches[index]?.observePosition(position);
     }
   }
 
--- a/packages/serving/src/record-watch.ts
+++ b/packages/serving/src/record-watch.ts
@@ -62,7 +62,7 @@
   }
 
   /** Notes the position that another daemon has reached, and lists the records again when this daemon has been stale for too long. */
-  noteElsewhere(position: RecordPosition): void {
+  observePosition(position: RecordPosition): void {
     this.staleness.observe(position);
     if (this.staleness.staleForMs < STALE_WATCH_TIMEOUT_MS) return;
     this.staleness.restartTimer();
