--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -190,7 +190,7 @@
       admission: new Admission({ maximumRequests: settings.limits.maximumRequests }),
       claims: new ClaimsClient(LEDGER_GROUP, peers, clock, this.locator),
       clock,
-      onAnswer: (result, waitedMs) => {
+      onResponse: (result, waitedMs) => {
         this.metrics.recordAnswer(result, waitedMs);
       },
     });
--- a/packages/errors/src/kinds.ts
+++ b/packages/errors/src/kinds.ts
@@ -64,6 +64,6 @@
 export const ERROR_KINDS = Object.keys(ERROR_RESPONSES) as ErrorKind[];
 
 /** Returns the status and retry advice of an error kind. */
-export function answerFor(kind: ErrorKind): ErrorResponseSpec {
+export function errorResponseSpec(kind: ErrorKind): ErrorResponseSpec {
   return ERROR_RESPONSES[kind];
 }
--- a/packages/errors/src/woodbarrow-error.ts
+++ b/packages/errors/src/woodbarrow-error.ts
@@ -2,7 +2,7 @@
 import ModernError from 'modern-errors';
 import {
   ERROR_RESPONSES,
-  answerFor,
+  errorResponseSpec,
   type ErrorResponseSpec,
   type ErrorKind,
   type RanState,
@@ -29,7 +29,7 @@
 
   constructor(kind: ErrorKind, message: string, options: WoodbarrowErrorOptions = {}) {
     super(message);
-    const spec = answerFor(kind);
+    const spec = errorResponseSpec(kind);
     this.kind = kind;
     this.ran = options.ran ?? spec.ran;
     this.retryAfterSeconds = options.retryAfterSeconds ?? spec.retryAfterSeconds;
@@ -40,7 +40,7 @@
 
   /** Status and retry advice of this error's kind, without the overrides. */
   get responseSpec(): ErrorResponseSpec {
-    return answerFor(this.kind);
+    return errorResponseSpec(this.kind);
   }
 }
 
@@ -60,14 +60,14 @@
 }) as unknown as WoodbarrowErrorConstructor;
 
 /** Returns the message of a thrown value, or its string form when it is not an `Error`. */
-export function messageOf(thrown: unknown): string {
+export function errorMessage(thrown: unknown): string {
   return thrown instanceof Error ? thrown.message : String(thrown);
 }
 
 /** Converts a thrown value to a {@link WoodbarrowError}; any other value becomes kind `internal`. */
 export function toWoodbarrowError(thrown: unknown): WoodbarrowError {
   if (thrown instanceof WoodbarrowError) return thrown;
-  return new WoodbarrowError('internal', messageOf(thrown), { cause: thrown });
+  return new WoodbarrowError('internal', errorMessage(thrown), { cause: thrown });
 }
 
 /** Whether a thrown value is a {@link WoodbarrowError} of one of the given kinds. */
--- a/packages/forwarding/src/forwarder.ts
+++ b/packages/forwarding/src/forwarder.ts
@@ -1,5 +1,5 @@
 /** Entry point for client requests: finds the route, checks access, limits the body and forwards the request. */
-import { messageOf } from '@woodbarrow/errors';
+import { errorMessage } from '@woodbarrow/errors';
 import { BodyTooLargeError, type IncomingExchange, type Random } from '@woodbarrow/runtime';
 import { resolveAccess } from './caller-access.js';
 import { ClientAnswer } from './client-answer.js';
@@ -52,7 +52,7 @@
       exchange.abort();
       this.context.journal.decided('request_failed', arrival.facts.id, {
         answer: 'connection_closed',
-        cause: messageOf(error),
+        cause: errorMessage(error),
       });
     }
   }
--- a/packages/forwarding/src/request-completion.ts
+++ b/packages/forwarding/src/request-completion.ts
@@ -1,5 +1,5 @@
 /** Sends error answers and records how a request ended. */
-import { answerFor, type ErrorKind } from '@woodbarrow/errors';
+import { errorResponseSpec, type ErrorKind } from '@woodbarrow/errors';
 import { encodeText, type ResponseHead } from '@woodbarrow/runtime';
 import type { ClientAnswer } from './client-answer.js';
 import type { DecisionFacts, RequestJournal } from './request-journal.js';
@@ -109,7 +109,7 @@
     const { dialect, requestId } = this.options;
     const retryAfterSeconds = retryAfterMs > 0 ? retryAfterMs / 1000 : undefined;
     const headers = dialect.ownHeaders(requestId, retryAfterSeconds);
-    return this.respond({ status: answerFor(kind).status, headers }, encodeText(`${kind}\n`));
+    return this.respond({ status: errorResponseSpec(kind).status, headers }, encodeText(`${kind}\n`));
   }
 
   /** Sends a complete answer, or aborts one that has begun. Returns whether it was sent. */
--- a/packages/forwarding/src/send-attempt.ts
+++ b/packages/forwarding/src/send-attempt.ts
@@ -1,5 +1,5 @@
 /** Sends one request to one back end, up to the head of the answer. */
-import { messageOf } from '@woodbarrow/errors';
+import { errorMessage } from '@woodbarrow/errors';
 import type { BackEnd } from '@woodbarrow/backends';
 import { HttpNotSentError, type BackendAnswer, type BackendClient, type Clock } from '@woodbarrow/runtime';
 import type { BackendNotice } from './backend-notice.js';
@@ -69,8 +69,8 @@
     return outcomeOf(verdict, answer);
   } catch (error) {
     if (hasTimedOut) return { kind: 'silent' };
-    if (error instanceof HttpNotSentError) return { kind: 'unreachable', detail: messageOf(error) };
-    return { kind: 'broken', detail: messageOf(error) };
+    if (error instanceof HttpNotSentError) return { kind: 'unreachable', detail: errorMessage(error) };
+    return { kind: 'broken', detail: errorMessage(error) };
   } finally {
     cancelTimeout?.();
   }
--- a/packages/gateway/src/completions.ts
+++ b/packages/gateway/src/completions.ts
@@ -16,7 +16,7 @@
   /**
    * Called when the response of a request starts or the request fails, for metrics. `kind` is `served` or an error kind.
    */
-  readonly onAnswer?: (kind: string, waitedMs: number) => void;
+  readonly onResponse?: (kind: string, waitedMs: number) => void;
 }
 
 /** An idempotency key that this request has claimed in the claim ledger. */
@@ -62,12 +62,12 @@
     );
     try {
       const response = await this.run(request, requestId, path, tenant, completion, startedAt);
-      this.options.onAnswer?.('served', this.options.clock.monotonic() - startedAt);
+      this.options.onResponse?.('served', this.options.clock.monotonic() - startedAt);
       return releaseAfterResponse(response, release);
     } catch (thrown) {
       release();
       const error = toWoodbarrowError(thrown);
-      this.options.onAnswer?.(error.kind, this.options.clock.monotonic() - startedAt);
+      this.options.onResponse?.(error.kind, this.options.clock.monotonic() - startedAt);
       throw error;
     }
   }
--- a/packages/gateway/src/error-response.ts
+++ b/packages/gateway/src/error-response.ts
@@ -1,5 +1,5 @@
 /** Error responses in the format of the OpenAI API, extended by `ran`, `retryable` and `details`. */
-import { answerFor, toWoodbarrowError, type WoodbarrowError } from '@woodbarrow/errors';
+import { errorResponseSpec, toWoodbarrowError, type WoodbarrowError } from '@woodbarrow/errors';
 import { jsonResponse, type HttpResponse } from '@woodbarrow/runtime';
 
 export interface ErrorBody {
@@ -25,7 +25,7 @@
 
 /** Returns the response body for an error. The message of an internal error is not exposed. */
 export function errorBody(error: WoodbarrowError): ErrorBody {
-  const { status, retryable } = answerFor(error.kind);
+  const { status, retryable } = errorResponseSpec(error.kind);
   return {
     error: {
       message: error.kind === 'internal' ? 'internal error' : error.message,
--- a/packages/gateway/test/gateway.test.ts
+++ b/packages/gateway/test/gateway.test.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai';
 import { Catalog, ConfigurationStore, type CatalogTenant } from '@woodbarrow/configuration';
 import type { ClaimsClient } from '@woodbarrow/coordination';
-import { ERROR_KINDS, WoodbarrowError, answerFor } from '@woodbarrow/errors';
+import { ERROR_KINDS, WoodbarrowError, errorResponseSpec } from '@woodbarrow/errors';
 import type { SettleClaimRequest } from '@woodbarrow/protocol';
 import { Admission, forwardStream, type Router } from '@woodbarrow/routing';
 import {
@@ -182,12 +182,12 @@
       const { error } = JSON.parse(await readText(response.body)) as {
         error: { code: string; ran: string; retryable: boolean };
       };
-      expect(response.status).to.equal(answerFor(kind).status);
+      expect(response.status).to.equal(errorResponseSpec(kind).status);
       expect(error.code).to.equal(kind);
-      expect(error.ran).to.equal(answerFor(kind).ran);
+      expect(error.ran).to.equal(errorResponseSpec(kind).ran);
       if (error.ran !== 'no') expect(error.retryable).to.equal(false);
       expect(response.headers['retry-after'] !== undefined).to.equal(
-        answerFor(kind).retryAfterSeconds !== undefined,
+        errorResponseSpec(kind).retryAfterSeconds !== undefined,
       );
     }
   });
--- a/packages/observability/src/call-failures.ts
+++ b/packages/observability/src/call-failures.ts
@@ -2,7 +2,7 @@
  * Failed calls between daemons that the caller recovers from by its next attempt. All are counted; log lines are limited to one
  * per second and kind, with the number of failures since the previous line.
  */
-import { messageOf } from '@woodbarrow/errors';
+import { errorMessage } from '@woodbarrow/errors';
 import type { Clock } from '@woodbarrow/runtime';
 import type { EventLog } from './event-log.js';
 
@@ -45,7 +45,7 @@
     count.unreported += 1;
     const now = this.clock.monotonic();
     if (now - count.lastReportedAt < LOG_INTERVAL_MS) return;
-    this.log.warned('call_failed', { call, peer, cause: messageOf(error), failures: count.unreported });
+    this.log.warned('call_failed', { call, peer, cause: errorMessage(error), failures: count.unreported });
     count.lastReportedAt = now;
     count.unreported = 0;
   }
--- a/packages/quarantine/src/record-writer.ts
+++ b/packages/quarantine/src/record-writer.ts
@@ -2,7 +2,7 @@
  * Writes records of verdicts and evidence, each until the store has accepted it or it is no longer
  * needed.
  */
-import { messageOf } from '@woodbarrow/errors';
+import { errorMessage } from '@woodbarrow/errors';
 import type { EventLog } from '@woodbarrow/observability';
 import { backoffDelay, sleep, type Clock, type Random, type TaskGroup } from '@woodbarrow/runtime';
 import type { QuarantineEntry, QuarantineStore } from './quarantine-record.js';
@@ -46,7 +46,7 @@
       try {
         await store.remove(name);
       } catch (error) {
-        log.warned('quarantine_not_written', { content: name, failures: 1, cause: messageOf(error) });
+        log.warned('quarantine_not_written', { content: name, failures: 1, cause: errorMessage(error) });
       }
     });
   }
@@ -78,7 +78,7 @@
         log.warned('quarantine_not_written', {
           content: record.content,
           failures,
-          cause: messageOf(error),
+          cause: errorMessage(error),
         });
         await sleep(clock, backoffDelay(WRITE_BACKOFF, failures, random), signal);
       }
--- a/packages/quarantine/src/request-quarantine.ts
+++ b/packages/quarantine/src/request-quarantine.ts
@@ -5,7 +5,7 @@
  * verdicts and records (see `LoadQuarantine`).
  */
 import type { BackEnd } from '@woodbarrow/backends';
-import { messageOf } from '@woodbarrow/errors';
+import { errorMessage } from '@woodbarrow/errors';
 import type { EventLog } from '@woodbarrow/observability';
 import type { CrashMarkEntry } from '@woodbarrow/protocol';
 import { settleWithin, TaskGroup, type Clock, type Random } from '@woodbarrow/runtime';
@@ -147,7 +147,7 @@
       this.evaluateAll();
     });
     this.tasks = new TaskGroup(clock, (task, error) => {
-      log.warned('task_failed', { task, cause: messageOf(error) });
+      log.warned('task_failed', { task, cause: errorMessage(error) });
     });
     this.writer = new RecordWriter({ ...options, tasks: this.tasks });
     this.suspectRecords = new SuspectRecords(this.marks, this.search, this.writer);
--- a/packages/quarantine/src/suspect-trials.ts
+++ b/packages/quarantine/src/suspect-trials.ts
@@ -4,7 +4,7 @@
  * that only one daemon can create; it names the process, so that others avoid it. A daemon that cannot
  * reach the store runs no trials.
  */
-import { messageOf } from '@woodbarrow/errors';
+import { errorMessage } from '@woodbarrow/errors';
 import { trialName, type TrialRecord } from './quarantine-record.js';
 import type { RecordWriter } from './record-writer.js';
 
@@ -96,7 +96,7 @@
     } catch (error) {
       // The record may have been created nevertheless; it is then removed after its lifetime.
       this.ownTrials.delete(content);
-      log.warned('quarantine_not_written', { content, failures: 1, cause: messageOf(error) });
+      log.warned('quarantine_not_written', { content, failures: 1, cause: errorMessage(error) });
       return refused(RETRY_AFTER_STORE_FAILURE_MS);
     }
   }
--- a/packages/residency/src/residency-service.ts
+++ b/packages/residency/src/residency-service.ts
@@ -10,7 +10,7 @@
   type LeaseRecordStore,
   type StoredLease,
 } from '@woodbarrow/coordination';
-import { messageOf, WoodbarrowError } from '@woodbarrow/errors';
+import { errorMessage, WoodbarrowError } from '@woodbarrow/errors';
 import type { CoordinatorDirectory, Member } from '@woodbarrow/exchange';
 import { logTaskFailures, type CallFailures, type EventLog } from '@woodbarrow/observability';
 import type { PeerNetwork } from '@woodbarrow/peering';
@@ -187,7 +187,7 @@
       log.warned('lease_unconfirmed', {
         zone,
         confirmedAgoMs: Math.round(lease.confirmedAgoMs()),
-        cause: messageOf(error),
+        cause: errorMessage(error),
       });
     }
   }
@@ -310,7 +310,7 @@
           this.options.log.warned('lease_unconfirmed', {
             zone,
             confirmedAgoMs: Math.round(lease.confirmedAgoMs()),
-            cause: messageOf(error),
+            cause: errorMessage(error),
           });
         });
         await this.contacts.contactWitnesses(leaseName(zone), lease);
@@ -336,7 +336,7 @@
         this.options.log.warned('lease_unconfirmed', {
           zone,
           confirmedAgoMs: Math.floor(lease.confirmedAgoMs()),
-          cause: messageOf(error),
+          cause: errorMessage(error),
         });
       }
     }
--- a/packages/residency/src/worker-orders.ts
+++ b/packages/residency/src/worker-orders.ts
@@ -7,7 +7,7 @@
   type LoadTracker,
   type ModelTarget,
 } from '@woodbarrow/backends';
-import { messageOf, WoodbarrowError } from '@woodbarrow/errors';
+import { errorMessage, WoodbarrowError } from '@woodbarrow/errors';
 import type { EventLog } from '@woodbarrow/observability';
 import type { LoadQuarantine } from '@woodbarrow/quarantine';
 import { settleWithin, sleep, type Clock } from '@woodbarrow/runtime';
@@ -269,7 +269,7 @@
       });
       return true;
     } catch (error) {
-      log.warned('load_failed', { backEnd: backEndId, model, cause: messageOf(error) });
+      log.warned('load_failed', { backEnd: backEndId, model, cause: errorMessage(error) });
       this.sender.recordLoadResult({ model }, false);
       void this.resynchronize();
       return false;
--- a/packages/serving/src/member-registration.ts
+++ b/packages/serving/src/member-registration.ts
@@ -1,5 +1,5 @@
 /** Registers a daemon in the member registry, and polls the registry until other daemons are present. */
-import { messageOf } from '@woodbarrow/errors';
+import { errorMessage } from '@woodbarrow/errors';
 import type { EventLog } from '@woodbarrow/observability';
 import { backoffDelay, sleep, Wakeup, type Clock, type Random } from '@woodbarrow/runtime';
 import type { MemberRegistry, RegisteredMember } from './ports.js';
@@ -103,7 +103,7 @@
       await this.poll();
       return true;
     } catch (error) {
-      if (isFirst) this.options.log.warned('register_failed', { cause: messageOf(error) });
+      if (isFirst) this.options.log.warned('register_failed', { cause: errorMessage(error) });
       return false;
     }
   }
--- a/packages/serving/src/record-watch.ts
+++ b/packages/serving/src/record-watch.ts
@@ -3,7 +3,7 @@
  * failure, as a new watch may miss the changes in between; when a peer reports a newer record for some time, as a watch may
  * stop responding without an error; and when the store was restored from a copy.
  */
-import { messageOf, WoodbarrowError } from '@woodbarrow/errors';
+import { errorMessage, WoodbarrowError } from '@woodbarrow/errors';
 import type { EventLog } from '@woodbarrow/observability';
 import { backoffDelay, sleep, Wakeup, type Clock, type Random } from '@woodbarrow/runtime';
 import { StalenessTracker, type RecordSet } from '@woodbarrow/exchange';
@@ -99,7 +99,7 @@
 
   private reportStoreLost(error: unknown): void {
     const { log, set, onLost } = this.options;
-    log.warned('store_lost', { kind: set.source, cause: messageOf(error) });
+    log.warned('store_lost', { kind: set.source, cause: errorMessage(error) });
     onLost();
   }
 
