--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -191,7 +191,7 @@
       claims: new ClaimsClient(LEDGER_GROUP, peers, clock, this.locator),
       clock,
       onResponse: (result, waitedMs) => {
-        this.metrics.recordAnswer(result, waitedMs);
+        this.metrics.recordResponse(result, waitedMs);
       },
     });
     this.jobs = new JobService({
--- a/packages/exchange/src/change-transfer.ts
+++ b/packages/exchange/src/change-transfer.ts
@@ -102,7 +102,7 @@
         .call(relay.address, method, message, { timeoutMs: ANNOUNCE_TIMEOUT_MS })
         .catch((error: unknown) => {
           // The relay learns of the change some seconds later from the workers' own records and responses.
-          failures.note(method.name, relay.id, error);
+          failures.record(method.name, relay.id, error);
         });
     }
   }
--- a/packages/exchange/src/peer-exchange.ts
+++ b/packages/exchange/src/peer-exchange.ts
@@ -307,7 +307,7 @@
       this.recordTransfer.merge(answer.updates);
     } catch (error) {
       // The next report follows soon, and membership detects whether the relay has failed.
-      this.options.failures.note('report', relay.id, error);
+      this.options.failures.record('report', relay.id, error);
     } finally {
       this.relaysBeingCalled.delete(relay.id);
     }
@@ -337,7 +337,7 @@
     try {
       answer = await peers.call(relay.address, attachMethod, this.attachMessage(relay.id), options);
     } catch (error) {
-      this.options.failures.note('attach', relay.id, error);
+      this.options.failures.record('attach', relay.id, error);
       this.avoid(relay, 'no answer');
       return false;
     }
--- a/packages/forwarding/src/answer-forwarder.ts
+++ b/packages/forwarding/src/answer-forwarder.ts
@@ -1,6 +1,6 @@
 /** Forwards a back end's answer to the client and records its outcome for health, quarantine and run times. */
 import type { BackEnd } from '@woodbarrow/backends';
-import type { BackendAnswer } from '@woodbarrow/runtime';
+import type { BackendResponse } from '@woodbarrow/runtime';
 import { ABORTED, raceAbort } from './race-abort.js';
 import {
   AnswerRelay,
@@ -24,7 +24,7 @@
 
 /** An answer, its back end, and the time at which the request was sent. */
 export interface SentAnswer {
-  readonly answer: BackendAnswer;
+  readonly answer: BackendResponse;
   readonly backEnd: BackEnd;
   /** Monotonic time in milliseconds. */
   readonly sentAt: number;
@@ -212,11 +212,11 @@
   }
 }
 
-function isSuccess({ status }: BackendAnswer): boolean {
+function isSuccess({ status }: BackendResponse): boolean {
   return status >= 200 && status < 300;
 }
 
-function isEventStream(answer: BackendAnswer): boolean {
+function isEventStream(answer: BackendResponse): boolean {
   const type = answer.headers['content-type']?.split(';')[0]?.trim().toLowerCase();
   return isSuccess(answer) && type === EVENT_STREAM_TYPE;
 }
--- a/packages/forwarding/src/answer-relay.ts
+++ b/packages/forwarding/src/answer-relay.ts
@@ -1,5 +1,5 @@
 /** Relays answers of back ends to one client: bodies once they are complete, streams event by event. */
-import type { BackendAnswer, Clock } from '@woodbarrow/runtime';
+import type { BackendResponse, Clock } from '@woodbarrow/runtime';
 import { ABORTED, raceAbort } from './race-abort.js';
 import { BodyReader, type ProcessCheck } from './body-reader.js';
 import type { ByteStreamAnswer, EventStreamAnswer, PendingAnswer } from './client-answer.js';
@@ -82,7 +82,7 @@
    */
   async relayBody(
     client: PendingAnswer,
-    answer: BackendAnswer,
+    answer: BackendResponse,
     idleTimeoutMs: number | undefined,
     isProcessAlive: ProcessCheck,
   ): Promise<BodyRelayResult> {
@@ -114,7 +114,7 @@
    */
   async relayStream(
     client: PendingAnswer | EventStreamAnswer,
-    answer: BackendAnswer,
+    answer: BackendResponse,
     options: StreamRelayOptions,
   ): Promise<StreamRelayResult> {
     const reader = new BodyReader(answer, this.clock, options.isProcessAlive);
@@ -167,7 +167,7 @@
 
   private begin(
     client: PendingAnswer,
-    answer: BackendAnswer,
+    answer: BackendResponse,
     { position }: StreamRelayOptions,
   ): EventStreamAnswer {
     const headers = this.dialect.answerHeaders(answer.rawHeaders);
@@ -175,7 +175,7 @@
   }
 
   private refuseContinuation(
-    answer: BackendAnswer,
+    answer: BackendResponse,
     reason: Exclude<Continuation, 'follows'>,
   ): StreamRelayResult {
     answer.discard();
--- a/packages/forwarding/src/body-reader.ts
+++ b/packages/forwarding/src/body-reader.ts
@@ -1,5 +1,5 @@
 /** Reads the body of a back end's answer, limits the time between chunks, and detects incomplete bodies. */
-import { settleWithin, type BackendAnswer, type Clock } from '@woodbarrow/runtime';
+import { settleWithin, type BackendResponse, type Clock } from '@woodbarrow/runtime';
 
 /** Result of one read. */
 export type BodyStep =
@@ -16,7 +16,7 @@
   private readonly iterator: AsyncIterator<Uint8Array>;
 
   constructor(
-    private readonly answer: BackendAnswer,
+    private readonly answer: BackendResponse,
     private readonly clock: Clock,
     private readonly isProcessAlive: ProcessCheck,
   ) {
--- a/packages/forwarding/src/connection-share.ts
+++ b/packages/forwarding/src/connection-share.ts
@@ -1,6 +1,6 @@
 /** This daemon's share of the connections that a back end accepts from all daemons. */
 import type { LoadTracker, ServiceDefinition } from '@woodbarrow/backends';
-import { IDLE_CONNECTIONS_KEPT } from '@woodbarrow/runtime';
+import { MAX_IDLE_CONNECTIONS_PER_ADDRESS } from '@woodbarrow/runtime';
 
 /** Share of the connection limit reserved for starting daemons and for load orders and reports. */
 const RESERVED_CONNECTION_SHARE = 0.15;
@@ -26,6 +26,9 @@
   /** Maximum number of concurrent requests to one back end; idle connections are subtracted. */
   private maxConcurrentRequests(service: ServiceDefinition): number {
     const usable = service.connectionLimit * (1 - RESERVED_CONNECTION_SHARE);
-    return Math.max(1, Math.floor(usable / Math.max(1, this.daemonCount())) - IDLE_CONNECTIONS_KEPT);
+    return Math.max(
+      1,
+      Math.floor(usable / Math.max(1, this.daemonCount())) - MAX_IDLE_CONNECTIONS_PER_ADDRESS,
+    );
   }
 }
--- a/packages/forwarding/src/send-attempt.ts
+++ b/packages/forwarding/src/send-attempt.ts
@@ -1,7 +1,7 @@
 /** Sends one request to one back end, up to the head of the answer. */
 import { errorMessage } from '@woodbarrow/errors';
 import type { BackEnd } from '@woodbarrow/backends';
-import { HttpNotSentError, type BackendAnswer, type BackendClient, type Clock } from '@woodbarrow/runtime';
+import { HttpNotSentError, type BackendResponse, type BackendClient, type Clock } from '@woodbarrow/runtime';
 import type { BackendNotice } from './backend-notice.js';
 import type { AnswerVerdict, WireDialect } from './wire-dialect.js';
 
@@ -11,7 +11,7 @@
 /** Result of a send. */
 export type SendOutcome =
   /** The head of the answer arrived; its body is still to be read. */
-  | { readonly kind: 'answered'; readonly answer: BackendAnswer }
+  | { readonly kind: 'answered'; readonly answer: BackendResponse }
   /** The back end states that it did not run the request. */
   | { readonly kind: 'declined'; readonly verdict: 'not_run' | 'other_incarnation' | 'not_resident' }
   /** The connection failed; the back end did not receive the request. */
@@ -76,7 +76,7 @@
   }
 }
 
-function outcomeOf(verdict: AnswerVerdict, answer: BackendAnswer): SendOutcome {
+function outcomeOf(verdict: AnswerVerdict, answer: BackendResponse): SendOutcome {
   switch (verdict) {
     case 'genuine':
       return { kind: 'answered', answer };
@@ -90,7 +90,7 @@
 }
 
 /** Reads and discards the body, so that its connection can be reused. */
-async function drain(answer: BackendAnswer): Promise<void> {
+async function drain(answer: BackendResponse): Promise<void> {
   try {
     for await (const chunk of answer.body) void chunk;
   } catch {
--- a/packages/forwarding/test/arbitrary-workers.ts
+++ b/packages/forwarding/test/arbitrary-workers.ts
@@ -1,7 +1,7 @@
 /** Back ends with generated, mostly faulty behaviour, and a record of what each of them sent. */
 import { Readable } from 'node:stream';
 import fc from 'fast-check';
-import { HttpNotSentError, type BackendAnswer, type BackendCall } from '@woodbarrow/runtime';
+import { HttpNotSentError, type BackendResponse, type BackendCall } from '@woodbarrow/runtime';
 import type { ForwardingWorld } from './simulated-exchange.js';
 
 /** Event ids of a run: where a resumed run begins, or which fault its ids have. */
@@ -161,7 +161,7 @@
   ) {}
 
   /** Answers the next send. */
-  async answer(call: BackendCall, world: ForwardingWorld): Promise<BackendAnswer> {
+  async answer(call: BackendCall, world: ForwardingWorld): Promise<BackendResponse> {
     const plan = this.plans[this.sends] ?? { kind: 'declined' };
     this.sends += 1;
     if (plan.kind !== 'unreachable' && plan.kind !== 'declined') this.ranOn.push(call.address);
@@ -213,7 +213,7 @@
   return [0, ...ends][cut.count % (ends.length + 1)] ?? 0;
 }
 
-function failWithoutAnswer(kind: NoAnswer): Promise<BackendAnswer> {
+function failWithoutAnswer(kind: NoAnswer): Promise<BackendResponse> {
   switch (kind) {
     case 'unreachable':
       return Promise.reject(new HttpNotSentError('no such back end'));
@@ -307,7 +307,7 @@
   status: number,
   rawHeaders: readonly string[],
   body: AsyncIterable<Uint8Array>,
-): BackendAnswer {
+): BackendResponse {
   const headers: Record<string, string> = {};
   for (let index = 0; index + 1 < rawHeaders.length; index += 2) {
     headers[(rawHeaders[index] ?? '').toLowerCase()] = rawHeaders[index + 1] ?? '';
--- a/packages/forwarding/test/simulated-exchange.ts
+++ b/packages/forwarding/test/simulated-exchange.ts
@@ -15,7 +15,7 @@
   SimulatedProcess,
   SimulatedWorld,
   encodeText,
-  type BackendAnswer,
+  type BackendResponse,
   type BackendCall,
   type BackendClient,
   type IncomingExchange,
@@ -56,7 +56,7 @@
 const MAX_REQUEST_MS = 60_000;
 
 /** Answers the requests to one back end. */
-export type BackendScript = (call: BackendCall, world: ForwardingWorld) => Promise<BackendAnswer>;
+export type BackendScript = (call: BackendCall, world: ForwardingWorld) => Promise<BackendResponse>;
 
 /** Behaviour of a client while it receives an answer. */
 export interface ClientBehaviour {
@@ -282,7 +282,7 @@
   private context(): ForwardingContext {
     const client: BackendClient = {
       connectionsOpened: 0,
-      forget: () => undefined,
+      closeIdleConnections: () => undefined,
       send: (call) => {
         this.calls.push(call);
         const script = this.scripts.get(call.address);
@@ -371,7 +371,7 @@
   };
 }
 
-function abortable(answer: Promise<BackendAnswer>, call: BackendCall): Promise<BackendAnswer> {
+function abortable(answer: Promise<BackendResponse>, call: BackendCall): Promise<BackendResponse> {
   return new Promise((resolve, reject) => {
     answer.then(resolve, reject);
     call.signal.addEventListener('abort', () => {
@@ -381,7 +381,7 @@
 }
 
 /** Builds an answer whose body stalls after the text. */
-export function stalled(status: number, text: string): BackendAnswer {
+export function stalled(status: number, text: string): BackendResponse {
   async function* body(): AsyncGenerator<Uint8Array> {
     yield encodeText(text);
     await new Promise(() => undefined);
@@ -390,12 +390,12 @@
 }
 
 /** Builds an answer without a length, whose body ends with its connection. */
-export function unframed(status: number, ...pieces: string[]): BackendAnswer {
+export function unframed(status: number, ...pieces: string[]): BackendResponse {
   return { ...answer(status, ...pieces), endsWithConnection: true };
 }
 
 /** Builds an answer from chunks; an error breaks the body, and a first chunk that is an event makes it a stream. */
-export function answer(status: number, ...pieces: (string | Error)[]): BackendAnswer {
+export function answer(status: number, ...pieces: (string | Error)[]): BackendResponse {
   async function* body(): AsyncGenerator<Uint8Array> {
     for (const piece of pieces) {
       await Promise.resolve();
--- a/packages/observability/src/call-failures.ts
+++ b/packages/observability/src/call-failures.ts
@@ -35,7 +35,7 @@
    * @param call Kind of call; must come from a small fixed set.
    * @param peer Daemon that was called.
    */
-  note(call: string, peer: string, error: unknown): void {
+  record(call: string, peer: string, error: unknown): void {
     let count = this.counts.get(call);
     if (count === undefined) {
       count = { total: 0, unreported: 0, lastReportedAt: -Infinity };
--- a/packages/observability/src/metrics.ts
+++ b/packages/observability/src/metrics.ts
@@ -31,7 +31,7 @@
   }
 
   /** Records the wait of a completed request in milliseconds; `result` is `served` or an error kind. */
-  recordAnswer(result: string, waitedMs: number): void {
+  recordResponse(result: string, waitedMs: number): void {
     this.waitHistogram.observe({ result }, waitedMs / 1000);
   }
 
--- a/packages/observability/test/call-failures.test.ts
+++ b/packages/observability/test/call-failures.test.ts
@@ -12,11 +12,11 @@
       warned: (_: string, details: EventDetails = {}) => lines.push(details),
     };
     const failures = new CallFailures(clock, log);
-    for (let count = 0; count < 5; count += 1) failures.note('report', 'peer', new Error('no answer'));
-    failures.note('attach', 'peer', new Error('no answer'));
+    for (let count = 0; count < 5; count += 1) failures.record('report', 'peer', new Error('no answer'));
+    failures.record('attach', 'peer', new Error('no answer'));
     expect(lines.map(({ call }) => call)).to.deep.equal(['report', 'attach']);
     await world.run(1500);
-    failures.note('report', 'other', new Error('reset'));
+    failures.record('report', 'other', new Error('reset'));
     expect(lines[2]).to.deep.equal({ call: 'report', peer: 'other', cause: 'reset', failures: 5 });
     expect(failures.totals()).to.deep.equal(
       new Map([
--- a/packages/quota/src/call-allocator.ts
+++ b/packages/quota/src/call-allocator.ts
@@ -30,7 +30,7 @@
     return await peers.call(coordinator.address, method, message, { timeoutMs: ALLOCATION_TIMEOUT_MS });
   } catch (error) {
     // Units granted in a lost response expire unused.
-    failures.note(method.name, coordinator.memberId, error);
+    failures.record(method.name, coordinator.memberId, error);
     return undefined;
   }
 }
--- a/packages/residency/src/demand-router.ts
+++ b/packages/residency/src/demand-router.ts
@@ -297,7 +297,11 @@
       .call(coordinator.address, residencyDemandMethod, message, { timeoutMs })
       .catch((error: unknown) => {
         // No answer: the caller tries another zone, or the same one again.
-        this.options.failures.note(message.quote === true ? 'quote' : 'demand', coordinator.memberId, error);
+        this.options.failures.record(
+          message.quote === true ? 'quote' : 'demand',
+          coordinator.memberId,
+          error,
+        );
         return undefined;
       });
     for (;;) {
--- a/packages/residency/src/lease-contacts.ts
+++ b/packages/residency/src/lease-contacts.ts
@@ -134,7 +134,7 @@
           .call(member.address, leaseContactMethod, message, { timeoutMs: CALL_TIMEOUT_MS })
           .catch((error: unknown) => {
             // A missing answer shows in the time since the witness last answered.
-            failures.note('lease contact', witness.id, error);
+            failures.record('lease contact', witness.id, error);
             return undefined;
           });
         if (answer?.accepted === true && answer.instance === witness.instance)
@@ -207,7 +207,7 @@
       .call(holder.address, leaseResumeMethod, { zone }, { timeoutMs: CALL_TIMEOUT_MS })
       .catch((error: unknown) => {
         // The next check of the lease notifies it again.
-        failures.note('lease resume', holder.id, error);
+        failures.record('lease resume', holder.id, error);
       });
     return true;
   }
@@ -235,7 +235,7 @@
       .call(address, leaseRefusalMethod, message, { timeoutMs: CALL_TIMEOUT_MS })
       .catch((error: unknown) => {
         // A daemon that does not answer has not agreed.
-        failures.note('lease refusal', id, error);
+        failures.record('lease refusal', id, error);
         return undefined;
       });
     return answer?.instance === instance ? answer : undefined;
--- a/packages/runtime/src/node-backend-client.ts
+++ b/packages/runtime/src/node-backend-client.ts
@@ -3,11 +3,11 @@
 import type { Socket } from 'node:net';
 import { HttpNotSentError } from './http.js';
 import { MessageBody } from './message-body.js';
-import type { BackendAnswer, BackendCall, BackendClient } from './streaming-http.js';
+import type { BackendResponse, BackendCall, BackendClient } from './streaming-http.js';
 import { parseAddress } from './transport.js';
 
 /** Maximum number of idle connections retained for each address. */
-export const IDLE_CONNECTIONS_KEPT = 4;
+export const MAX_IDLE_CONNECTIONS_PER_ADDRESS = 4;
 
 const EMPTY_BUFFER = Buffer.alloc(0);
 /** Responses with these statuses never have a body (RFC 9110). */
@@ -16,7 +16,7 @@
 /** Pools idle connections. Destroys a connection that receives data while idle, as that data could be taken for the next response. */
 class KeepAliveAgent extends Agent {
   constructor(private readonly onOpened: () => void) {
-    super({ keepAlive: true, maxFreeSockets: IDLE_CONNECTIONS_KEPT, scheduling: 'lifo' });
+    super({ keepAlive: true, maxFreeSockets: MAX_IDLE_CONNECTIONS_PER_ADDRESS, scheduling: 'lifo' });
   }
 
   override createConnection(...parameters: Parameters<Agent['createConnection']>): Socket {
@@ -65,7 +65,7 @@
   }
 }
 
-class NodeBackendResponse implements BackendAnswer {
+class NodeBackendResponse implements BackendResponse {
   readonly status: number;
   readonly headers: Readonly<Record<string, string | undefined>>;
   readonly rawHeaders: readonly string[];
@@ -139,7 +139,7 @@
     return this.openedCount;
   }
 
-  send(call: BackendCall): Promise<BackendAnswer> {
+  send(call: BackendCall): Promise<BackendResponse> {
     return new Promise((resolve, reject) => {
       if (call.signal.aborted) {
         reject(new HttpNotSentError('request aborted before it was sent'));
@@ -189,7 +189,7 @@
     });
   }
 
-  forget(address: string): void {
+  closeIdleConnections(address: string): void {
     const agent = this.agents.get(address);
     if (agent === undefined) return;
     this.agents.delete(address);
--- a/packages/runtime/src/streaming-http.ts
+++ b/packages/runtime/src/streaming-http.ts
@@ -87,7 +87,7 @@
 }
 
 /** Response of a back end; the body is streamed and throws when it is truncated. */
-export interface BackendAnswer {
+export interface BackendResponse {
   readonly status: number;
   readonly headers: Readonly<Record<string, string | undefined>>;
   readonly rawHeaders: RawHeaders;
@@ -106,9 +106,9 @@
    * @throws HttpNotSentError when no byte of the request can have reached the back end.
    * @throws Error for any other failure; the request may have been received.
    */
-  send(call: BackendCall): Promise<BackendAnswer>;
+  send(call: BackendCall): Promise<BackendResponse>;
   /** Closes the idle connections to an address and discards its pool. */
-  forget(address: string): void;
+  closeIdleConnections(address: string): void;
   /** Number of connections opened since the start. */
   readonly connectionsOpened: number;
 }
--- a/packages/runtime/test/node-backend-client.test.ts
+++ b/packages/runtime/test/node-backend-client.test.ts
@@ -1,7 +1,7 @@
 import { createServer, type Server, type Socket } from 'node:net';
 import type { AddressInfo } from 'node:net';
 import { expect } from 'chai';
-import { HttpNotSentError, NodeBackendClient, type BackendAnswer } from '../src/index.js';
+import { HttpNotSentError, NodeBackendClient, type BackendResponse } from '../src/index.js';
 
 /** TCP server that responds with raw bytes, including malformed responses. */
 class RawBackend {
@@ -31,7 +31,7 @@
   }
 }
 
-function sendRequest(client: NodeBackendClient, address: string): Promise<BackendAnswer> {
+function sendRequest(client: NodeBackendClient, address: string): Promise<BackendResponse> {
   return client.send({
     address,
     method: 'GET',
@@ -43,7 +43,7 @@
   });
 }
 
-async function textOf(response: BackendAnswer): Promise<string> {
+async function textOf(response: BackendResponse): Promise<string> {
   const chunks: Uint8Array[] = [];
   for await (const chunk of response.body) chunks.push(chunk);
   return Buffer.concat(chunks).toString();
--- a/packages/serving/src/serving-daemon.ts
+++ b/packages/serving/src/serving-daemon.ts
@@ -147,7 +147,7 @@
       this.affinity.forget(backEnd.id);
       this.health.get(backEnd.service)?.forget(backEnd.id);
       this.noticeService.noteRemoved(backEnd.id);
-      ports.client.forget(backEnd.address);
+      ports.client.closeIdleConnections(backEnd.address);
     });
     this.directory.events.on('residency', ({ backEndId, target, resident }) => {
       if (!resident && target.adapter === undefined) this.affinity.forget(backEndId, target.model);
