--- a/packages/configuration/src/voter-sets.ts
+++ b/packages/configuration/src/voter-sets.ts
@@ -37,7 +37,7 @@
   readonly clock: Clock;
   readonly random: Random;
   /** Returns the members that are eligible as voters. */
-  readonly electorate: () => readonly MemberRecord[];
+  readonly eligibleMembers: () => readonly MemberRecord[];
   /** Number of voters. @default 3 */
   readonly size?: number;
   /** Milliseconds for which a voter must be invalid before it is replaced. @default 4000 */
@@ -96,13 +96,13 @@
 
   /** Whether this daemon is the first-ranked eligible member. When that member fails, the next one becomes responsible. */
   private isResponsible(): boolean {
-    const ranked = rankByRendezvous(this.options.group, this.options.electorate());
+    const ranked = rankByRendezvous(this.options.group, this.options.eligibleMembers());
     return ranked[0]?.id === this.options.membership.local.id;
   }
 
   /** Returns the voters of the next set, or undefined if the current set needs no change. */
   private selectReplacement(current: VoterSet | undefined): readonly Voter[] | undefined {
-    const electorate = this.options.electorate();
+    const electorate = this.options.eligibleMembers();
     const size = Math.min(this.options.size ?? DEFAULT_VOTER_COUNT, electorate.length);
     const byId = new Map(electorate.map((member) => [member.id, member]));
     const valid = (current?.voters ?? []).filter((voter) => byId.get(voter.id)?.instance === voter.instance);
--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -128,7 +128,7 @@
         store: this.store,
         membership,
         platform: this.platform,
-        electorate: () => membership.eligible().filter((member) => member.zone === zone),
+        eligibleMembers: () => membership.eligible().filter((member) => member.zone === zone),
         onReplaced: () => this.relay.readIfUnheld(),
       }),
       new VoterSetKeeper({
@@ -137,7 +137,7 @@
         store: this.store,
         membership,
         platform: this.platform,
-        electorate: () => membership.eligible(),
+        eligibleMembers: () => membership.eligible(),
         size: LEDGER_VOTER_COUNT,
         spreadOverZones: true,
       }),
