--- a/packages/protocol/src/grant-messages.ts
+++ b/packages/protocol/src/grant-messages.ts
@@ -3,7 +3,7 @@
 import { definePeerMethod } from './method.js';
 
 /** A request to a quota allocator for units of a limit. */
-export interface GrantWish {
+export interface GrantRequest {
   /** Units still missing for the first waiting request. */
   readonly needed: number;
   /** Units still missing for all waiting requests. */
@@ -29,7 +29,7 @@
 }
 
 /** A request for units of a tenant's quota. */
-export interface QuotaGrantMessage extends GrantWish {
+export interface QuotaGrantMessage extends GrantRequest {
   /** Zone whose allocator is asked. */
   readonly zone: string;
   readonly tenant: string;
@@ -38,7 +38,7 @@
 export const quotaGrantMethod = definePeerMethod<QuotaGrantMessage, GrantAnswer>('quota.grant');
 
 /** A request for permission to send requests to a back end with a rate limit. */
-export interface RateLimitGrantMessage extends GrantWish {
+export interface RateLimitGrantMessage extends GrantRequest {
   /** Zone of the back end, whose allocator is asked. */
   readonly zone: string;
   readonly backEndId: string;
--- a/packages/quota/src/quota-gate.ts
+++ b/packages/quota/src/quota-gate.ts
@@ -7,7 +7,7 @@
 import type { QuotaOutcome, RequestQuota, TenantQuota } from '@woodbarrow/forwarding';
 import type { CallFailures } from '@woodbarrow/observability';
 import type { PeerNetwork } from '@woodbarrow/peering';
-import { quotaGrantMethod, type GrantAnswer, type GrantWish } from '@woodbarrow/protocol';
+import { quotaGrantMethod, type GrantAnswer, type GrantRequest } from '@woodbarrow/protocol';
 import type { Clock } from '@woodbarrow/runtime';
 import { callAllocator } from './call-allocator.js';
 import { UnitGate, type GateUsage } from './unit-gate.js';
@@ -58,7 +58,7 @@
     return this.gate.usage();
   }
 
-  private requestUnits(zone: string, tenant: string, wish: GrantWish): Promise<GrantAnswer | undefined> {
+  private requestUnits(zone: string, tenant: string, wish: GrantRequest): Promise<GrantAnswer | undefined> {
     return callAllocator(this.options, zone, quotaGrantMethod, { zone, tenant, ...wish });
   }
 
--- a/packages/quota/src/rate-limit-gate.ts
+++ b/packages/quota/src/rate-limit-gate.ts
@@ -10,7 +10,7 @@
   type SendPermit,
   type SendPermits,
 } from '@woodbarrow/forwarding';
-import { rateLimitGrantMethod, type GrantAnswer, type GrantWish } from '@woodbarrow/protocol';
+import { rateLimitGrantMethod, type GrantAnswer, type GrantRequest } from '@woodbarrow/protocol';
 import type { Clock } from '@woodbarrow/runtime';
 import { callAllocator, type AllocatorAccess } from './call-allocator.js';
 import { fromReport, toReport } from './rate-limit-report.js';
@@ -121,7 +121,7 @@
   private async requestUnits(
     zone: string,
     backEndId: string,
-    wish: GrantWish,
+    wish: GrantRequest,
   ): Promise<GrantAnswer | undefined> {
     const { notices, clock } = this.options;
     const observed = notices.latestRateLimit(backEndId);
--- a/packages/quota/src/unit-allocator.ts
+++ b/packages/quota/src/unit-allocator.ts
@@ -1,5 +1,5 @@
 /** Allocates units of limits for one zone while this daemon holds the zone's lease. */
-import type { GrantAnswer, GrantWish } from '@woodbarrow/protocol';
+import type { GrantAnswer, GrantRequest } from '@woodbarrow/protocol';
 import type { Clock } from '@woodbarrow/runtime';
 import { shareOf, type OvershootAllowance, type UnitLimit } from './unit-share.js';
 import { UnitBucket } from './unit-bucket.js';
@@ -42,7 +42,7 @@
   constructor(private readonly options: UnitAllocatorOptions) {}
 
   /** Grants units to a daemon from the subject's bucket. */
-  grant(subject: string, wish: GrantWish): GrantAnswer {
+  grant(subject: string, wish: GrantRequest): GrantAnswer {
     const { needed, isLast } = wish;
     const entry = this.entryOf(subject);
     if (entry === undefined) return { granted: 0, lifetimeMs: 0, left: 0, retryAfterMs: 0 };
@@ -94,7 +94,7 @@
  */
 function unitsToGrant(
   bucket: UnitBucket,
-  { needed, queued, ahead, mayBePart }: Omit<GrantWish, 'isLast'>,
+  { needed, queued, ahead, mayBePart }: Omit<GrantRequest, 'isLast'>,
 ): number {
   const available = bucket.available();
   if (available < needed) return mayBePart ? available : 0;
--- a/packages/quota/src/unit-gate.ts
+++ b/packages/quota/src/unit-gate.ts
@@ -4,7 +4,7 @@
  * the other.
  */
 import type { QuotaOutcome, QuotaTicket } from '@woodbarrow/forwarding';
-import type { GrantAnswer, GrantWish } from '@woodbarrow/protocol';
+import type { GrantAnswer, GrantRequest } from '@woodbarrow/protocol';
 import { sleep, type Clock } from '@woodbarrow/runtime';
 import { LocalAllowance } from './local-allowance.js';
 import { shareOf, type OvershootAllowance, type UnitLimit } from './unit-share.js';
@@ -18,7 +18,11 @@
   /** Returns the zones whose allocators are called for a subject, in order. */
   readonly zonesFor: (subject: string) => readonly string[];
   /** Calls one allocator. Returns undefined if there is none or it does not respond. Never rejects. */
-  readonly requestUnits: (zone: string, subject: string, wish: GrantWish) => Promise<GrantAnswer | undefined>;
+  readonly requestUnits: (
+    zone: string,
+    subject: string,
+    wish: GrantRequest,
+  ) => Promise<GrantAnswer | undefined>;
   /**
    * Maximum time without further calls after a refusal, in milliseconds. Bounds the wait for refill
    * that is reserved for other requests, which may not use it.
