--- a/packages/lab/src/bench/load-generator.ts
+++ b/packages/lab/src/bench/load-generator.ts
@@ -4,7 +4,7 @@
 import { build, type Histogram } from 'hdr-histogram-js';
 
 /** Parameters of a load test. */
-export interface LoadOrder {
+export interface LoadParameters {
   readonly origin: string;
   readonly headers: Readonly<Record<string, string>>;
   readonly model: string;
@@ -42,7 +42,7 @@
   private failures = 0;
   private readonly body: Uint8Array;
 
-  constructor(private readonly order: LoadOrder) {
+  constructor(private readonly order: LoadParameters) {
     const { model, streaming, tokens } = order;
     const messages = [{ role: 'user', content: 'measure #bench' }];
     this.body = encodeText(JSON.stringify({ model, stream: streaming, max_tokens: tokens, messages }));
@@ -112,7 +112,7 @@
   }
 }
 
-parentPort?.on('message', (order: LoadOrder) => {
+parentPort?.on('message', (order: LoadParameters) => {
   void new LoadGenerator(order).run().then((result) => {
     parentPort?.postMessage(result);
   });
--- a/packages/lab/src/commands/bench.ts
+++ b/packages/lab/src/commands/bench.ts
@@ -4,7 +4,7 @@
 import { sleep } from '@woodbarrow/runtime';
 import { RealDeployment } from '../real/real-deployment.js';
 import { parseScenario } from '../scenario/load-scenario.js';
-import type { LoadOrder, LoadResult } from '../bench/load-generator.js';
+import type { LoadParameters, LoadResult } from '../bench/load-generator.js';
 import { print } from './print.js';
 
 const BENCH_SCENARIO = `
@@ -138,7 +138,7 @@
   };
 }
 
-function generateLoad(target: Target, order: Omit<LoadOrder, keyof Target>): Promise<LoadResult> {
+function generateLoad(target: Target, order: Omit<LoadParameters, keyof Target>): Promise<LoadResult> {
   return new Promise((resolve, reject) => {
     const worker = new Worker(new URL('../bench/load-generator.js', import.meta.url));
     worker.once('message', (result: LoadResult) => {
--- a/packages/lab/src/commands/experiment.ts
+++ b/packages/lab/src/commands/experiment.ts
@@ -5,7 +5,7 @@
 import type { Scenario } from '../scenario/scenario-schema.js';
 import { planWorkload, type PlannedRequest } from '../traffic/workload.js';
 import { RealDeployment, type RealDaemon } from '../real/real-deployment.js';
-import { formatRows, reportOf } from '../real/real-report.js';
+import { formatRows, buildRealReport } from '../real/real-report.js';
 import { RealTraffic } from '../real/real-traffic.js';
 import { print } from './print.js';
 
@@ -81,9 +81,9 @@
     const traffic = new RealTraffic(deployment, random.fork());
     const experimentViolations = await run({ deployment, traffic, scenario, random });
     await traffic.settle();
-    const report = reportOf(deployment, traffic.totals());
+    const report = buildRealReport(deployment, traffic.totals());
     print(formatRows(report.rows));
-    return [...report.broken, ...experimentViolations];
+    return [...report.violations, ...experimentViolations];
   } finally {
     await deployment.stop();
   }
--- a/packages/lab/src/commands/quickstart.ts
+++ b/packages/lab/src/commands/quickstart.ts
@@ -4,7 +4,7 @@
 import { loadScenario } from '../scenario/load-scenario.js';
 import { planWorkload } from '../traffic/workload.js';
 import { RealDeployment } from '../real/real-deployment.js';
-import { formatRows, reportOf } from '../real/real-report.js';
+import { formatRows, buildRealReport } from '../real/real-report.js';
 import { RealTraffic } from '../real/real-traffic.js';
 import { print } from './print.js';
 
@@ -48,15 +48,15 @@
   await traffic.settle();
   await display.stop();
   showProgress(traffic);
-  const report = reportOf(deployment, traffic.totals());
+  const report = buildRealReport(deployment, traffic.totals());
   print(`\n\n${formatRows(report.rows)}\n`);
-  print(report.broken.length === 0 ? 'every promise held' : `BROKEN: ${report.broken.join('; ')}`);
+  print(report.violations.length === 0 ? 'every promise held' : `BROKEN: ${report.violations.join('; ')}`);
   if (!options.once) {
     print('the deployment stays up; press Ctrl-C to end it');
     await waitForTermination();
   }
   await deployment.stop();
-  return report.broken.length === 0 ? 0 : 1;
+  return report.violations.length === 0 ? 0 : 1;
 }
 
 function printAddresses(deployment: RealDeployment): void {
--- a/packages/lab/src/real/real-report.ts
+++ b/packages/lab/src/real/real-report.ts
@@ -9,11 +9,11 @@
 export interface RealReport {
   readonly rows: ReportRows;
   /** Violated guarantees; empty if all held. */
-  readonly broken: readonly string[];
+  readonly violations: readonly string[];
 }
 
 /** Builds the report of a run from engine records and traffic totals. */
-export function reportOf(deployment: RealDeployment, totals: TrafficTotals): RealReport {
+export function buildRealReport(deployment: RealDeployment, totals: TrafficTotals): RealReport {
   const { observations, engineRecords } = deployment;
   const loads = sum(engineRecords.map((record) => record.loads));
   const overcommits = sum(engineRecords.map((record) => record.overcommitsRefused));
@@ -42,7 +42,7 @@
     ['orders beyond memory', String(overcommits)],
     ['platform readers, most at once', String(deployment.platform.maximumReaders)],
   ];
-  return { rows, broken: violations };
+  return { rows, violations };
 }
 
 /** Formats rows as aligned text. */
