--- a/packages/lab/src/checkers/answer-checkers.ts
+++ b/packages/lab/src/checkers/answer-checkers.ts
@@ -45,7 +45,7 @@
       );
     },
     onEnd: () => {
-      for (const story of traffic.stories) {
+      for (const story of traffic.histories) {
         const open = story.attempts.find((attempt) => attempt.endedAtMs === undefined);
         if (open !== undefined)
           report('answered-in-wait', `${open.request.marker} was never answered by ${open.origin}`);
@@ -100,7 +100,7 @@
       const count = (runs.get(marker) ?? 0) + 1;
       runs.set(marker, count);
       if (count < 2 || reported.has(marker)) return;
-      const story = traffic.stories.find((candidate) => candidate.planned.request.marker === marker);
+      const story = traffic.histories.find((candidate) => candidate.planned.request.marker === marker);
       const request = story?.planned.request;
       if (request === undefined || (request.idempotencyKey === undefined && !request.notRepeatable)) return;
       reported.add(marker);
--- a/packages/lab/src/simulation/simulation-summary.ts
+++ b/packages/lab/src/simulation/simulation-summary.ts
@@ -63,7 +63,7 @@
 /** Returns the summary of a finished run. */
 export function summarize(input: SummaryInput): SimulationSummary {
   const { deployment, traffic, violations, meter, inForceTimes, seed } = input;
-  const served = traffic.stories.filter((history) => history.attempts.at(-1)?.outcome === 'served');
+  const served = traffic.histories.filter((history) => history.attempts.at(-1)?.outcome === 'served');
   const urgent = served.filter((history) => !isDeferrable(history.planned.request, deployment.plan));
   const engines = [...deployment.workers.values()].map((slot) => slot.engine.record);
   return {
@@ -105,7 +105,7 @@
 function countRequests(traffic: TrafficDriver, violations: readonly Violation[]): RequestCounts {
   const refusedByKind: Record<string, number> = {};
   const counts = { served: 0, refused: 0, failed: 0, unanswered: 0 };
-  for (const { attempts } of traffic.stories) {
+  for (const { attempts } of traffic.histories) {
     const last = attempts.at(-1);
     switch (last?.outcome) {
       case 'served':
@@ -123,7 +123,7 @@
     }
   }
   const doubled = violations.filter((violation) => violation.checker === 'at-most-once').length;
-  return { sent: traffic.stories.length, ...counts, refusedByKind, doubled };
+  return { sent: traffic.histories.length, ...counts, refusedByKind, doubled };
 }
 
 function round(hours: number): number {
--- a/packages/lab/src/simulation/traffic-driver.ts
+++ b/packages/lab/src/simulation/traffic-driver.ts
@@ -20,7 +20,7 @@
 
 /** Sends requests and records their attempts. */
 export class TrafficDriver {
-  readonly stories: RequestHistory[] = [];
+  readonly histories: RequestHistory[] = [];
 
   constructor(
     private readonly deployment: SimulatedDeployment,
@@ -38,7 +38,7 @@
 
   /** Number of requests that have not ended. */
   get unfinished(): number {
-    return this.stories.filter((history) => !history.done).length;
+    return this.histories.filter((history) => !history.done).length;
   }
 
   private async send(planned: PlannedRequest): Promise<void> {
@@ -50,7 +50,7 @@
       attempts: [],
       done: false,
     };
-    this.stories.push(history);
+    this.histories.push(history);
     const caller = new Caller(this.deployment.clientIn(planned.zone), () => world.now);
     for (let left = planned.retries; ; left -= 1) {
       const attempt = await this.attempt(caller, history);
