--- a/packages/exchange/src/index.ts
+++ b/packages/exchange/src/index.ts
@@ -1,5 +1,5 @@
 /** Regular exchange of load, claims and store records between daemons, by way of relays. */
-export * from './behind.js';
+export * from './staleness-tracker.js';
 export * from './change-log.js';
 export * from './coordinator-directory.js';
 export * from './crash-mark-transfer.js';
--- a/packages/exchange/src/peer-exchange.ts
+++ b/packages/exchange/src/peer-exchange.ts
@@ -24,7 +24,7 @@
   type ZoneClaim,
 } from '@woodbarrow/protocol';
 import { BackgroundService, type Clock } from '@woodbarrow/runtime';
-import { StalenessTracker } from './behind.js';
+import { StalenessTracker } from './staleness-tracker.js';
 import { ChangeTransfer } from './change-transfer.js';
 import type { CoordinatorDirectory } from './coordinator-directory.js';
 import { CrashMarkTransfer, type SharedCrashMarks } from './crash-mark-transfer.js';
--- a/packages/residency/src/demand-router.ts
+++ b/packages/residency/src/demand-router.ts
@@ -15,7 +15,7 @@
 import { hasLocalCopy } from './local-copies.js';
 import { OCCUPANCY_WEIGHT } from './placement-choice.js';
 import type { RefusedDemandReason } from './pending-demand.js';
-import { ZoneReachability } from './zone-reach.js';
+import { ZoneReachability } from './zone-reachability.js';
 import { QUOTE_REASON } from './zone-residency.js';
 
 /** Options of {@link DemandRouter}. */
--- a/packages/residency/src/load-planner.ts
+++ b/packages/residency/src/load-planner.ts
@@ -23,7 +23,7 @@
   type RankedVictim,
 } from './placement-choice.js';
 import type { ResidentSet } from './resident-set.js';
-import type { RetryReservations } from './return-promises.js';
+import type { RetryReservations } from './retry-reservations.js';
 import type { StoreLink, StoreLoad } from './store-link.js';
 import type { UnservedModels } from './unserved-models.js';
 import type { WorkerOrders } from './worker-orders.js';
--- a/packages/residency/src/load-scheduler.ts
+++ b/packages/residency/src/load-scheduler.ts
@@ -7,7 +7,7 @@
 import type { LoadUnderWay } from '@woodbarrow/protocol';
 import type { LoadAdmission } from './load-admission.js';
 import { victimsToRetire, type PlannedLoad } from './load-plan.js';
-import { PlanCache } from './current-plans.js';
+import { PlanCache } from './plan-cache.js';
 import { LoadPlanner, type LoadPlannerOptions, type PlanSnapshot } from './load-planner.js';
 import {
   DemandQueue,
@@ -23,7 +23,7 @@
   type WantedModel,
 } from './pending-demand.js';
 import type { PlacementChoice } from './placement-choice.js';
-import { RetryReservations } from './return-promises.js';
+import { RetryReservations } from './retry-reservations.js';
 import { UnservedModels } from './unserved-models.js';
 
 /** Options of {@link LoadScheduler}. */
