--- a/packages/forwarding/test/parts.test.ts
+++ b/packages/forwarding/test/parts.test.ts
@@ -65,7 +65,7 @@
   });
 });
 
-describe('RepeatBudget', () => {
+describe('RetryBudget', () => {
   it('limits retries per window to a ratio of the requests plus a fixed share per daemon', async () => {
     const { world, process } = simulatedClock();
     const budget = new RetryBudget(
--- a/packages/lab/test/planted-defects.ts
+++ b/packages/lab/test/planted-defects.ts
@@ -40,7 +40,7 @@
   // The coordinator treats all memory of every worker as free.
   'memory-commit': () => replaceMember(WorkerView.prototype, 'freeGib', { get: () => 1_000_000 }),
   // The router ignores the deadline.
-  'answered-in-wait': () => replaceMember(Router.prototype, 'remaining', { value: () => 100_000 }),
+  'answered-in-wait': () => replaceMember(Router.prototype, 'remainingMs', { value: () => 100_000 }),
   // Streams lose their first chunk.
   'whole-answer': () =>
     replaceComplete(
@@ -81,7 +81,7 @@
         },
     ),
   // The coordinator ignores that a worker is leaving.
-  'leaving-drained': () => replaceMember(WorkerView.prototype, 'leaving', { get: () => false }),
+  'leaving-drained': () => replaceMember(WorkerView.prototype, 'isLeaving', { get: () => false }),
   // A planned stop does not wait for requests in progress.
   'planned-stop': () => replaceMember(Daemon.prototype, 'requestsInProgress', { value: () => 0 }),
   // The store reports an older revision after each change.
